--- /dev/null
+++ b/crates/ledger/tests/golden.rs
@@ -0,0 +1,110 @@
+//! The stored form of a segment: the bytes that are written, and that a file written earlier is read.
+
+use bellcroft_ledger::segment::{self, Header, Item};
+use bellcroft_ledger::{Answer, Outcome, Record, Start};
+use expect_test::expect_file;
+use std::fmt::Write;
+
+fn header() -> Header {
+    Header {
+        start: Start(0x0102_0304_0506_0708),
+        number: 3,
+        instance: "desk-1".into(),
+        wall_ms: 1_700_000_000_000,
+    }
+}
+
+fn records() -> Vec<Record> {
+    let mut records = vec![
+        Record::Taken {
+            request: 1,
+            id: b"request-1".to_vec(),
+            key: b"key-1".to_vec(),
+            class: "log-session".into(),
+            tenant: "acme".into(),
+            wall_ms: 1_700_000_000_123,
+            at_us: 123_000,
+            deadline_us: 2_623_000,
+        },
+        Record::Taken {
+            request: 300,
+            id: vec![0xff, 0x00],
+            key: Vec::new(),
+            class: "assign-session".into(),
+            tenant: String::new(),
+            wall_ms: 1_700_000_000_124,
+            at_us: 124_000,
+            deadline_us: 2_624_000,
+        },
+        Record::Intent {
+            request: 1,
+            attempt: 0,
+            server: "server-1".into(),
+            address: "127.0.0.1:8080".into(),
+            at_us: 125_000,
+            window_left_us: Some(7_500_000),
+            late: false,
+        },
+        Record::Intent {
+            request: 1,
+            attempt: 1,
+            server: "server-2".into(),
+            address: "127.0.0.1:8081".into(),
+            at_us: 126_000,
+            window_left_us: None,
+            late: true,
+        },
+    ];
+    let outcomes =
+        [Outcome::Answered, Outcome::TurnedAway, Outcome::NotSent, Outcome::Unanswered, Outcome::Error];
+    for (attempt, outcome) in (0..).zip(outcomes) {
+        records.push(Record::Outcome { request: 1, attempt, outcome, at_us: 130_000 });
+    }
+    for answer in [Answer::Served, Answer::Refused, Answer::Failed] {
+        records.push(Record::Final { request: 1, answer, at_us: 140_000 });
+    }
+    records.push(Record::Left { request: 300, at_us: 150_000 });
+    records.push(Record::Gap { lost: 12, from_us: 160_000, to_us: 170_000 });
+    records
+}
+
+fn hex(bytes: &[u8]) -> String {
+    let mut text = String::new();
+    for line in bytes.chunks(32) {
+        for byte in line {
+            write!(text, "{byte:02x}").expect("a string grows");
+        }
+        text.push('\n');
+    }
+    text
+}
+
+fn unhex(text: &str) -> Vec<u8> {
+    let digits: Vec<u8> = text.bytes().filter(u8::is_ascii_hexdigit).collect();
+    let byte =
+        |pair: &[u8]| u8::from_str_radix(std::str::from_utf8(pair).expect("digits"), 16).expect("a byte");
+    digits.chunks(2).map(byte).collect()
+}
+
+#[test]
+fn segment_bytes_match_golden_file() {
+    let mut bytes = segment::begin(&header());
+    for record in records() {
+        segment::put(&record, &mut bytes);
+    }
+    expect_file!["golden/segment.hex"].assert_eq(&hex(&bytes));
+}
+
+#[test]
+fn segment_written_earlier_is_read_completely() {
+    let bytes = unhex(include_str!("golden/segment.hex"));
+    let (found, items) = segment::open(&bytes).expect("a segment");
+    assert_eq!(found, header());
+    let read: Vec<Record> = items
+        .map(|item| match item {
+            Item::Record(record, _) => record,
+            other => panic!("no record: {other:?}"),
+        })
+        .collect();
+    assert_eq!(read, records());
+}
