--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -27,7 +27,7 @@
 pub enum Incoming<'a> {
     Attach {
         salt: u64,
-        params: Box<micasail_settings::Params>,
+        params: Box<bellcroft_platform_settings::Params>,
     },
     Retire {},
     #[serde(rename_all = "camelCase")]
--- a/crates/agent/src/daemon/config.rs
+++ b/crates/agent/src/daemon/config.rs
@@ -3,9 +3,9 @@
 use crate::discovery::codec::{self, EndpointList};
 use bellcroft_membership as membership;
 use bellcroft_operator::{AgentFile, Daemon, Fault, RemoteWrite};
+use bellcroft_platform_settings::{Names, Params};
 use bellcroft_routes::{Platform, Spec};
 use micasail::Settings;
-use micasail_settings::{Names, Params};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -135,7 +135,7 @@
         let read = Read::file(&path).map_err(|why| vec![why])?;
         digest.extend(&read.bytes);
         let digest = String::from_utf8_lossy(&digest);
-        let digest = format!("{:016x}", micasail_settings::fnv1a(&digest));
+        let digest = format!("{:016x}", bellcroft_platform_settings::fnv1a(&digest));
         let file = sources.operator.as_ref().map_or(String::new(), |file| file.display().to_string());
         Self::checked(read, (operator, &file), digest, var)
     }
@@ -182,19 +182,19 @@
         } else {
             None
         };
-        let mut settings = micasail_settings::settings(&file.settings);
+        let mut settings = bellcroft_platform_settings::settings(&file.settings);
         // `Retry-After` may stand in any refusal on these sockets; the setting speaks of the simulator's clients.
         settings.retry_after = true;
         if let Err(e) = settings.check() {
             wrong.push(format!("{}: settings: {e}", at("settings")));
         }
-        for (key, why) in micasail_settings::faults(&file.settings) {
+        for (key, why) in bellcroft_platform_settings::faults(&file.settings) {
             // What is missing has no line of its own.
             let name = key.rsplit('.').next().unwrap_or(key);
             let place = if text.contains(&format!("\"{name}\"")) { at(name) } else { at("settings") };
             wrong.push(format!("{place}: settings: {why}"));
         }
-        let names = micasail_settings::names(&file.settings);
+        let names = bellcroft_platform_settings::names(&file.settings);
         if let Some(place) = names.classes.iter().position(String::is_empty) {
             wrong.push(format!("{}: settings give class {place} no name", at("classes")));
         }
@@ -241,7 +241,8 @@
             discovery,
             console,
             // Any text makes a seed; only the form of the deployment's own is read as a number.
-            seed: u64::from_str_radix(&seed, 16).unwrap_or_else(|_| micasail_settings::fnv1a(&seed)),
+            seed: u64::from_str_radix(&seed, 16)
+                .unwrap_or_else(|_| bellcroft_platform_settings::fnv1a(&seed)),
             sockets: file.limits.sockets.unwrap_or(SOCKETS).min(SOCKETS_MOST),
             memory: (file.limits.memory_mb.unwrap_or(MEMORY_MB).max(0.0) * 1e6) as usize,
             settings,
--- a/crates/agent/src/daemon/succession.rs
+++ b/crates/agent/src/daemon/succession.rs
@@ -29,7 +29,7 @@
 /// no such folder, or where the kernel chooses the port and no two processes can mean the same one.
 pub fn place(folder: Option<PathBuf>, name: &str, listen: SocketAddr) -> Option<PathBuf> {
     let folder = folder.filter(|folder| folder.is_dir() && listen.port() != 0)?;
-    let digest = micasail_settings::fnv1a(&format!("{name} {listen}"));
+    let digest = bellcroft_platform_settings::fnv1a(&format!("{name} {listen}"));
     Some(folder.join(format!("bellcroft-{digest:016x}.sock")))
 }
 
--- a/crates/agent/src/driver.rs
+++ b/crates/agent/src/driver.rs
@@ -21,13 +21,13 @@
 use bellcroft_operations::retune::{merge, Attempts, Book, Form, Unfit};
 use bellcroft_operations::shutdown::ShutdownSchedule;
 use bellcroft_operations::waking::Waking;
+use bellcroft_platform_settings::{fnv1a, Names};
 use bellcroft_routes::{Ids, Recent, Route, SecondCopy, Table};
 use bellcroft_telemetry::{Instance, Line};
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderValue, CONTENT_LENGTH};
 use hyper::{Method, Request, StatusCode, Uri};
 use micasail::*;
-use micasail_settings::{fnv1a, Names};
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
--- a/crates/agent/src/front/request.rs
+++ b/crates/agent/src/front/request.rs
@@ -8,12 +8,12 @@
 use crate::upstream::{forwarded, join};
 use bellcroft_operations::passage::{self, Way, BODY_MOST};
 use bellcroft_operations::retune::{Form, Unfit};
+use bellcroft_platform_settings::fnv1a;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, HeaderValue, ALLOW};
 use hyper::{Method, Request, Response, StatusCode};
 use micasail::{Effect, KeyId, Span, TenantId};
-use micasail_settings::fnv1a;
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/crates/agent/src/peers/hints.rs
+++ b/crates/agent/src/peers/hints.rs
@@ -3,7 +3,7 @@
 
 /// A server's name as hints have it: FNV-1a, 64 bits.
 pub fn named(name: &str) -> u64 {
-    micasail_settings::fnv1a(name)
+    bellcroft_platform_settings::fnv1a(name)
 }
 
 /// The bytes of a hint.
--- a/crates/agent/tests/peers.rs
+++ b/crates/agent/tests/peers.rs
@@ -98,7 +98,7 @@
     let began = tokio::time::Instant::now();
     let life = 1 << 46;
     let lie = Part { site: 0, weight: 1e6, square: 1.0, took: 1.2e6, full: 1.2e6, asked: 1e6, refused: 1e6 };
-    let cluster = micasail_settings::fnv1a("rig");
+    let cluster = bellcroft_platform_settings::fnv1a("rig");
     for round in 0..100_u32 {
         let version = Version { life, round };
         let of = round % 9;
@@ -111,7 +111,7 @@
             duty: Duty::Agent,
             address: None,
         };
-        let server = micasail_settings::fnv1a(&format!("s{}", round % 4));
+        let server = bellcroft_platform_settings::fnv1a(&format!("s{}", round % 4));
         let kinds = [
             Kind::Hint { payload: server.to_be_bytes().to_vec() },
             Kind::Digest { parts: Part::write(&[lie]) },
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -176,7 +176,7 @@
             }
         }));
         Membership {
-            cluster: micasail_settings::fnv1a(&config.cluster),
+            cluster: bellcroft_platform_settings::fnv1a(&config.cluster),
             version: Version { life: life.min(LIFE_MOST - 1), round: 0 },
             rng: fastrand::Rng::with_seed(seed),
             view,
--- a/crates/membership/tests/lies.rs
+++ b/crates/membership/tests/lies.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 
 fn mark() -> u64 {
-    micasail_settings::fnv1a("south")
+    bellcroft_platform_settings::fnv1a("south")
 }
 
 fn says(from: usize, version: Version, kind: Kind, news: Vec<Rumour>) -> Vec<u8> {
--- a/crates/rig/src/scale/observer.rs
+++ b/crates/rig/src/scale/observer.rs
@@ -1,7 +1,7 @@
 //! What datagrams show of one member: who holds it, and who holds it dead by a probe of its own.
 
 use bellcroft_membership::{decode, Id, State};
-use micasail_settings::fnv1a;
+use bellcroft_platform_settings::fnv1a;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
