--- a/crates/adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -38,7 +38,7 @@
     match run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("micasail-adapter: {fault}");
+            eprintln!("simulator-adapter: {fault}");
             ExitCode::from(2)
         }
     }
