--- a/crates/agent/src/clock.rs
+++ b/crates/agent/src/clock.rs
@@ -1,6 +1,6 @@
 //! The one clock of an instance.
 
-use micasail::{Span, Time};
+use bellcroft_balancer::{Span, Time};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
--- a/crates/agent/src/daemon/config.rs
+++ b/crates/agent/src/daemon/config.rs
@@ -1,11 +1,11 @@
 //! What the agent is told at its start: the `PROXY_*` variables and the file that `PROXY_CONFIG` names.
 
 use crate::discovery::codec::{self, EndpointList};
+use bellcroft_balancer::Settings;
 use bellcroft_membership as membership;
 use bellcroft_operator::{AgentFile, Daemon, Fault, RemoteWrite};
 use bellcroft_platform_settings::{Names, Params};
 use bellcroft_routes::{Platform, Spec};
-use micasail::Settings;
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/agent/src/discovery/policy.rs
+++ b/crates/agent/src/discovery/policy.rs
@@ -4,7 +4,7 @@
 //! reached, whatever call failed or waits; where lists are pushed, at once. The latest moments at which discovery is
 //! asked are [`WatchPolicy::silent_watch_asks`] and [`WatchPolicy::unreachable_ask`].
 
-use micasail::{Discovery, MAX_WATCH_RETRY_DELAY, MIN_WATCH_RETRY_DELAY};
+use bellcroft_balancer::{Discovery, MAX_WATCH_RETRY_DELAY, MIN_WATCH_RETRY_DELAY};
 use std::time::Duration;
 
 /// A change counts as notified this long after discovery had it and could be reached.
@@ -93,7 +93,7 @@
     /// The latest moment, from discovery's return, at which it is asked: a call that hangs had begun just before. Where
     /// lists are pushed, it is asked again after another `hedge_delay`.
     pub fn unreachable_ask(&self) -> Duration {
-        let micros = |span: micasail::Span| Duration::from_micros(span.0);
+        let micros = |span: bellcroft_balancer::Span| Duration::from_micros(span.0);
         match self.retry_delay {
             Some(delay) => self.call_timeout + delay,
             None => {
--- a/crates/agent/src/driver.rs
+++ b/crates/agent/src/driver.rs
@@ -16,6 +16,7 @@
 use crate::request_log::{AnswerReason, RequestLog};
 use crate::telemetry::{FirstByte, Owing, NO_ROUTE};
 use crate::upstream::{AttemptLimits, AttemptProgress, AttemptResult, Content, Upstream};
+use bellcroft_balancer::*;
 use bellcroft_operations::clock_skew::ClockSkew;
 use bellcroft_operations::guard::{AttemptHistory, AttemptWindow, Guard, ServerGroups};
 use bellcroft_operations::retune::{merge, Attempts, Book, Form, Unfit};
@@ -27,7 +28,6 @@
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderValue, CONTENT_LENGTH};
 use hyper::{Method, Request, StatusCode, Uri};
-use micasail::*;
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet, VecDeque};
@@ -444,7 +444,7 @@
                 let fewer = limits.as_deref().unwrap_or(&Limits::STANDARD).clone();
                 limits = Some(Arc::new(Limits { attempts: fewer.attempts.min(most), ..fewer }));
             }
-            let request = micasail::Request {
+            let request = bellcroft_balancer::Request {
                 tenant: arrival.tenant,
                 key: arrival.key,
                 cost_hint: arrival.cost_hint,
@@ -461,7 +461,7 @@
                         SecondCopy::After(after) => Some(after),
                         SecondCopy::Percentile(p) => state.recent[arrival.class.0].percentile(p),
                     }),
-                ..micasail::Request::new(id, arrival.class, time_left)
+                ..bellcroft_balancer::Request::new(id, arrival.class, time_left)
             };
             let owing = self.telemetry.clone().map(|telemetry| {
                 let (class, route) = (arrival.class.0, route_of(&arrival));
--- a/crates/agent/src/front/request.rs
+++ b/crates/agent/src/front/request.rs
@@ -6,6 +6,7 @@
 use crate::driver::{Arrival, Given, COMING_MOST};
 use crate::passing::{Kept, Upload};
 use crate::upstream::{forwarded, join};
+use bellcroft_balancer::{Effect, KeyId, Span, TenantId};
 use bellcroft_operations::passage::{self, Way, BODY_MOST};
 use bellcroft_operations::retune::{Form, Unfit};
 use bellcroft_platform_settings::fnv1a;
@@ -13,7 +14,6 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{HeaderMap, HeaderValue, ALLOW};
 use hyper::{Method, Request, Response, StatusCode};
-use micasail::{Effect, KeyId, Span, TenantId};
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,5 +1,5 @@
 //! A client-side load-balancing agent: HTTP/1.1 from the application beside it, HTTP/1.1 to the backends, and
-//! the decisions of `micasail` in between.
+//! the decisions of `bellcroft-balancer` in between.
 //!
 //! `daemon` is one instance's life and `fleet` that of many; `front` (clients) and `upstream` (servers) are the two
 //! sides of a request, which meet in `driver`, the one owner of the balancer; `discovery` keeps the server list; `telemetry` counts;
--- a/crates/agent/src/peers/mod.rs
+++ b/crates/agent/src/peers/mod.rs
@@ -7,9 +7,9 @@
 pub mod status;
 
 use crate::clock::Clock;
+use bellcroft_balancer::{FleetState, PeerId, Sign};
 use bellcroft_membership::{Change, Config, Digest, Figures, Heard, Hearsay, Id, Membership, Output, Stance};
 use bellcroft_net::DatagramSocket;
-use micasail::{FleetState, PeerId, Sign};
 use status::{MemberStatus, MembershipStatus, SeenStatus, SiteStatus};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -122,7 +122,7 @@
 
     /// Has the protocol do something, and carries out what comes of it. The protocol isn't borrowed meanwhile, for the
     /// decisions may answer a hint with one.
-    fn turn(&self, act: impl FnOnce(&mut Membership, micasail::Time, &mut Vec<Output>)) {
+    fn turn(&self, act: impl FnOnce(&mut Membership, bellcroft_balancer::Time, &mut Vec<Output>)) {
         let mut out = Vec::new();
         let now = self.clock.now();
         act(&mut self.core.borrow_mut(), now, &mut out);
@@ -198,7 +198,7 @@
         self.count_in(Digest::refused);
     }
 
-    fn count_in(&self, count: impl FnOnce(&mut Digest, micasail::Time, u8)) {
+    fn count_in(&self, count: impl FnOnce(&mut Digest, bellcroft_balancer::Time, u8)) {
         let mut core = self.core.borrow_mut();
         let (now, site) = (self.clock.now(), core.config().site);
         // While nothing is held, nobody waits for the moment to hand it over.
@@ -240,7 +240,7 @@
         let config = core.config();
         let (size, size_error) = core.size();
         let here = size.round() as u32;
-        let ago = |at: micasail::Time| now.since(at).0 / 1000;
+        let ago = |at: bellcroft_balancer::Time| now.since(at).0 / 1000;
         MembershipStatus {
             cluster: config.cluster.clone(),
             number: config.number.0,
--- a/crates/agent/src/peers/status.rs
+++ b/crates/agent/src/peers/status.rs
@@ -48,7 +48,7 @@
 
 impl SeenStatus {
     /// Rounded to what means something.
-    pub fn of(state: micasail::FleetState) -> Self {
+    pub fn of(state: bellcroft_balancer::FleetState) -> Self {
         let round = |value: f64| (value * 1e3).round() / 1e3;
         SeenStatus {
             answers: round(state.sure),
--- a/crates/agent/src/telemetry.rs
+++ b/crates/agent/src/telemetry.rs
@@ -3,12 +3,12 @@
 use crate::clock::Clock;
 use crate::daemon::config::Config;
 use crate::peers::Peers;
+use bellcroft_balancer::{RequestId, ServerId, Span};
 use bellcroft_membership::{Refused, Stance, State};
 use bellcroft_operator::RemoteWrite;
 use bellcroft_routes::SecondCopy;
 use bellcroft_telemetry::{families, About, Allowed, Instance, Over, Policy, Registry, Version};
 use families::Family;
-use micasail::{RequestId, ServerId, Span};
 use std::rc::Rc;
 use tokio::time::Instant;
 
--- a/crates/agent/src/upstream/connection.rs
+++ b/crates/agent/src/upstream/connection.rs
@@ -3,9 +3,9 @@
 use super::metered_stream::{MeteredStream, StreamProgress};
 use super::response::MAX_HEAD_BYTES;
 use crate::passing::Load;
+use bellcroft_balancer::ServerId;
 use bellcroft_net::{connect, ConnectError};
 use hyper::client::conn::http1::{Builder, SendRequest};
-use micasail::ServerId;
 use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
--- a/crates/agent/src/upstream/mod.rs
+++ b/crates/agent/src/upstream/mod.rs
@@ -20,7 +20,7 @@
 pub use response::join;
 
 use crate::discovery::codec::EndpointRecord;
-use micasail::ServerId;
+use bellcroft_balancer::ServerId;
 use pool::ConnectionPool;
 use std::cell::RefCell;
 use std::rc::Rc;
--- a/crates/agent/src/upstream/pool.rs
+++ b/crates/agent/src/upstream/pool.rs
@@ -3,8 +3,8 @@
 use super::connection::{Connection, ConnectionPermit, Peer};
 use super::idle::{IdleConnection, IdleConnections};
 use crate::discovery::codec::{EndpointRecord, Health};
+use bellcroft_balancer::{Outcome, ServerId};
 use bellcroft_net::ConnectError;
-use micasail::{Outcome, ServerId};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::future::Future;
--- a/crates/agent/src/upstream/probe.rs
+++ b/crates/agent/src/upstream/probe.rs
@@ -5,9 +5,9 @@
 use super::pool::SpareConnections;
 use super::Upstream;
 use crate::passing::Load;
+use bellcroft_balancer::{Outcome, ServerId};
 use bytes::Bytes;
 use hyper::Request;
-use micasail::{Outcome, ServerId};
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
 
--- a/crates/agent/src/upstream/relay.rs
+++ b/crates/agent/src/upstream/relay.rs
@@ -3,10 +3,10 @@
 use super::connection::Connection;
 use super::pool::ConnectionPool;
 use super::response::{BodyStart, MAX_RELAYED_BYTES};
+use bellcroft_balancer::{Span, Time};
 use bellcroft_operations::passage::{Passed, Patience, WHOLE_MOST};
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
-use micasail::{Span, Time};
 use std::future::Future;
 use std::io;
 use std::pin::Pin;
--- a/crates/agent/src/upstream/response.rs
+++ b/crates/agent/src/upstream/response.rs
@@ -6,13 +6,13 @@
 use super::relay::Relay;
 use super::Upstream;
 use crate::passing::Load;
+use bellcroft_balancer::{Outcome, Time};
 use bellcroft_operations::passage::{way, Begin, BODY_MOST, WHOLE_MOST};
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::header::{CONTENT_LENGTH, CONTENT_TYPE, TRANSFER_ENCODING};
 use hyper::{Request, Response, StatusCode};
-use micasail::{Outcome, Time};
 use std::time::Duration;
 use tokio::time::{timeout, timeout_at, Instant};
 
--- a/crates/agent/tests/watch_schedule.rs
+++ b/crates/agent/tests/watch_schedule.rs
@@ -4,7 +4,7 @@
 use bellcroft::discovery::error::CallError;
 use bellcroft::discovery::policy::{WatchPolicy, CALL_TIMEOUT, SOCKET_ALLOWANCE};
 use bellcroft::discovery::schedule::{AnswerVersion, CallId, Query, Step, WatchSchedule};
-use micasail::{Action, Balancer, Discovery, Event, ListUpdate, Settings, Time, TimerId};
+use bellcroft_balancer::{Action, Balancer, Discovery, Event, ListUpdate, Settings, Time, TimerId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -104,7 +104,7 @@
         let changed = begins + Duration::from_micros(after[random.usize(..3)]);
         let settings = Settings {
             discovery: lists,
-            drain_grace: micasail::Span(drain_grace.as_micros() as u64),
+            drain_grace: bellcroft_balancer::Span(drain_grace.as_micros() as u64),
             ..Settings::default()
         };
         let asked = lists == Discovery::OnRequest;
--- a/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -5,7 +5,7 @@
 //! it compares the lightest server it remembers with fresh uniform draws, by its own requests in flight.
 //!
 //! ```
-//! use micasail::*;
+//! use bellcroft_balancer::*;
 //!
 //! let class = Class { aim: Span::from_ms(100.0), deadline: Span::from_ms(400.0), ..Class::default() };
 //! let settings = Settings { classes: vec![class], ..Settings::default() };
--- a/tests/bad_input.rs
+++ b/crates/balancer/tests/bad_input.rs
@@ -1,7 +1,7 @@
 //! Guards against decisions that absurd reports or a jumping clock would turn.
 mod common;
+use bellcroft_balancer::*;
 use common::*;
-use micasail::*;
 
 fn settings() -> Settings {
     Settings {
--- a/tests/blind.rs
+++ b/crates/balancer/tests/blind.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
+use bellcroft_balancer::*;
 use common::{class, fleet, refused, Rig};
-use micasail::*;
 
 const AIM_MS: f64 = 200.0;
 
--- a/tests/cold_server_not_pushed_over.rs
+++ b/crates/balancer/tests/cold_server_not_pushed_over.rs
@@ -1,7 +1,7 @@
 //! Guards rule four: a server that has just started is sent its share only.
 mod common;
+use bellcroft_balancer::*;
 use common::*;
-use micasail::*;
 
 fn settings() -> Settings {
     Settings {
--- a/tests/coming.rs
+++ b/crates/balancer/tests/coming.rs
@@ -1,7 +1,7 @@
 //! Requests that are passed on as they come, and settings that change while requests are open.
 mod common;
+use bellcroft_balancer::*;
 use common::*;
-use micasail::*;
 
 const LONG: Span = Span(600_000_000);
 
--- a/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! What the tests share: an observer that holds a balancer to the four rules, and a small rig around one.
 #![allow(dead_code, missing_docs)]
 
-use micasail::*;
+use bellcroft_balancer::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Time past the client's deadline in which a final answer still counts.
--- a/tests/drain_window.rs
+++ b/crates/balancer/tests/drain_window.rs
@@ -1,6 +1,6 @@
 //! An attempt begins so soon after its decision that the drain grace period also covers a process that is held up.
 
-use micasail::*;
+use bellcroft_balancer::*;
 
 /// The longest that a process may be held up between reading its clock and writing.
 const MAX_STALL: Span = Span(150_000);
--- a/tests/drains_kept.rs
+++ b/crates/balancer/tests/drains_kept.rs
@@ -1,7 +1,7 @@
 //! Guards rule three: nothing new goes to a server that drains or is gone.
 mod common;
+use bellcroft_balancer::*;
 use common::*;
-use micasail::*;
 
 fn drained(update: impl Fn(Vec<Listed>) -> ListUpdate) {
     let settings = Settings { classes: vec![class(Effect::Idempotent)], ..Settings::default() };
--- a/tests/limits.rs
+++ b/crates/balancer/tests/limits.rs
@@ -1,7 +1,7 @@
 //! Guards what routes allow: time-outs, attempts, budgets, bounds and second copies.
 mod common;
+use bellcroft_balancer::*;
 use common::*;
-use micasail::*;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
--- a/tests/memory_does_not_grow.rs
+++ b/crates/balancer/tests/memory_does_not_grow.rs
@@ -1,7 +1,7 @@
 //! Guards against records that outlive their requests: memory must not grow with requests served.
 mod common;
+use bellcroft_balancer::*;
 use common::*;
-use micasail::*;
 
 /// Resident memory of this process in KiB; `None` where the system does not tell.
 fn resident() -> Option<u64> {
--- a/tests/no_doubled_effect.rs
+++ b/crates/balancer/tests/no_doubled_effect.rs
@@ -1,7 +1,7 @@
 //! Guards rule two: an effect must not happen twice, and a refusal must not be told of what may have run.
 mod common;
+use bellcroft_balancer::*;
 use common::*;
-use micasail::*;
 
 const OUTCOMES: [Outcome; 7] = [
     Outcome::ServerError,
--- a/tests/observer_sees_breaches.rs
+++ b/crates/balancer/tests/observer_sees_breaches.rs
@@ -1,7 +1,7 @@
 //! Guards the other tests: the observer must object to a broken decision of each kind.
 mod common;
+use bellcroft_balancer::*;
 use common::*;
-use micasail::*;
 
 fn watch(effect: Effect) -> (Observer, Time) {
     let settings = Settings {
--- a/tests/one_final_answer.rs
+++ b/crates/balancer/tests/one_final_answer.rs
@@ -1,7 +1,7 @@
 //! Guards rule one: every accepted request ends once, in time, and nothing is sent for it afterwards.
 mod common;
+use bellcroft_balancer::*;
 use common::*;
-use micasail::*;
 
 fn plain() -> Settings {
     Settings { classes: vec![class(Effect::Idempotent), class(Effect::AtMostOnce)], ..Settings::default() }
--- a/tests/overload.rs
+++ b/crates/balancer/tests/overload.rs
@@ -1,7 +1,7 @@
 //! Guards against collapse under overload: late answers, standing queues, retry storms, unfair refusals.
 mod common;
+use bellcroft_balancer::*;
 use common::*;
-use micasail::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 fn settings() -> Settings {
--- a/tests/random_walk.rs
+++ b/crates/balancer/tests/random_walk.rs
@@ -1,7 +1,7 @@
 //! Guards the four rules on event orders that nobody thought of, and that equal events give equal actions.
 mod common;
+use bellcroft_balancer::*;
 use common::*;
-use micasail::*;
 use std::collections::BTreeMap;
 
 fn settings(pick: u64) -> Settings {
--- a/tests/settings.rs
+++ b/crates/balancer/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Guards against settings that lack what a decision could use, and against ones that no decision can use.
 mod common;
+use bellcroft_balancer::*;
 use common::*;
-use micasail::*;
 
 #[test]
 fn impossible_settings_are_errors_and_not_panics() {
--- a/tests/slow_start/mod.rs
+++ b/crates/balancer/tests/slow_start/mod.rs
@@ -3,7 +3,7 @@
 //! Each server counts the work that reaches it and holds every window of the settings' length against what they
 //! allow it then. What the balancers know is only what the protocol gives them: the settings and the list.
 
-use micasail::*;
+use bellcroft_balancer::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// One way between a balancer and a server.
--- a/tests/suspects.rs
+++ b/crates/balancer/tests/suspects.rs
@@ -1,7 +1,7 @@
 //! Guards against servers that hang, fail fast or slow down, and against taking a crowd for sick servers.
 mod common;
+use bellcroft_balancer::*;
 use common::*;
-use micasail::*;
 
 fn settings(effect: Effect) -> Settings {
     Settings { classes: vec![class(effect)], ..Settings::default() }
--- a/crates/lab/src/members/mod.rs
+++ b/crates/lab/src/members/mod.rs
@@ -2,9 +2,9 @@
 
 mod plain;
 
+use bellcroft_balancer::{Span, Time};
 use bellcroft_membership::{Change, Config, Membership, State};
 use bellcroft_model::fleet::{address, Link, Net, Peer, ORIGIN};
-use micasail::{Span, Time};
 use plain::Plain;
 use rayon::prelude::*;
 use std::fmt::Write;
--- a/crates/lab/src/members/plain.rs
+++ b/crates/lab/src/members/plain.rs
@@ -1,9 +1,9 @@
 //! The registry's SWIM as a peer of the played fleet: the baseline that the project's own is measured beside.
 
+use bellcroft_balancer::{Span, Time};
 use bellcroft_membership::{Change, Id, Output, State};
 use bellcroft_model::fleet::{address, Peer};
 use foca::{Config, Foca, Identity, Notification, PostcardCodec, Runtime, Timer};
-use micasail::{Span, Time};
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -1,7 +1,7 @@
 //! What an instance's membership goes by.
 
 use crate::member::{Duty, Id};
-use micasail::Span;
+use bellcroft_balancer::Span;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -7,7 +7,7 @@
 //! instance holds a little of what very many have seen.
 
 use crate::member::Id;
-use micasail::{FleetState, Span, Time};
+use bellcroft_balancer::{FleetState, Span, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/crates/membership/src/hearsay.rs
+++ b/crates/membership/src/hearsay.rs
@@ -1,7 +1,7 @@
 //! How far a peer's word on a server goes.
 
 use crate::member::Id;
-use micasail::{Span, Time};
+use bellcroft_balancer::{Span, Time};
 use std::collections::BTreeMap;
 
 /// Hints that one peer may give at once, and the time that one more takes.
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,6 +1,6 @@
 //! A member as the others know it.
 
-use micasail::Time;
+use bellcroft_balancer::Time;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
--- a/crates/membership/src/rumours.rs
+++ b/crates/membership/src/rumours.rs
@@ -2,7 +2,7 @@
 
 use crate::member::{Id, State, Version};
 use crate::wire::Rumour;
-use micasail::{Span, Time};
+use bellcroft_balancer::{Span, Time};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 /// Rumours that wait at most; the one that was passed on most gives way.
--- a/crates/membership/src/stance.rs
+++ b/crates/membership/src/stance.rs
@@ -1,6 +1,6 @@
 //! What an instance holds of itself among the others, and by how many it reckons.
 
-use micasail::{Span, Time};
+use bellcroft_balancer::{Span, Time};
 use std::collections::VecDeque;
 
 /// What an instance states of itself, by how many of the known roster are there. `docs/design/membership.md` has the
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,7 +1,7 @@
 //! How long an accused member has to refute.
 
 use crate::member::Id;
-use micasail::{Span, Time};
+use bellcroft_balancer::{Span, Time};
 
 /// Others that may shorten a suspicion.
 const SHARED_MOST: usize = 3;
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -10,7 +10,7 @@
 use crate::view::View;
 use crate::wire::{decode, encode, Datagram, Kind, Rumour, HINT_MOST};
 use crate::words::{defend, weigh, Worth};
-use micasail::{FleetState, Span, Time};
+use bellcroft_balancer::{FleetState, Span, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,9 +1,9 @@
 //! Fleets for the tests, and an observer that knows what membership promises and nothing of how it is kept.
 #![allow(dead_code)]
 
+use bellcroft_balancer::{Span, Time};
 use bellcroft_membership::{Change, Config, Id, Membership, Stance, State};
 use bellcroft_model::fleet::{address, Link, Net};
-use micasail::{Span, Time};
 use std::collections::BTreeMap;
 
 pub type Fleet = Net<Membership>;
--- a/crates/membership/tests/digest.rs
+++ b/crates/membership/tests/digest.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
+use bellcroft_balancer::{FleetState, Span, Time};
 use bellcroft_membership::{Digest, Id, Membership, Part, Taken, DATAGRAM_MOST, SITES_MOST};
 use bellcroft_model::fleet::Link;
 use common::*;
-use micasail::{FleetState, Span, Time};
 
 const PERIOD: Span = Span(50_000);
 
--- a/crates/membership/tests/faults.rs
+++ b/crates/membership/tests/faults.rs
@@ -2,10 +2,10 @@
 
 mod common;
 
+use bellcroft_balancer::Span;
 use bellcroft_membership::{Change, Membership, Stance, State};
 use bellcroft_model::fleet::{address, Link, Net};
 use common::*;
-use micasail::Span;
 
 fn everyone(members: usize) -> Vec<usize> {
     (0..members).collect()
--- a/crates/membership/tests/lies.rs
+++ b/crates/membership/tests/lies.rs
@@ -2,13 +2,13 @@
 
 mod common;
 
+use bellcroft_balancer::{Span, Time};
 use bellcroft_membership::{
     decode, encode, Change, Datagram, Duty, Heard, Hearsay, Id, Kind, Membership, Output, Rumour, Stance,
     State, Version, DATAGRAM_MOST, HINT_MOST,
 };
 use bellcroft_model::fleet::{address, Link, Net};
 use common::*;
-use micasail::{Span, Time};
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
--- a/crates/model/src/clients.rs
+++ b/crates/model/src/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::random::{stream, Actor};
 use crate::scenario::{Arrivals, Scenario};
-use micasail::{Span, Time};
+use bellcroft_balancer::{Span, Time};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1};
--- a/crates/model/src/engine.rs
+++ b/crates/model/src/engine.rs
@@ -11,13 +11,13 @@
 use crate::scenario::{Effect as Repeat, Reports, Scenario, ScenarioError, What};
 use crate::server::{Cold, Job, Server, Taken};
 use crate::trace::{Step, Watch};
-use bellcroft_membership::Digest;
-use hdrhistogram::Histogram;
-use micasail::{
+use bellcroft_balancer::{
     Action, AttemptNo, CellId, Class, ClassId, Effect, Event, Group, KeyId, KindId, ListUpdate, Listed,
     Outcome as Ended, PeerId, ReportField, ReportSource, Request, RequestId, ServerId, Settings, Span,
     Status, Tenant, TenantId, Time, TimerId, ZoneId,
 };
+use bellcroft_membership::Digest;
+use hdrhistogram::Histogram;
 use processes::End;
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
--- a/crates/model/src/engine/peers.rs
+++ b/crates/model/src/engine/peers.rs
@@ -56,7 +56,7 @@
         let heard = hearsay.hear(now, Id(from as u32), &payload, up);
         let mut payload = payload;
         if heard == Heard::Alone {
-            payload.push(micasail::LONE);
+            payload.push(bellcroft_balancer::LONE);
         }
         if matches!(heard, Heard::Taken | Heard::Alone) {
             self.tell(instance, Event::PeerMessage { from: PeerId(from as u32), payload });
--- a/crates/model/src/fleet.rs
+++ b/crates/model/src/fleet.rs
@@ -1,7 +1,7 @@
 //! Members of a fleet and the links between them, as discrete events.
 
+use bellcroft_balancer::{Span, Time};
 use bellcroft_membership::{Change, Id, Membership, Output, State};
-use micasail::{Span, Time};
 use rand::Rng;
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
--- a/crates/model/src/judge.rs
+++ b/crates/model/src/judge.rs
@@ -2,7 +2,7 @@
 //! instance does: whether an effect truly came twice, and whether a cold server fell over.
 
 use crate::scenario::Effect;
-use micasail::{Span, Time};
+use bellcroft_balancer::{Span, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,7 +1,7 @@
 //! The whole deployment as discrete events, in virtual time, without I/O and without threads.
 //!
 //! [`play`] runs a [`Scenario`] under a [`Policy`] from a seed and gives an [`Outcome`]. It hosts the true
-//! [`micasail::Balancer`]; the reference policies sit behind one common shell ([`policy::Shell`]), so that a comparison
+//! [`bellcroft_balancer::Balancer`]; the reference policies sit behind one common shell ([`policy::Shell`]), so that a comparison
 //! among them is of the pick and of nothing else. The [`Judge`] knows the four rules, sees what reached servers and
 //! clients, and shares no code with the decisions.
 //!
--- a/crates/model/src/policy.rs
+++ b/crates/model/src/policy.rs
@@ -6,7 +6,7 @@
 //! is true, and refuses.
 
 use crate::random::{stream, Actor};
-use micasail::{
+use bellcroft_balancer::{
     Action, Balancer, Effect, Event, Group, ListUpdate, Outcome, Settings, SettingsError, Sign, Span, Status,
     Time, TimerId,
 };
@@ -451,16 +451,16 @@
         self.pick.sent(&self.view, server);
         self.attempts.insert((id, number), (server, now));
         out.push(Action::Send {
-            request: micasail::RequestId(id),
-            attempt: micasail::AttemptNo(number),
-            server: micasail::ServerId(server),
+            request: bellcroft_balancer::RequestId(id),
+            attempt: bellcroft_balancer::AttemptNo(number),
+            server: bellcroft_balancer::ServerId(server),
             timeout_at,
             write_by,
         });
     }
 
     fn give_up(&self, id: u64, may_have_run: bool) -> Action {
-        let request = micasail::RequestId(id);
+        let request = bellcroft_balancer::RequestId(id);
         if may_have_run {
             Action::Fail { request }
         } else {
@@ -542,7 +542,7 @@
             }
             Event::Timer(timer) => {
                 if self.requests.remove(&timer.0).is_some() {
-                    out.push(Action::Fail { request: micasail::RequestId(timer.0) });
+                    out.push(Action::Fail { request: bellcroft_balancer::RequestId(timer.0) });
                 }
             }
             Event::List(update) => {
--- a/crates/model/src/server.rs
+++ b/crates/model/src/server.rs
@@ -2,7 +2,7 @@
 
 use crate::random::Dist;
 use crate::scenario::ReportFaults;
-use micasail::{Span, Time};
+use bellcroft_balancer::{Span, Time};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
--- a/crates/model/src/trace.rs
+++ b/crates/model/src/trace.rs
@@ -1,6 +1,6 @@
 //! The story of what one client came for: every try, attempt, answer and drop, as servers and clients saw it.
 
-use micasail::Time;
+use bellcroft_balancer::Time;
 use serde::{Deserialize, Serialize};
 
 /// Steps of a story that are kept; a want has four tries of a few attempts, so a longer one is a mistake somewhere.
--- a/crates/model/tests/deployment.rs
+++ b/crates/model/tests/deployment.rs
@@ -1,8 +1,8 @@
 //! Whole deployments: the same seed gives the same run, strange scenarios end, the judge has teeth, and the true module
 //! keeps the rules through troubles.
 
+use bellcroft_balancer::{Action, Event, ListUpdate, RequestId, ServerId, Settings, Time};
 use bellcroft_model::*;
-use micasail::{Action, Event, ListUpdate, RequestId, ServerId, Settings, Time};
 
 fn class(name: &str, effect: bellcroft_model::Effect, window: f64) -> ClassSpec {
     ClassSpec {
@@ -189,7 +189,7 @@
 
 /// The true module behind a shell that cheats in one way.
 struct Cheat {
-    honest: micasail::Balancer,
+    honest: bellcroft_balancer::Balancer,
     how: How,
 }
 
@@ -242,10 +242,10 @@
             out.push(action);
         }
         if let Some(id) = late {
-            let (server, by) = (ServerId(3), now + micasail::Span::from_ms(500.0));
+            let (server, by) = (ServerId(3), now + bellcroft_balancer::Span::from_ms(500.0));
             out.push(Action::Send {
                 request: RequestId(id),
-                attempt: micasail::AttemptNo(0),
+                attempt: bellcroft_balancer::AttemptNo(0),
                 server,
                 timeout_at: by,
                 write_by: by,
@@ -265,7 +265,8 @@
     ];
     let run = |how: How| {
         let core = |settings: &Settings, number: usize| {
-            let honest = micasail::Balancer::new(settings.clone(), number as u64).expect("good settings");
+            let honest =
+                bellcroft_balancer::Balancer::new(settings.clone(), number as u64).expect("good settings");
             Ok(Box::new(Cheat { honest, how }) as Box<dyn Core>)
         };
         play_with(&scenario, 9, core).expect("it plays").breaches
@@ -321,7 +322,8 @@
     scenario.habits = Habits { retries: 3, pause: 0.02, ..Habits::default() };
     let run = |how: Option<How>| {
         let core = |settings: &Settings, number: usize| {
-            let honest = micasail::Balancer::new(settings.clone(), number as u64).expect("good settings");
+            let honest =
+                bellcroft_balancer::Balancer::new(settings.clone(), number as u64).expect("good settings");
             Ok(match how {
                 Some(how) => Box::new(Cheat { honest, how }) as Box<dyn Core>,
                 None => Box::new(honest) as Box<dyn Core>,
--- a/crates/model/tests/repeats.rs
+++ b/crates/model/tests/repeats.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
+use bellcroft_balancer::{Action, Event, RequestId, ServerId, Span, Time, TimerId};
 use bellcroft_model::*;
 use common::{desk, slow};
-use micasail::{Action, Event, RequestId, ServerId, Span, Time, TimerId};
 
 /// Sends each request to server 0, and once more to server 1 a while later.
 struct Repeats {
@@ -19,7 +19,7 @@
             let by = now + Span::from_ms(4000.0);
             out.push(Action::Send {
                 request: id,
-                attempt: micasail::AttemptNo(server),
+                attempt: bellcroft_balancer::AttemptNo(server),
                 server: ServerId(server),
                 timeout_at: by,
                 write_by: by,
@@ -69,7 +69,7 @@
         list_delay: 0.0,
         troubles: Vec::new(),
     };
-    let core = |_: &micasail::Settings, _: usize| {
+    let core = |_: &bellcroft_balancer::Settings, _: usize| {
         Ok(Box::new(Repeats { after: Span::from_ms(after * 1e3) }) as Box<dyn Core>)
     };
     play_with(&scenario, 1, core).expect("it plays")
--- a/crates/operations/src/clock_skew.rs
+++ b/crates/operations/src/clock_skew.rs
@@ -5,7 +5,7 @@
 //! changes nothing; but the clock may have been stepped before it started, by an hour. What it has to go by are starts that
 //! it hears of as news: such a server is a few seconds old at most, and none has started in the future.
 
-use micasail::{Span, Time};
+use bellcroft_balancer::{Span, Time};
 
 /// A start that is heard of as news is no older than this, unless the clocks differ: discovery has 6 s to tell it.
 const MAX_NEWS_AGE: Span = Span(10_000_000);
--- a/crates/operations/src/console.rs
+++ b/crates/operations/src/console.rs
@@ -1,6 +1,6 @@
 //! One line asks, one answer follows: the calls of the second address, and the figures that it shows.
 
-use micasail::{Span, Time};
+use bellcroft_balancer::{Span, Time};
 use std::fmt;
 use std::fmt::Write;
 
--- a/crates/operations/src/guard.rs
+++ b/crates/operations/src/guard.rs
@@ -6,7 +6,7 @@
 //! as a [`Violation`].
 
 use crate::shutdown::ShutdownSchedule;
-use micasail::{Effect, Group, Outcome, Span, Time};
+use bellcroft_balancer::{Effect, Group, Outcome, Span, Time};
 
 /// What sockets and clocks may add to a limit before it counts as broken; the platform's own measure.
 const SLACK: Span = Span(50_000);
--- a/crates/operations/src/lib.rs
+++ b/crates/operations/src/lib.rs
@@ -3,7 +3,7 @@
 //! ([`shutdown`]), what may be sent, repeated and closed at all ([`guard`]), how two processes share one agent's limits
 //! ([`succession`]), by how much its wall clock is off ([`clock_skew`]), what it does after it stood still ([`waking`]), when a large body is passed on ([`passage`], [`chunks`]), which rules bind while new settings take over ([`retune`]).
 //!
-//! Nothing here owns a clock, a socket or a file. Times are [`micasail::Time`], on whatever clock the caller has.
+//! Nothing here owns a clock, a socket or a file. Times are [`bellcroft_balancer::Time`], on whatever clock the caller has.
 
 pub mod chunks;
 pub mod clock_skew;
--- a/crates/operations/src/passage.rs
+++ b/crates/operations/src/passage.rs
@@ -1,6 +1,6 @@
 //! Bodies: what is taken whole, what is passed on as it comes, and how long a side that says nothing is waited for.
 
-use micasail::{Span, Time};
+use bellcroft_balancer::{Span, Time};
 
 /// A body up to this is taken whole before it goes on, and can be tried again; above it, it is passed on.
 pub const WHOLE_MOST: usize = 64 << 10;
--- a/crates/operations/src/retune.rs
+++ b/crates/operations/src/retune.rs
@@ -4,7 +4,7 @@
 //! A class's place in the table is never given to another one while anything refers to it, so a request that is open
 //! keeps its class, and its rules, whatever the newest file says.
 
-use micasail::{Class, Effect, Group, Span, Time};
+use bellcroft_balancer::{Class, Effect, Group, Span, Time};
 use serde_json::Value;
 
 /// For so long after new settings have been taken, requests still come in the old ones' form: clients change theirs some
--- a/crates/operations/src/service.rs
+++ b/crates/operations/src/service.rs
@@ -1,6 +1,6 @@
 //! What an instance may still do for clients while it is taken out of service, put back, or replaced.
 
-use micasail::{Span, Time};
+use bellcroft_balancer::{Span, Time};
 
 /// New connections go on coming for a moment after the first no; they are taken, and what they ask is answered. A
 /// connection that is still idle this long after the drain began has no use any more.
--- a/crates/operations/src/shutdown.rs
+++ b/crates/operations/src/shutdown.rs
@@ -4,7 +4,7 @@
 //! times here are reckoned from the moment in which the process read the signal, which may be [`MAX_STALL`] after it was
 //! sent; an answer that is due may be written [`MAX_STALL`] after it was due.
 
-use micasail::{Span, Time};
+use bellcroft_balancer::{Span, Time};
 
 /// The platform waits for no deadline that is longer.
 pub const MAX_PLATFORM_DEADLINE: Span = Span(3_000_000);
--- a/crates/operations/src/waking.rs
+++ b/crates/operations/src/waking.rs
@@ -1,7 +1,7 @@
 //! A process that stood still (SIGSTOP, a machine put to sleep) goes on as if nothing had happened; the list of servers
 //! that it holds may be minutes old. Its decisions wait for a new one, for a stated time at most.
 
-use micasail::{Span, Time};
+use bellcroft_balancer::{Span, Time};
 
 /// Without a beat for this long, the process has stood still. A beat comes twice a second at least.
 pub const STALL: Span = Span(1_000_000);
--- a/crates/operator/src/routes.rs
+++ b/crates/operator/src/routes.rs
@@ -2,8 +2,8 @@
 
 use crate::agent::name;
 use crate::reader::Section;
+use bellcroft_balancer::{RetryOn, Span};
 use bellcroft_routes::{BudgetSpec, Lines, Match, PoolSpec, RouteSpec, SecondCopy, Spec, Within};
-use micasail::{RetryOn, Span};
 use std::time::Duration;
 
 /// Time-outs lie within these.
--- a/crates/operator/tests/routes.rs
+++ b/crates/operator/tests/routes.rs
@@ -1,8 +1,8 @@
 //! Routes as operators write them: bad files, each with its message, and files out of a grammar.
 
+use bellcroft_balancer::{Class, Effect, Group, Settings, Span, Tenant};
 use bellcroft_operator::AgentFile;
 use bellcroft_routes::{check, Platform, Table};
-use micasail::{Class, Effect, Group, Settings, Span, Tenant};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! Reads the settings object that an instance is given: in the simulator's first message, and in a real
 //! agent's configuration. The one place where its words are known.
 
-use micasail::*;
+use bellcroft_balancer::*;
 use serde::Deserialize;
 
 /// An instance's settings. Absent keys take the values of [`Default`]; unknown ones are skipped.
--- a/crates/rig/src/scale/model.rs
+++ b/crates/rig/src/scale/model.rs
@@ -1,8 +1,8 @@
 //! Membership alone, in the model: what a member sends in the minutes after all have started, whatever the machine.
 
+use bellcroft_balancer::Span;
 use bellcroft_membership::{Config, Membership};
 use bellcroft_model::fleet::{address, Link, Net, ORIGIN};
-use micasail::Span;
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/routes/src/check.rs
+++ b/crates/routes/src/check.rs
@@ -4,7 +4,7 @@
 use crate::spec::{Match, PoolSpec, RouteSpec, SecondCopy, Spec, Within};
 use crate::table::Index;
 use crate::words;
-use micasail::{Class, Effect, Group, Settings, Span};
+use bellcroft_balancer::{Class, Effect, Group, Settings, Span};
 use std::collections::HashMap;
 use std::fmt;
 
--- a/crates/routes/src/explain.rs
+++ b/crates/routes/src/explain.rs
@@ -4,7 +4,7 @@
 use crate::life::Life;
 use crate::spec::{RouteSpec, SecondCopy, Spec};
 use crate::words;
-use micasail::{Effect, Group};
+use bellcroft_balancer::{Effect, Group};
 use std::fmt::Write;
 
 /// Each route's worst life, for each class that it can be of: when each attempt can be decided and arrive at the
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! The proof is of times. For each route it computes the latest moment at which a byte of the last attempt could reach
 //! a server ([`Life`]), and holds it against the window in which servers drop repeats, the grace of a drain and the
-//! client's deadline. The same limits are obeyed at run time by `micasail` (which decides) and by the agent (which
+//! client's deadline. The same limits are obeyed at run time by `bellcroft-balancer` (which decides) and by the agent (which
 //! writes nothing after `write_by`); the proof does not rest on that, nor that on the proof.
 
 mod check;
@@ -24,7 +24,7 @@
 pub use table::{Ids, Route, Table};
 
 /// A time in the words of the files: `7.5s`, `250ms`.
-pub(crate) fn words(span: micasail::Span) -> String {
+pub(crate) fn words(span: bellcroft_balancer::Span) -> String {
     let ms = span.ms();
     if ms >= 1000.0 {
         format!("{}s", (ms / 10.0).round() / 100.0)
--- a/crates/routes/src/life.rs
+++ b/crates/routes/src/life.rs
@@ -2,7 +2,7 @@
 
 use crate::check::Platform;
 use crate::spec::RouteSpec;
-use micasail::{Class, Span};
+use bellcroft_balancer::{Class, Span};
 
 /// What a timer and the tasks behind it may come late by, at each step of a request. The platform itself allows 50 ms
 /// in all.
--- a/crates/routes/src/recent.rs
+++ b/crates/routes/src/recent.rs
@@ -1,6 +1,6 @@
 //! Percentiles of a class's recent answers.
 
-use micasail::Span;
+use bellcroft_balancer::Span;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 
--- a/crates/routes/src/spec.rs
+++ b/crates/routes/src/spec.rs
@@ -1,6 +1,6 @@
 //! What an operator wrote, as it stands in the file.
 
-use micasail::{RetryOn, Span};
+use bellcroft_balancer::{RetryOn, Span};
 use std::collections::BTreeMap;
 
 /// The lines of a section's keys, counted from 1.
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -2,7 +2,7 @@
 
 use crate::check::{check, Platform, Refusal};
 use crate::spec::{BudgetSpec, Match, RouteSpec, SecondCopy, Spec, Within};
-use micasail::{Bound, Budget, Limits, RetryOn, Span};
+use bellcroft_balancer::{Bound, Budget, Limits, RetryOn, Span};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
--- a/crates/routes/tests/walk.rs
+++ b/crates/routes/tests/walk.rs
@@ -1,8 +1,8 @@
 //! What the checker accepts, played: random routes through the real decisions, with connections that come up late,
 //! attempts that end late and servers that drain, under an observer that counts bytes and knows the rules only.
 
+use bellcroft_balancer::*;
 use bellcroft_routes::*;
-use micasail::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Milliseconds of a walk, and those of them in which requests come.
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,8 +1,8 @@
 //! Hosts the balancers: names in, names out, and each event to the instance that it is for.
 
 use crate::wire::{self, Batch, Incoming, Outgoing, Reply, ReplyPart};
+use bellcroft_balancer::*;
 use bellcroft_platform_settings::{fnv1a, settings};
-use micasail::*;
 use std::collections::{BTreeMap, HashMap};
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::rc::Rc;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Lets micasail balancers decide on the simulator's wire: a line of events in, a line of actions out.
+//! Lets bellcroft_balancer balancers decide on the simulator's wire: a line of events in, a line of actions out.
 
 mod host;
 mod wire;
--- a/crates/telemetry/src/instance.rs
+++ b/crates/telemetry/src/instance.rs
@@ -7,7 +7,7 @@
 use crate::observer::{Facts, Observer, Rule};
 use crate::registry::{Counter, Family, Gauge, Histogram, Registry, Sample, OTHER};
 use crate::sender;
-use micasail::{Outcome, Settings, Span, Time};
+use bellcroft_balancer::{Outcome, Settings, Span, Time};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::time::Duration;
--- a/crates/telemetry/src/observer.rs
+++ b/crates/telemetry/src/observer.rs
@@ -3,7 +3,7 @@
 //! It knows the rules and the platform's settings, and nothing of how decisions are made: a module that errs is seen
 //! here and not in its own counts. Each rule has a count of breaches and the smallest margin by which it was kept.
 
-use micasail::{Class, Effect, Group, Settings, Span, Time};
+use bellcroft_balancer::{Class, Effect, Group, Settings, Span, Time};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 /// What sockets and clocks may add to each limit; the platform's own measure (50 ms).
--- a/crates/telemetry/src/remote.rs
+++ b/crates/telemetry/src/remote.rs
@@ -5,7 +5,7 @@
 use crate::instance::Instance;
 use crate::sender::{self, Action, Counts, Event, Policy, Sender};
 use crate::timeline::Timeline;
-use micasail::Time;
+use bellcroft_balancer::Time;
 use std::future::pending;
 use std::pin::Pin;
 use std::rc::Rc;
--- a/crates/telemetry/tests/instance.rs
+++ b/crates/telemetry/tests/instance.rs
@@ -1,7 +1,7 @@
 //! An instance's series over a long day and under odd names.
 
+use bellcroft_balancer::{Outcome, Settings, Span, Time};
 use bellcroft_telemetry::*;
-use micasail::{Outcome, Settings, Span, Time};
 use rig::Store;
 
 fn at(ms: u64) -> Time {
@@ -10,8 +10,8 @@
 
 fn instance(classes: &[String], tenants: &[String], server_names: usize) -> Instance {
     let settings = Settings {
-        classes: vec![micasail::Class::default(); classes.len()],
-        tenants: vec![micasail::Tenant { fraction: 1.0, allowance_per_s: 10.0 }; tenants.len()],
+        classes: vec![bellcroft_balancer::Class::default(); classes.len()],
+        tenants: vec![bellcroft_balancer::Tenant { fraction: 1.0, allowance_per_s: 10.0 }; tenants.len()],
         balancers: 2,
         ..Settings::default()
     };
--- a/crates/telemetry/tests/observer.rs
+++ b/crates/telemetry/tests/observer.rs
@@ -1,7 +1,7 @@
 //! The observer beside modules that cheat, and beside the real one.
 
+use bellcroft_balancer::*;
 use bellcroft_telemetry::{Facts, Observer, Rule};
-use micasail::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 fn settings() -> Settings {
