--- a/crates/agent/src/cli/call.rs
+++ b/crates/agent/src/cli/call.rs
@@ -2,7 +2,7 @@
 
 use crate::exit::{self, block_on};
 use bellcroft_operations::console::Call;
-use bellcroft_operator::AgentFile;
+use bellcroft_operator_config::AgentFile;
 use serde_json::{Map, Value};
 use std::io;
 use std::net::SocketAddr;
--- a/crates/agent/src/cli/check.rs
+++ b/crates/agent/src/cli/check.rs
@@ -3,7 +3,7 @@
 use crate::daemon::config::Config;
 use crate::daemon::{state, variable, Sources};
 use crate::exit;
-use bellcroft_operator::AgentFile;
+use bellcroft_operator_config::AgentFile;
 use std::process::ExitCode;
 use std::time::Duration;
 
--- a/crates/agent/src/cli/fleet.rs
+++ b/crates/agent/src/cli/fleet.rs
@@ -3,7 +3,7 @@
 use crate::daemon::control::{self, Silent};
 use crate::daemon::state;
 use crate::exit::{self, block_on};
-use bellcroft_operator::FleetFile;
+use bellcroft_operator_config::FleetFile;
 use clap::{Args, Subcommand};
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
--- a/crates/agent/src/cli/status.rs
+++ b/crates/agent/src/cli/status.rs
@@ -4,7 +4,7 @@
 use crate::daemon::state::{self, STATUS};
 use crate::daemon::status::Status;
 use crate::exit::{self, block_on};
-use bellcroft_operator::AgentFile;
+use bellcroft_operator_config::AgentFile;
 use serde_json::{json, Value};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
--- a/crates/agent/src/daemon/config.rs
+++ b/crates/agent/src/daemon/config.rs
@@ -3,7 +3,7 @@
 use crate::discovery::codec::{self, EndpointList};
 use bellcroft_balancer::Settings;
 use bellcroft_membership as membership;
-use bellcroft_operator::{AgentFile, Daemon, Fault, RemoteWrite};
+use bellcroft_operator_config::{AgentFile, Daemon, Fault, RemoteWrite};
 use bellcroft_platform_settings::{Names, Params};
 use bellcroft_routes::{Platform, Spec};
 use serde::Deserialize;
@@ -122,7 +122,7 @@
             Some(path) => {
                 // Once: what is checked and what the digest is of are the same bytes.
                 let lines = |faults: Vec<Fault>| faults.iter().map(ToString::to_string).collect::<Vec<_>>();
-                let text = bellcroft_operator::load(path).map_err(lines)?;
+                let text = bellcroft_operator_config::load(path).map_err(lines)?;
                 digest.extend(text.as_bytes());
                 AgentFile::parse(path, &text).map_err(lines)?
             }
@@ -304,7 +304,7 @@
 
 /// Whom to look for, by the operator's word and, where the settings allow it, the platform's behind it.
 fn peering(
-    section: bellcroft_operator::Membership,
+    section: bellcroft_operator_config::Membership,
     given: GivenPeers,
     settings: &Settings,
 ) -> Result<(SocketAddr, membership::Config), Vec<String>> {
--- a/crates/agent/src/fleet/mod.rs
+++ b/crates/agent/src/fleet/mod.rs
@@ -11,7 +11,7 @@
 use crate::daemon::{control, notify::Notify};
 use crate::exit;
 use crate::log::say;
-use bellcroft_operator::{FleetFile, Member};
+use bellcroft_operator_config::{FleetFile, Member};
 use bellcroft_supervise::{Action, Command, Event, InstanceId, Phase, ReleaseId, Supervisor};
 use process::{Left, Process};
 use rustix::process::Signal;
--- a/crates/agent/src/fleet/process.rs
+++ b/crates/agent/src/fleet/process.rs
@@ -4,7 +4,7 @@
 //! when its number has been given to another.
 
 use crate::daemon::{control, state};
-use bellcroft_operator::Member;
+use bellcroft_operator_config::Member;
 use command_fds::{CommandFdExt, FdMapping};
 use rustix::process::{pidfd_open, pidfd_send_signal, Pid, PidfdFlags, Signal};
 use serde_json::json;
--- a/crates/agent/src/telemetry.rs
+++ b/crates/agent/src/telemetry.rs
@@ -5,7 +5,7 @@
 use crate::peers::Peers;
 use bellcroft_balancer::{RequestId, ServerId, Span};
 use bellcroft_membership::{Refused, Stance, State};
-use bellcroft_operator::RemoteWrite;
+use bellcroft_operator_config::RemoteWrite;
 use bellcroft_routes::SecondCopy;
 use bellcroft_telemetry::{families, About, Allowed, Instance, Over, Policy, Registry, Version};
 use families::Family;
--- a/crates/operator/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -1,6 +1,6 @@
 //! The operator's files: the ones that the project ships, and bad ones.
 
-use bellcroft_operator::{AgentFile, Fault, FleetFile};
+use bellcroft_operator_config::{AgentFile, Fault, FleetFile};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
--- a/crates/operator/tests/membership.rs
+++ b/crates/operator-config/tests/membership.rs
@@ -1,6 +1,6 @@
 //! `[membership]` in the operator's file: rosters that cannot work are refused, each with its line and why.
 
-use bellcroft_operator::{AgentFile, Fault};
+use bellcroft_operator_config::{AgentFile, Fault};
 use std::path::Path;
 
 fn read(section: &str) -> Result<AgentFile, Vec<String>> {
--- a/crates/operator/tests/routes.rs
+++ b/crates/operator-config/tests/routes.rs
@@ -1,7 +1,7 @@
 //! Routes as operators write them: bad files, each with its message, and files out of a grammar.
 
 use bellcroft_balancer::{Class, Effect, Group, Settings, Span, Tenant};
-use bellcroft_operator::AgentFile;
+use bellcroft_operator_config::AgentFile;
 use bellcroft_routes::{check, Platform, Table};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
