--- a/crates/operations/tests/clock_skew.rs
+++ b/crates/agent-core/tests/clock_skew.rs
@@ -1,7 +1,7 @@
 //! Starts of servers by a clock that was stepped before the process started.
 
+use bellcroft_agent_core::clock_skew::ClockSkew;
 use bellcroft_balancer::{Span, Time};
-use bellcroft_operations::clock_skew::ClockSkew;
 
 const SECOND: Span = Span(1_000_000);
 const HOUR: f64 = 3_600.0;
--- a/crates/operations/tests/guard.rs
+++ b/crates/agent-core/tests/guard.rs
@@ -1,8 +1,8 @@
 //! The guard and the times of a shutdown, against the platform's rules.
 
+use bellcroft_agent_core::guard::*;
+use bellcroft_agent_core::shutdown::*;
 use bellcroft_balancer::{Effect, Group, Outcome, Span, Time};
-use bellcroft_operations::guard::*;
-use bellcroft_operations::shutdown::*;
 
 const MS: Span = Span(1_000);
 const HERE: ServerGroups = ServerGroups { zone: 1, cell: 1 };
--- a/crates/agent/src/cli/call.rs
+++ b/crates/agent/src/cli/call.rs
@@ -1,7 +1,7 @@
 //! `bellcroft call`: one call over an instance's second address.
 
 use crate::exit::{self, block_on};
-use bellcroft_operations::console::Call;
+use bellcroft_agent_core::console::Call;
 use bellcroft_operator_config::AgentFile;
 use serde_json::{Map, Value};
 use std::io;
--- a/crates/agent/src/control_plane.rs
+++ b/crates/agent/src/control_plane.rs
@@ -8,7 +8,7 @@
 use crate::driver::Driver;
 use crate::peers::{Decisions, Peers};
 use crate::telemetry;
-use bellcroft_operations::retune;
+use bellcroft_agent_core::retune;
 use bellcroft_telemetry::{Instance, Owner, Remote};
 use std::cell::{Ref, RefCell};
 use std::path::{Path, PathBuf};
--- a/crates/agent/src/daemon/console.rs
+++ b/crates/agent/src/daemon/console.rs
@@ -1,9 +1,9 @@
-//! The second address, for operators: one line asks, one answer follows (`bellcroft_operations::console` reads and words
+//! The second address, for operators: one line asks, one answer follows (`bellcroft_agent_core::console` reads and words
 //! them). It never waits for a request, and no request for it.
 
 use crate::clock::Clock;
+use bellcroft_agent_core::console::{answer, read, BadCall, Call, Callers, LINE_MOST};
 use bellcroft_net::{Listener, Stream};
-use bellcroft_operations::console::{answer, read, BadCall, Call, Callers, LINE_MOST};
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::io;
--- a/crates/agent/src/daemon/descriptors.rs
+++ b/crates/agent/src/daemon/descriptors.rs
@@ -5,7 +5,7 @@
 
 use super::config::Config;
 use super::control;
-use bellcroft_operations::console::CALLERS_MOST;
+use bellcroft_agent_core::console::CALLERS_MOST;
 
 /// Standard input, output and error.
 const STANDARD_STREAMS: usize = 3;
--- a/crates/agent/src/daemon/shutdown.rs
+++ b/crates/agent/src/daemon/shutdown.rs
@@ -4,9 +4,9 @@
 
 use super::Instance;
 use crate::front::Accepting;
+use bellcroft_agent_core::guard::Violation;
+use bellcroft_agent_core::shutdown::ShutdownSchedule;
 use bellcroft_balancer::{Span, Time};
-use bellcroft_operations::guard::Violation;
-use bellcroft_operations::shutdown::ShutdownSchedule;
 use std::time::Duration;
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
--- a/crates/agent/src/daemon/succession.rs
+++ b/crates/agent/src/daemon/succession.rs
@@ -3,8 +3,8 @@
 //! connections, and none is lost whoever stops taking from it. The tie stays open; its end is the other's end.
 
 use super::control::{admits, read_line, write};
+use bellcroft_agent_core::succession::News;
 use bellcroft_net::Stream;
-use bellcroft_operations::succession::News;
 use serde_json::{json, Value};
 use std::fs::Permissions;
 use std::future::poll_fn;
--- a/crates/agent/src/front/capacity.rs
+++ b/crates/agent/src/front/capacity.rs
@@ -3,7 +3,7 @@
 use super::connection::ClientConnection;
 use super::{HeldConnection, Server};
 use crate::daemon::descriptors::DISCOVERY_CONNECTIONS;
-use bellcroft_operations::guard::{ConnectionState, Guard};
+use bellcroft_agent_core::guard::{ConnectionState, Guard};
 use std::time::Duration;
 use tokio::time::Instant;
 use tracing::warn;
--- a/crates/agent/src/front/connection.rs
+++ b/crates/agent/src/front/connection.rs
@@ -1,10 +1,10 @@
 //! What a client's connection is doing, as its framing and its owner both know it, and when its client has gone.
 
 use crate::telemetry::Owing;
+use bellcroft_agent_core::guard::ConnectionState;
+use bellcroft_agent_core::passage::Patience;
 use bellcroft_balancer::Time;
 use bellcroft_net::Stream;
-use bellcroft_operations::guard::ConnectionState;
-use bellcroft_operations::passage::Patience;
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
 use std::rc::Rc;
--- a/crates/agent/src/front/framing.rs
+++ b/crates/agent/src/front/framing.rs
@@ -7,10 +7,10 @@
 
 use super::connection::ClientConnection;
 use super::head::{frame, Frame};
+use bellcroft_agent_core::chunks::{Chunks, NotChunked};
+use bellcroft_agent_core::guard::ConnectionState;
+use bellcroft_agent_core::passage::{Patience, BODY_MOST, WHOLE_MOST};
 use bellcroft_net::Stream;
-use bellcroft_operations::chunks::{Chunks, NotChunked};
-use bellcroft_operations::guard::ConnectionState;
-use bellcroft_operations::passage::{Patience, BODY_MOST, WHOLE_MOST};
 use bytes::{Buf, BytesMut};
 use hyper::rt::{Read, ReadBufCursor, Write};
 use std::io;
--- a/crates/agent/src/passing.rs
+++ b/crates/agent/src/passing.rs
@@ -1,7 +1,7 @@
 //! Bodies that are passed on as they come: a request's to a server ([`Upload`]), an answer's to a client. Neither side is
 //! read before the other one takes, so memory does not grow with a body's length.
 
-use bellcroft_operations::passage::{Passed, Store, TooLarge};
+use bellcroft_agent_core::passage::{Passed, Store, TooLarge};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::cell::{Cell, RefCell};
--- a/crates/agent/src/request_log.rs
+++ b/crates/agent/src/request_log.rs
@@ -3,8 +3,8 @@
 //! At level `debug` while the process serves (`--log-level info,bellcroft::requests=debug`), and at `info` from the moment
 //! in which it was told to end: a shutdown is short, and what it leaves unanswered can't be asked for later.
 
+use bellcroft_agent_core::guard::{ConnectionState, SendDenied};
 use bellcroft_balancer::Outcome;
-use bellcroft_operations::guard::{ConnectionState, SendDenied};
 use std::cell::Cell;
 use std::time::Duration;
 use tracing::{debug, info, warn};
--- a/crates/agent/src/upstream/metered_stream.rs
+++ b/crates/agent/src/upstream/metered_stream.rs
@@ -1,8 +1,8 @@
 //! A socket that counts its bytes, so that the fate of a broken attempt is known, and that stops writing when told.
 
 use crate::telemetry::FirstByte;
+use bellcroft_agent_core::guard::AttemptWindow;
 use bellcroft_net::Stream;
-use bellcroft_operations::guard::AttemptWindow;
 use hyper::rt::{Read, ReadBufCursor, Write};
 use std::cell::Cell;
 use std::io;
--- a/crates/agent/src/upstream/relay.rs
+++ b/crates/agent/src/upstream/relay.rs
@@ -3,8 +3,8 @@
 use super::connection::Connection;
 use super::pool::ConnectionPool;
 use super::response::{BodyStart, MAX_RELAYED_BYTES};
+use bellcroft_agent_core::passage::{Passed, Patience, WHOLE_MOST};
 use bellcroft_balancer::{Span, Time};
-use bellcroft_operations::passage::{Passed, Patience, WHOLE_MOST};
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
 use std::future::Future;
