--- a/crates/agent/src/fleet/mod.rs
+++ b/crates/agent/src/fleet/mod.rs
@@ -1,5 +1,5 @@
 //! A fleet's supervisor: holds the listening sockets, and starts, watches and ends the processes as
-//! `bellcroft_supervise` decides.
+//! `bellcroft_supervisor` decides.
 //!
 //! Nothing is decided here. What happens to processes, the clock and commands come over one channel to the one
 //! owner of the decisions, as they do for an instance's `driver`.
@@ -12,7 +12,7 @@
 use crate::exit;
 use crate::log::say;
 use bellcroft_operator_config::{FleetFile, Member};
-use bellcroft_supervise::{Action, Command, Event, InstanceId, Phase, ReleaseId, Supervisor};
+use bellcroft_supervisor::{Action, Command, Event, InstanceId, Phase, ReleaseId, Supervisor};
 use process::{Left, Process};
 use rustix::process::Signal;
 use serde_json::{json, Value};
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::agent::{name, plain};
 use crate::reader::{load, parse, Fault, Section};
-use bellcroft_supervise::{Policy, Restart};
+use bellcroft_supervisor::{Policy, Restart};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/supervise/tests/orders.rs
+++ b/crates/supervisor/tests/orders.rs
@@ -1,7 +1,7 @@
 //! Thousands of seeded orders of deaths, readiness, commands and time. The observer here knows processes and the
 //! rules, and nothing of the supervisor's states.
 
-use bellcroft_supervise::*;
+use bellcroft_supervisor::*;
 use std::time::Duration;
 
 const MS: Duration = Duration::from_millis(1);
