--- a/crates/ledger/tests/crash.rs
+++ b/crates/attempt-log/tests/crash.rs
@@ -1,6 +1,6 @@
 //! A journal cut off anywhere, on disks that fail at any call, and with bits turned over.
 
-use bellcroft_ledger::*;
+use bellcroft_attempt_log::*;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::io;
--- a/crates/ledger/tests/golden.rs
+++ b/crates/attempt-log/tests/golden.rs
@@ -1,7 +1,7 @@
 //! The stored form of a segment: the bytes that are written, and that a file written earlier is read.
 
-use bellcroft_ledger::segment::{self, Header, Item};
-use bellcroft_ledger::{Answer, Outcome, Record, Start};
+use bellcroft_attempt_log::segment::{self, Header, Item};
+use bellcroft_attempt_log::{Answer, Outcome, Record, Start};
 use expect_test::expect_file;
 use std::fmt::Write;
 
