--- a/crates/agent/tests/membership.rs
+++ b/crates/agent/tests/membership.rs
@@ -1,6 +1,6 @@
 //! Several whole programs with faulty relays between them: what each holds of the others, and what becomes of requests.
 
-use bellcroft_model::What;
+use bellcroft_simulation::What;
 use rig::faults::{Cluster, Shape, Stage};
 use rig::*;
 use std::time::Duration;
@@ -71,9 +71,9 @@
     // One way only: nothing reaches number 4, which is heard by all. Bytes that are none of theirs come besides.
     let since = stage.cluster.journal.now();
     stage.cluster.link(
-        &[bellcroft_model::Place::Instance(None)],
-        &[bellcroft_model::Place::Instance(Some(4))],
-        bellcroft_model::LinkFault { cut: true, ..Default::default() },
+        &[bellcroft_simulation::Place::Instance(None)],
+        &[bellcroft_simulation::Place::Instance(Some(4))],
+        bellcroft_simulation::LinkFault { cut: true, ..Default::default() },
     );
     let stranger = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
     for length in [0, 1, 200, 256, 257, 60_000] {
@@ -117,9 +117,9 @@
     let load = Load { agents: cluster.addresses(), clients: 8, rate: 100.0, seed: 3, most: 100_000 };
     let traffic = Traffic::start(&load);
     traffic.more(50, 2).await;
-    let (from, to) = (bellcroft_model::Place::Discovery, bellcroft_model::Place::Instance(Some(0)));
+    let (from, to) = (bellcroft_simulation::Place::Discovery, bellcroft_simulation::Place::Instance(Some(0)));
     cluster.stop(0, true).await;
-    cluster.link(&[from], &[to], bellcroft_model::LinkFault { cut: true, ..Default::default() });
+    cluster.link(&[from], &[to], bellcroft_simulation::LinkFault { cut: true, ..Default::default() });
     (1..6).for_each(|server| cluster.drain(server));
     // The other one goes on, and its outcomes show that time has passed.
     tokio::time::sleep(Duration::from_millis(2500)).await;
--- a/crates/agent/tests/outages.rs
+++ b/crates/agent/tests/outages.rs
@@ -1,7 +1,7 @@
 //! The hard cases of membership on whole programs: many dead at once, partitions of every shape, links that flap, crawl and
 //! spoil, restarts, seeds, twins.
 
-use bellcroft_model::{LinkFault, Place, What};
+use bellcroft_simulation::{LinkFault, Place, What};
 use rig::faults::{Cluster, Shape, Stage};
 use rig::*;
 use std::time::Duration;
--- a/crates/agent/tests/peers.rs
+++ b/crates/agent/tests/peers.rs
@@ -1,7 +1,7 @@
 //! What whole programs tell each other of the servers, and what a liar among them can do.
 
 use bellcroft_membership::{encode, Datagram, Duty, Id, Kind, Part, Rumour, State, Version};
-use bellcroft_model::What;
+use bellcroft_simulation::What;
 use rig::faults::{Cluster, Shape, Stage};
 use rig::*;
 use std::collections::HashMap;
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -1,6 +1,6 @@
 //! Experiment files, and the cells that they stand for.
 
-use bellcroft_model::{Policy, Scenario};
+use bellcroft_simulation::{Policy, Scenario};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -138,7 +138,7 @@
     }
 
     /// The classes of the scenario as the file has it.
-    pub fn classes(&self) -> Vec<bellcroft_model::ClassSpec> {
+    pub fn classes(&self) -> Vec<bellcroft_simulation::ClassSpec> {
         self.scenario.clone().try_into::<Scenario>().map(|scenario| scenario.classes).unwrap_or_default()
     }
 
--- a/crates/lab/src/folder.rs
+++ b/crates/lab/src/folder.rs
@@ -1,7 +1,7 @@
 //! Results on disk: each cell in a file of its own that is there whole or not at all.
 
 use crate::experiment::{Cell, Experiment};
-use bellcroft_model::Outcome;
+use bellcroft_simulation::Outcome;
 use serde::{Deserialize, Serialize};
 use std::fs::{self, File, TryLockError};
 use std::io::{self, Write};
--- a/crates/lab/src/load.rs
+++ b/crates/lab/src/load.rs
@@ -4,7 +4,7 @@
 //! from the scheduled instant: a server that stalls is charged for everyone who would have come meanwhile, which a closed
 //! loop spares it (Tene, "coordinated omission"). Nothing is sent twice.
 
-use bellcroft_model::{ClassSpec, Effect};
+use bellcroft_simulation::{ClassSpec, Effect};
 use bytes::Bytes;
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Full, Limited};
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -196,7 +196,7 @@
     let runtime = tokio::runtime::Runtime::new().map_err(|e| not_done(e.to_string()))?;
     let (mut model, mut real) = (Vec::new(), Vec::new());
     for seed in experiment.seeds() {
-        let outcome = bellcroft_model::play(&scenario, bellcroft_model::Policy::Module, *seed);
+        let outcome = bellcroft_simulation::play(&scenario, bellcroft_simulation::Policy::Module, *seed);
         model.push(sockets::Figures::of_model(&outcome.map_err(|e| bad(e.to_string()))?));
         let told = |sent: u64| eprint!("\r{}: seed {seed}, {sent} sent ", experiment.name);
         real.push(
--- a/crates/lab/src/members/mod.rs
+++ b/crates/lab/src/members/mod.rs
@@ -4,7 +4,7 @@
 
 use bellcroft_balancer::{Span, Time};
 use bellcroft_membership::{Change, Config, Membership, State};
-use bellcroft_model::fleet::{address, Link, Net, Peer, ORIGIN};
+use bellcroft_simulation::fleet::{address, Link, Net, Peer, ORIGIN};
 use plain::Plain;
 use rayon::prelude::*;
 use std::fmt::Write;
--- a/crates/lab/src/members/plain.rs
+++ b/crates/lab/src/members/plain.rs
@@ -2,7 +2,7 @@
 
 use bellcroft_balancer::{Span, Time};
 use bellcroft_membership::{Change, Id, Output, State};
-use bellcroft_model::fleet::{address, Peer};
+use bellcroft_simulation::fleet::{address, Peer};
 use foca::{Config, Foca, Identity, Notification, PostcardCodec, Runtime, Timer};
 use rand_chacha::rand_core::SeedableRng;
 use rand_chacha::ChaCha8Rng;
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::folder::{Folder, Stored};
 use crate::summary::{summarise, Row, FIGURES};
-use bellcroft_model::Second;
+use bellcroft_simulation::Second;
 use plotters::prelude::*;
 use std::collections::BTreeMap;
 use std::fmt::Write;
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -2,7 +2,7 @@
 
 use crate::experiment::Experiment;
 use crate::folder::{Folder, Stored};
-use bellcroft_model::play;
+use bellcroft_simulation::play;
 use indicatif::{ProgressBar, ProgressStyle};
 use rayon::prelude::*;
 
--- a/crates/lab/src/sockets.rs
+++ b/crates/lab/src/sockets.rs
@@ -4,7 +4,7 @@
 //! What loopback can't show is refused and named: zones that are cut off, servers that come back, a network with time.
 
 use crate::load::{self, Load};
-use bellcroft_model::{Arrivals, Dist, Effect, Network, Outcome, Reports, Scenario, What};
+use bellcroft_simulation::{Arrivals, Dist, Effect, Network, Outcome, Reports, Scenario, What};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use rig::{Agent, Plan, Work, World};
@@ -58,7 +58,8 @@
 
     /// Of a run of the model.
     pub fn of_model(outcome: &Outcome) -> Self {
-        let all = |of: fn(&bellcroft_model::ClassOutcome) -> u64| outcome.classes.iter().map(of).sum::<u64>();
+        let all =
+            |of: fn(&bellcroft_simulation::ClassOutcome) -> u64| outcome.classes.iter().map(of).sum::<u64>();
         let asked = all(|c| c.asked).max(1);
         let (busiest, idlest) = spread(&outcome.by_server);
         let weighed: f64 = outcome.classes.iter().map(|c| c.p50 as f64 * c.served as f64).sum();
@@ -110,7 +111,7 @@
         return Err("sockets play neither reports nor habits".into());
     }
     let first = &scenario.servers[0];
-    let alike = |group: &bellcroft_model::Servers| {
+    let alike = |group: &bellcroft_simulation::Servers| {
         (group.cores, group.queue, group.speed, group.zone, group.starts)
             == (first.cores, first.queue, first.speed, first.zone, first.starts)
     };
@@ -149,7 +150,7 @@
 /// An instance's configuration: what the model gives its instances, in the platform's words.
 fn config(scenario: &Scenario, world: &World, number: usize, seed: u64) -> Value {
     let mut config = world.config(&format!("lab-{number}"));
-    let class = |class: &bellcroft_model::ClassSpec| {
+    let class = |class: &bellcroft_simulation::ClassSpec| {
         let (effect, group) = match class.effect {
             Effect::Idempotent => ("idempotent", "all"),
             Effect::Deduplicated => ("deduplicated", "all"),
--- a/crates/lab/src/story.rs
+++ b/crates/lab/src/story.rs
@@ -2,7 +2,7 @@
 
 use crate::experiment::Experiment;
 use crate::folder::{Folder, Stored};
-use bellcroft_model::{trace, Breach, Step};
+use bellcroft_simulation::{trace, Breach, Step};
 use std::path::Path;
 
 /// Rules that a cell's policy broke although it claims to keep them.
--- a/crates/lab/src/summary.rs
+++ b/crates/lab/src/summary.rs
@@ -1,7 +1,7 @@
 //! Means over seeds, with their intervals.
 
 use crate::folder::Stored;
-use bellcroft_model::Policy;
+use bellcroft_simulation::Policy;
 use statrs::distribution::{ContinuousCDF, StudentsT};
 use std::collections::BTreeMap;
 
--- a/crates/lab/tests/lab.rs
+++ b/crates/lab/tests/lab.rs
@@ -1,6 +1,6 @@
 //! The program as people run it: results that outlive kills and full disks, files that are refused, pages.
 
-use bellcroft_model::{Breach, Policy, Rule};
+use bellcroft_simulation::{Breach, Policy, Rule};
 use lab::{compare, report, Experiment, Folder, Interval};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
--- a/crates/lab/tests/load.rs
+++ b/crates/lab/tests/load.rs
@@ -1,6 +1,6 @@
 //! The load generator against servers that stall, refuse and vanish.
 
-use bellcroft_model::{ClassSpec, Dist, Effect};
+use bellcroft_simulation::{ClassSpec, Dist, Effect};
 use lab::load::{run, Load, Loaded};
 use rig::{ok, Backend, Plan, Reply, Server, World};
 use std::sync::atomic::{AtomicUsize, Ordering};
--- a/crates/lab/tests/sockets.rs
+++ b/crates/lab/tests/sockets.rs
@@ -1,6 +1,6 @@
 //! The same scenario on the model and on sockets, and what sockets can't show.
 
-use bellcroft_model::{play, Arrivals, Policy, Scenario, Trouble, What};
+use bellcroft_simulation::{play, Arrivals, Policy, Scenario, Trouble, What};
 use lab::sockets::{as_both, beside, check, Figures};
 use lab::Experiment;
 
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use bellcroft_balancer::{Span, Time};
 use bellcroft_membership::{Change, Config, Id, Membership, Stance, State};
-use bellcroft_model::fleet::{address, Link, Net};
+use bellcroft_simulation::fleet::{address, Link, Net};
 use std::collections::BTreeMap;
 
 pub type Fleet = Net<Membership>;
@@ -76,7 +76,7 @@
 
 /// Deaths that were told since `from`: who told, of whom.
 pub fn deaths(fleet: &Fleet, from: Time) -> Vec<(usize, usize)> {
-    let death = |seen: &bellcroft_model::fleet::Seen| match seen.change {
+    let death = |seen: &bellcroft_simulation::fleet::Seen| match seen.change {
         Change::Member { id, to: State::Dead, .. } => Some((seen.by, id.0 as usize)),
         _ => None,
     };
--- a/crates/membership/tests/digest.rs
+++ b/crates/membership/tests/digest.rs
@@ -4,7 +4,7 @@
 
 use bellcroft_balancer::{FleetState, Span, Time};
 use bellcroft_membership::{Digest, Id, Membership, Part, Taken, DATAGRAM_MOST, SITES_MOST};
-use bellcroft_model::fleet::Link;
+use bellcroft_simulation::fleet::Link;
 use common::*;
 
 const PERIOD: Span = Span(50_000);
--- a/crates/membership/tests/faults.rs
+++ b/crates/membership/tests/faults.rs
@@ -4,7 +4,7 @@
 
 use bellcroft_balancer::Span;
 use bellcroft_membership::{Change, Membership, Stance, State};
-use bellcroft_model::fleet::{address, Link, Net};
+use bellcroft_simulation::fleet::{address, Link, Net};
 use common::*;
 
 fn everyone(members: usize) -> Vec<usize> {
@@ -62,7 +62,7 @@
             assert_eq!(stance(&fleet, sleeper), Stance::Waking, "{slept} s");
         }
         assert!(fleet.until(seconds(8.0), Net::agrees).is_some(), "{slept} s");
-        let accused = |seen: &&bellcroft_model::fleet::Seen| {
+        let accused = |seen: &&bellcroft_simulation::fleet::Seen| {
             seen.at >= from
                 && seen.by == sleeper
                 && matches!(seen.change, Change::Member { to: State::Suspect | State::Dead, .. })
@@ -114,7 +114,7 @@
         let from = bridge.now();
         bridge.play(seconds(60.0));
         assert_eq!(deaths(&bridge, from), [], "bridge, seed {seed}");
-        let accused = |seen: &&bellcroft_model::fleet::Seen| {
+        let accused = |seen: &&bellcroft_simulation::fleet::Seen| {
             seen.at >= from && matches!(seen.change, Change::Member { to: State::Suspect, .. })
         };
         assert_eq!(bridge.seen.iter().filter(accused).count(), 0, "others' answers are as good, seed {seed}");
--- a/crates/membership/tests/lies.rs
+++ b/crates/membership/tests/lies.rs
@@ -7,7 +7,7 @@
     decode, encode, Change, Datagram, Duty, Heard, Hearsay, Id, Kind, Membership, Output, Rumour, Stance,
     State, Version, DATAGRAM_MOST, HINT_MOST,
 };
-use bellcroft_model::fleet::{address, Link, Net};
+use bellcroft_simulation::fleet::{address, Link, Net};
 use common::*;
 use proptest::prelude::*;
 use std::net::SocketAddr;
@@ -49,7 +49,7 @@
         let from = fleet.now();
         fleet.link = Box::new(move |_, _| Link { loss, ..Link::default() });
         spread(&mut fleet, 20, |fleet| claim(2, version(fleet, 2), state, 11));
-        let lost = |seen: &&bellcroft_model::fleet::Seen| {
+        let lost = |seen: &&bellcroft_simulation::fleet::Seen| {
             seen.at >= from && matches!(seen.change, Change::Member { to: State::Dead | State::Left, .. })
         };
         assert_eq!(fleet.seen.iter().filter(lost).count(), 0, "{state:?}, {loss} lost");
--- a/crates/rig/src/faults/cluster.rs
+++ b/crates/rig/src/faults/cluster.rs
@@ -10,7 +10,7 @@
 use crate::process::{kill, program, Agent};
 use crate::server::Plan;
 use crate::world::World;
-use bellcroft_model::{LinkFault, Place, What};
+use bellcroft_simulation::{LinkFault, Place, What};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/rig/src/faults/links.rs
+++ b/crates/rig/src/faults/links.rs
@@ -1,6 +1,6 @@
 //! What each link does at present.
 
-use bellcroft_model::{LinkFault, Place};
+use bellcroft_simulation::{LinkFault, Place};
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, PoisonError};
 use tokio::sync::watch;
--- a/crates/rig/src/faults/play.rs
+++ b/crates/rig/src/faults/play.rs
@@ -47,7 +47,7 @@
 
 /// Plays a timeline to its end; `live` hears of each second and of what happened in it.
 pub async fn play(timeline: &Timeline, mut live: impl FnMut(f64, &[Entry], usize)) -> (Verdict, Vec<Entry>) {
-    use bellcroft_model::What;
+    use bellcroft_simulation::What;
     let plan = Plan { seed: timeline.seed, ..Plan::default() };
     let shape = Shape {
         instances: timeline.instances,
--- a/crates/rig/src/faults/stage.rs
+++ b/crates/rig/src/faults/stage.rs
@@ -2,7 +2,7 @@
 
 use super::cluster::{Cluster, Shape};
 use crate::traffic::{Load, Record, Traffic, CLASSES};
-use bellcroft_model::What;
+use bellcroft_simulation::What;
 use std::time::Duration;
 use tokio::time::Instant;
 
--- a/crates/rig/src/faults/timeline.rs
+++ b/crates/rig/src/faults/timeline.rs
@@ -1,6 +1,6 @@
 //! A file of faults: the troubles of the model's scenarios, on real processes.
 
-use bellcroft_model::{Trouble, What};
+use bellcroft_simulation::{Trouble, What};
 use serde::Deserialize;
 use std::path::Path;
 
--- a/crates/rig/src/scale/model.rs
+++ b/crates/rig/src/scale/model.rs
@@ -2,7 +2,7 @@
 
 use bellcroft_balancer::Span;
 use bellcroft_membership::{Config, Membership};
-use bellcroft_model::fleet::{address, Link, Net, ORIGIN};
+use bellcroft_simulation::fleet::{address, Link, Net, ORIGIN};
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/model/tests/beliefs.rs
+++ b/crates/simulation/tests/beliefs.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use bellcroft_model::*;
+use bellcroft_simulation::*;
 use common::{at, desk, slow};
 
 /// 16 servers, 58% busy; by the instances, each asks twice a second or often.
--- a/crates/model/tests/common/mod.rs
+++ b/crates/simulation/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! The deployment that the tests of beliefs and of repeats play: a scheduling desk's three classes in two zones.
 
-use bellcroft_model::*;
+use bellcroft_simulation::*;
 
 /// So many servers of four cores; each instance's clients ask at random, and nobody comes back.
 pub fn desk(instances: usize, servers: usize, rate: f64, assign: f64) -> Scenario {
--- a/crates/model/tests/deployment.rs
+++ b/crates/simulation/tests/deployment.rs
@@ -2,9 +2,9 @@
 //! keeps the rules through troubles.
 
 use bellcroft_balancer::{Action, Event, ListUpdate, RequestId, ServerId, Settings, Time};
-use bellcroft_model::*;
+use bellcroft_simulation::*;
 
-fn class(name: &str, effect: bellcroft_model::Effect, window: f64) -> ClassSpec {
+fn class(name: &str, effect: bellcroft_simulation::Effect, window: f64) -> ClassSpec {
     ClassSpec {
         name: name.into(),
         share: 1.0,
@@ -18,7 +18,7 @@
 
 /// Ten instances, twelve servers in two zones, two thirds busy.
 fn deployment() -> Scenario {
-    use bellcroft_model::Effect::*;
+    use bellcroft_simulation::Effect::*;
     Scenario {
         seconds: 12.0,
         warm_up: 1.0,
@@ -318,7 +318,7 @@
 #[test]
 fn a_refusal_that_is_not_true_doubles_effects() {
     let mut scenario = deployment();
-    scenario.classes = vec![class("pay", bellcroft_model::Effect::AtMostOnce, 0.0)];
+    scenario.classes = vec![class("pay", bellcroft_simulation::Effect::AtMostOnce, 0.0)];
     scenario.habits = Habits { retries: 3, pause: 0.02, ..Habits::default() };
     let run = |how: Option<How>| {
         let core = |settings: &Settings, number: usize| {
--- a/crates/model/tests/processes.rs
+++ b/crates/simulation/tests/processes.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use bellcroft_model::*;
+use bellcroft_simulation::*;
 use common::{at, desk, slow};
 
 fn played(troubles: Vec<Trouble>) -> Outcome {
--- a/crates/model/tests/repeats.rs
+++ b/crates/simulation/tests/repeats.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use bellcroft_balancer::{Action, Event, RequestId, ServerId, Span, Time, TimerId};
-use bellcroft_model::*;
+use bellcroft_simulation::*;
 use common::{desk, slow};
 
 /// Sends each request to server 0, and once more to server 1 a while later.
--- a/crates/model/tests/theory.rs
+++ b/crates/simulation/tests/theory.rs
@@ -1,7 +1,7 @@
 //! The model where theory knows the answer. Each figure is a mean over seeds, held against the formula within three
 //! standard errors and a tolerance for what is finite here.
 
-use bellcroft_model::*;
+use bellcroft_simulation::*;
 
 /// One class whose clients wait for ever, on a network without time.
 fn scenario(servers: Vec<Servers>, rate: f64, service: Dist, seconds: f64) -> Scenario {
@@ -13,7 +13,7 @@
         classes: vec![ClassSpec {
             name: "read".into(),
             share: 1.0,
-            effect: bellcroft_model::Effect::Idempotent,
+            effect: bellcroft_simulation::Effect::Idempotent,
             window: 0.0,
             aim: 1e5,
             deadline: 1e5,
