--- a/crates/lab/src/folder.rs
+++ b/crates/experiments/src/folder.rs
@@ -61,7 +61,7 @@
         match lock.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => {
-                return Err(format!("{}: another lab is at work here", path.display()))
+                return Err(format!("{}: another process is at work here", path.display()))
             }
             Err(TryLockError::Error(e)) => return Err(at(e)),
         }
--- a/crates/lab/src/load.rs
+++ b/crates/experiments/src/load.rs
@@ -247,7 +247,7 @@
                 sender
             }
         };
-        let id = format!("lab-{:x}-{number}", shared.load.seed);
+        let id = format!("experiments-{:x}-{number}", shared.load.seed);
         let mut request = Request::builder()
             .uri(format!("/{}?key={id}", spec.name))
             .header("host", shared.load.target.to_string())
--- a/crates/lab/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -1,9 +1,9 @@
-//! `lab run` plays an experiment on the model, `lab report` writes a page of it, `lab compare` sets two side by side.
+//! `experiments run` plays an experiment on the model, `experiments report` writes a page of it, `experiments compare` sets two side by side.
 
 use clap::{Parser, Subcommand};
-use lab::load::{self, Load, Loaded};
-use lab::members::{self, Plan};
-use lab::{compare, report, run, sockets, story, summarise, Experiment, Folder};
+use experiments::load::{self, Load, Loaded};
+use experiments::members::{self, Plan};
+use experiments::{compare, report, run, sockets, story, summarise, Experiment, Folder};
 use serde_json::json;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -15,7 +15,7 @@
 ///
 /// Exit codes: 0 fine, 1 not done (a disk, a lock, a broken rule, a difference with --exit-code), 2 bad input.
 #[derive(Parser)]
-#[command(name = "lab", version, max_term_width = 100)]
+#[command(name = "experiments", version, max_term_width = 100)]
 struct Args {
     #[command(subcommand)]
     command: Command,
@@ -25,7 +25,7 @@
 enum Command {
     /// Play each cell of an experiment that is not stored yet, on all cores, and print a table.
     Run {
-        /// The experiment, such as deploy/lab/calm.toml.
+        /// The experiment, such as deploy/experiments/calm.toml.
         file: PathBuf,
         /// Where results are stored; found/NAME without.
         #[arg(long, value_name = "DIR")]
@@ -42,7 +42,7 @@
         /// The cell's file, such as found/retry-storm/cells/0123456789abcdef01234567.json.
         #[arg(value_name = "CELL")]
         cell: PathBuf,
-        /// The request that a client first came with; `lab run` names those that broke a rule.
+        /// The request that a client first came with; `experiments run` names those that broke a rule.
         request: u64,
         /// Print JSON.
         #[arg(long)]
@@ -104,7 +104,7 @@
     ///
     /// The policy is the module, on both; seeds are the experiment's, its sweep is left out.
     Sockets {
-        /// Experiments, such as deploy/lab/sockets/calm.toml.
+        /// Experiments, such as deploy/experiments/sockets/calm.toml.
         #[arg(required = true)]
         files: Vec<PathBuf>,
         /// Print JSON.
@@ -181,7 +181,7 @@
     match command(Args::parse().command) {
         Ok(code) => code,
         Err(Wrong(code, why)) => {
-            eprintln!("lab: {why}");
+            eprintln!("experiments: {why}");
             ExitCode::from(code)
         }
     }
@@ -215,7 +215,7 @@
                 all.push(both(file)?);
             }
             if json {
-                let figure = |(name, model, real): &(&str, lab::Interval, lab::Interval)| {
+                let figure = |(name, model, real): &(&str, experiments::Interval, experiments::Interval)| {
                     json!({"figure": name, "model": model.mean, "modelHalf": model.half,
                            "sockets": real.mean, "socketsHalf": real.half})
                 };
@@ -366,10 +366,10 @@
 /// Names a cell whose policy broke a rule, and the requests whose stories tell how.
 fn tell_broken(cell: &story::Broken, file: &Path) {
     let file = file.display();
-    eprintln!("lab: {} broke rules {} times: {file}", cell.of, cell.count);
+    eprintln!("experiments: {} broke rules {} times: {file}", cell.of, cell.count);
     for breach in cell.first.iter().take(BREACHES_TOLD) {
         let rule = format!("{:?}", breach.rule).to_lowercase();
-        let story = breach.want.map(|want| format!("; lab trace {file} {want} tells its story"));
+        let story = breach.want.map(|want| format!("; experiments trace {file} {want} tells its story"));
         eprintln!("  {rule} at {} us{}", breach.at, story.unwrap_or_default());
     }
 }
@@ -412,7 +412,7 @@
         return ExitCode::SUCCESS;
     }
     eprintln!(
-        "lab: {} requests left late although a connection was free, the latest by {:?}: this machine is too busy for the rate, and the times are its own in part",
+        "experiments: {} requests left late although a connection was free, the latest by {:?}: this machine is too busy for the rate, and the times are its own in part",
         loaded.late, loaded.latest
     );
     ExitCode::FAILURE
--- a/crates/lab/src/members/mod.rs
+++ b/crates/experiments/src/members/mod.rs
@@ -100,7 +100,7 @@
 fn own(members: usize, seed: u64, self_doubt: bool) -> impl Fn(usize, Time) -> Membership {
     let roster: Arc<[SocketAddr]> = (0..members).map(address).collect();
     move |number, now| {
-        let config = Config { self_doubt, ..Config::new("lab", number as u32, roster.clone()) };
+        let config = Config { self_doubt, ..Config::new("experiments", number as u32, roster.clone()) };
         let life = WALL + now.since(ORIGIN).0 / 1000;
         Membership::new(config, now, life, seed.wrapping_mul(1 << 20) ^ number as u64)
     }
--- a/crates/lab/src/sockets.rs
+++ b/crates/experiments/src/sockets.rs
@@ -149,7 +149,7 @@
 
 /// An instance's configuration: what the model gives its instances, in the platform's words.
 fn config(scenario: &Scenario, world: &World, number: usize, seed: u64) -> Value {
-    let mut config = world.config(&format!("lab-{number}"));
+    let mut config = world.config(&format!("experiments-{number}"));
     let class = |class: &bellcroft_simulation::ClassSpec| {
         let (effect, group) = match class.effect {
             Effect::Idempotent => ("idempotent", "all"),
--- a/crates/lab/tests/lab.rs
+++ b/crates/experiments/tests/experiments.rs
@@ -1,7 +1,7 @@
 //! The program as people run it: results that outlive kills and full disks, files that are refused, pages.
 
 use bellcroft_simulation::{Breach, Policy, Rule};
-use lab::{compare, report, Experiment, Folder, Interval};
+use experiments::{compare, report, Experiment, Folder, Interval};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output, Stdio};
@@ -15,7 +15,8 @@
     fn new() -> Self {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NUMBER.fetch_add(1, Ordering::SeqCst);
-        let path = std::env::temp_dir().join(format!("bellcroft-lab-{}-{number}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("bellcroft-experiments-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&path).expect("a folder");
         Temporary(path)
     }
@@ -33,13 +34,13 @@
     }
 }
 
-fn lab(args: &[&Path]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_lab")).args(args).output().expect("it runs")
+fn experiments(args: &[&Path]) -> Output {
+    Command::new(env!("CARGO_BIN_EXE_experiments")).args(args).output().expect("it runs")
 }
 
 fn run(file: &Path, out: &Path, more: &[&str]) -> Output {
     let args = [Path::new("run"), file, Path::new("--out"), out, Path::new("--json")];
-    lab(&args.into_iter().chain(more.iter().map(Path::new)).collect::<Vec<_>>())
+    experiments(&args.into_iter().chain(more.iter().map(Path::new)).collect::<Vec<_>>())
 }
 
 fn told(output: &Output) -> String {
@@ -92,7 +93,7 @@
     let out = folder.0.join("killed");
     let mut kills = 0;
     for stored in [1, 5, 9, 14, 20, 27, 33] {
-        let mut child = Command::new(env!("CARGO_BIN_EXE_lab"))
+        let mut child = Command::new(env!("CARGO_BIN_EXE_experiments"))
             .args([Path::new("run"), &file, Path::new("--out"), &out, Path::new("--json")])
             .stdout(Stdio::null())
             .spawn()
@@ -151,7 +152,7 @@
     // write's own error is what a full disk gives.
     let full = Command::new("sh")
         .args(["-c", "trap '' XFSZ; ulimit -f 1; exec \"$0\" run \"$1\" --out \"$2\" --json"])
-        .args([Path::new(env!("CARGO_BIN_EXE_lab")), &file, &out])
+        .args([Path::new(env!("CARGO_BIN_EXE_experiments")), &file, &out])
         .output()
         .expect("it runs");
     let limited = std::fs::read_dir(out.join("cells")).expect("cells").count();
@@ -159,7 +160,7 @@
         panic!("cells fit in a block: {limited}");
     }
     assert_eq!(full.status.code(), Some(1), "{}", told(&full));
-    assert!(told(&full).contains("lab: ") && told(&full).contains("out"), "{}", told(&full));
+    assert!(told(&full).contains("experiments: ") && told(&full).contains("out"), "{}", told(&full));
     assert!(run(&file, &out, &[]).status.success());
     assert_eq!(files(&out).len(), 6);
 }
@@ -173,7 +174,7 @@
     let held = Folder::create(&out, &experiment).expect("the first");
     let second = run(&file, &out, &[]);
     assert_eq!(second.status.code(), Some(1));
-    assert!(told(&second).contains("another lab is at work here"), "{}", told(&second));
+    assert!(told(&second).contains("another process is at work here"), "{}", told(&second));
     drop(held);
     assert!(run(&file, &out, &[]).status.success());
     let other = folder.write("other.toml", &small("[1]", "", 101.0));
@@ -218,7 +219,7 @@
 
 #[test]
 fn the_shipped_experiments_are_good() {
-    let shipped = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/lab");
+    let shipped = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/experiments");
     let mut count = 0;
     let files = std::fs::read_dir(shipped).expect("a folder").flatten();
     for entry in files.filter(|entry| entry.path().is_file()) {
@@ -273,7 +274,7 @@
     let (differences, _) = compare(&folders[0], &folders[2]).expect("they share points");
     assert!(differences.len() <= 1, "other seeds are no change: {differences:?}");
     assert!(compare(&folders[0], &folders[0]).expect("the same").0.is_empty());
-    let differ = lab(&[Path::new("compare"), &outs[0], &outs[1], Path::new("--exit-code")]);
+    let differ = experiments(&[Path::new("compare"), &outs[0], &outs[1], Path::new("--exit-code")]);
     assert_eq!(differ.status.code(), Some(1));
 }
 
@@ -324,7 +325,7 @@
         assert!(told(&told_of).contains(word), "{word}: {}", told(&told_of));
     }
     assert!(String::from_utf8_lossy(&told_of.stdout).contains("\"want\":17"));
-    let plain = lab(&[Path::new("run"), &file, Path::new("--out"), &out]);
+    let plain = experiments(&[Path::new("run"), &file, Path::new("--out"), &out]);
     assert_eq!(plain.status.code(), Some(1), "without --json too");
 }
 
@@ -338,7 +339,7 @@
     let cell = results.file(&stored.cell.id());
     let trace = |cell: &Path, words: &[&str]| {
         let words = words.iter().map(Path::new);
-        lab(&[Path::new("trace"), cell].into_iter().chain(words).collect::<Vec<_>>())
+        experiments(&[Path::new("trace"), cell].into_iter().chain(words).collect::<Vec<_>>())
     };
     let story = trace(&cell, &["150"]);
     let words = String::from_utf8_lossy(&story.stdout).into_owned();
--- a/crates/lab/tests/golden.rs
+++ b/crates/experiments/tests/golden.rs
@@ -2,7 +2,7 @@
 //! and a cell that was stored earlier is read.
 
 use expect_test::expect_file;
-use lab::{run, Experiment, Folder};
+use experiments::{run, Experiment, Folder};
 use std::path::{Path, PathBuf};
 
 /// Three scenarios: no fault, a fault with clients that retry, and discovery and peers in use.
--- a/crates/lab/tests/load.rs
+++ b/crates/experiments/tests/load.rs
@@ -1,7 +1,7 @@
 //! The load generator against servers that stall, refuse and vanish.
 
 use bellcroft_simulation::{ClassSpec, Dist, Effect};
-use lab::load::{run, Load, Loaded};
+use experiments::load::{run, Load, Loaded};
 use rig::{ok, Backend, Plan, Reply, Server, World};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -34,7 +34,7 @@
     }
 }
 
-fn sum(loaded: &Loaded, of: impl Fn(&lab::load::ClassLoad) -> u64) -> u64 {
+fn sum(loaded: &Loaded, of: impl Fn(&experiments::load::ClassLoad) -> u64) -> u64 {
     loaded.classes.iter().map(of).sum()
 }
 
--- a/crates/lab/tests/sockets.rs
+++ b/crates/experiments/tests/sockets.rs
@@ -1,11 +1,11 @@
 //! The same scenario on the model and on sockets, and what sockets can't show.
 
 use bellcroft_simulation::{play, Arrivals, Policy, Scenario, Trouble, What};
-use lab::sockets::{as_both, beside, check, Figures};
-use lab::Experiment;
+use experiments::sockets::{as_both, beside, check, Figures};
+use experiments::Experiment;
 
 fn scenario(name: &str) -> Scenario {
-    let file = format!("{}/../../deploy/lab/sockets/{name}.toml", env!("CARGO_MANIFEST_DIR"));
+    let file = format!("{}/../../deploy/experiments/sockets/{name}.toml", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(&file).expect("it is shipped");
     as_both(&Experiment::parse(&text).expect("it is good").plain().expect("it can be played"))
 }
@@ -49,7 +49,7 @@
     scenario.arrivals = Arrivals::Poisson { rate: 120.0 };
     scenario.troubles.push(Trouble { at: 2.0, what: What::Drain { servers: vec![0] } });
     let model = Figures::of_model(&play(&scenario, Policy::Module, 4).expect("it plays"));
-    let real = lab::sockets::play(&scenario, 4, 1.0, |_| ()).await.expect("it plays");
+    let real = experiments::sockets::play(&scenario, 4, 1.0, |_| ()).await.expect("it plays");
     let expected = 120.0 * 3.0;
     for (name, figures) in [("model", &model), ("sockets", &real)] {
         assert!((figures.asked as f64 - expected).abs() < expected / 3.0, "{name}: {figures:?}");
