--- a/crates/agent/tests/attempts.rs
+++ b/crates/agent/tests/attempts.rs
@@ -1,9 +1,9 @@
 //! What becomes of a request at the backends, and what its client is told.
 
-use rig::*;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use testbed::*;
 use tokio::io::AsyncWriteExt;
 use tokio::sync::Notify;
 
--- a/crates/agent/tests/bodies.rs
+++ b/crates/agent/tests/bodies.rs
@@ -1,8 +1,8 @@
 //! Bodies of any size and pace: what is passed on as it comes, what can be tried again, and what is cut off.
 
-use rig::*;
 use std::net::SocketAddr;
 use std::time::Duration;
+use testbed::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
--- a/crates/agent/tests/clients.rs
+++ b/crates/agent/tests/clients.rs
@@ -1,8 +1,8 @@
 //! Clients that are idle, mute, slow or wrong, and what they may not cost the others.
 
-use rig::*;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use testbed::*;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
--- a/crates/agent/tests/clock.rs
+++ b/crates/agent/tests/clock.rs
@@ -1,8 +1,8 @@
 //! A machine's wall clock may have been stepped before a process starts; the platform's servers go by another one.
 
-use rig::faults::Shim;
-use rig::*;
 use std::time::Duration;
+use testbed::faults::Shim;
+use testbed::*;
 use tokio::time::Instant;
 
 /// How long the sends to a server that has just started are counted.
--- a/crates/agent/tests/daemon.rs
+++ b/crates/agent/tests/daemon.rs
@@ -1,11 +1,11 @@
 //! An instance's life as a daemon: its state, its control socket, its reloads and its end.
 
-use rig::*;
 use serde_json::{json, Value};
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
 use std::time::Duration;
+use testbed::*;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpStream, UnixStream};
 use tokio::process::{Child, Command};
--- a/crates/agent/tests/descriptors.rs
+++ b/crates/agent/tests/descriptors.rs
@@ -1,11 +1,11 @@
 //! Idle clients hold all the descriptors that they can get while discovery is down. Discovery, backends and the next client
 //! that asks still get theirs, and what discovery has to tell when it is back is learned at once.
 
-use rig::*;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::process::Stdio;
 use std::time::{Duration, Instant};
+use testbed::*;
 use tokio::process::Command;
 use tokio::task::JoinSet;
 
--- a/crates/agent/tests/endings.rs
+++ b/crates/agent/tests/endings.rs
@@ -1,8 +1,8 @@
 //! What is still owed when something ends: a client that leaves. Stand-ins hold one side until the other event is known
 //! to have happened; what servers and clients have seen decides.
 
-use rig::*;
 use std::time::Duration;
+use testbed::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::time::sleep;
@@ -157,7 +157,7 @@
     let config = patient_config(directory.address, &hosts);
     let folder = Folder::new();
     let text =
-        "[membership]\ncluster = \"rig\"\nlisten = \"127.0.0.1:0\"\nnumber = 0\npeers = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n";
+        "[membership]\ncluster = \"testbed\"\nlisten = \"127.0.0.1:0\"\nnumber = 0\npeers = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n";
     let operator = folder.write("agent.toml", text);
     let agent = Agent::operated(config, &operator).await;
     let id = agent.child.id().expect("it runs");
--- a/crates/agent/tests/fleet.rs
+++ b/crates/agent/tests/fleet.rs
@@ -1,11 +1,11 @@
 //! Fleets of the real program under the real supervisor, with steady traffic on every instance.
 
-use rig::*;
 use serde_json::Value;
 use std::collections::{BTreeMap, HashSet};
 use std::os::unix::fs::PermissionsExt;
 use std::path::PathBuf;
 use std::time::Duration;
+use testbed::*;
 
 fn load(agents: Vec<std::net::SocketAddr>, rate: f64, seed: u64) -> Load {
     Load { agents, clients: 3, rate, seed, most: 10_000 }
--- a/crates/agent/tests/golden.rs
+++ b/crates/agent/tests/golden.rs
@@ -2,12 +2,12 @@
 //! replies of the control socket, and the lines of the console.
 
 use expect_test::expect_file;
-use rig::faults::{Cluster, Shape};
-use rig::*;
 use serde_json::{json, Value};
 use std::fmt::Write;
 use std::path::Path;
 use std::time::Duration;
+use testbed::faults::{Cluster, Shape};
+use testbed::*;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::UnixStream;
 
--- a/crates/agent/tests/leaving.rs
+++ b/crates/agent/tests/leaving.rs
@@ -2,11 +2,11 @@
 //! bytes of an attempt. Stand-ins hold their side until the leaving is known to have been noticed; one who stays shows that
 //! what must not happen for the others does happen for it.
 
-use rig::*;
 use serde_json::Value;
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
+use testbed::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpSocket;
 use tokio::sync::{mpsc, Notify};
--- a/crates/agent/tests/log.rs
+++ b/crates/agent/tests/log.rs
@@ -1,7 +1,7 @@
 //! The log as people and programs read it.
 
-use rig::*;
 use std::process::Stdio;
+use testbed::*;
 use tokio::io::{AsyncBufReadExt, BufReader};
 
 /// The lines of an agent's log until it has ended, and its exit code.
--- a/crates/agent/tests/membership.rs
+++ b/crates/agent/tests/membership.rs
@@ -1,9 +1,9 @@
 //! Several whole programs with faulty relays between them: what each holds of the others, and what becomes of requests.
 
 use bellcroft_simulation::What;
-use rig::faults::{Cluster, Shape, Stage};
-use rig::*;
 use std::time::Duration;
+use testbed::faults::{Cluster, Shape, Stage};
+use testbed::*;
 use tokio::net::UdpSocket;
 use tokio::time::Instant;
 
--- a/crates/agent/tests/operations.rs
+++ b/crates/agent/tests/operations.rs
@@ -1,10 +1,10 @@
 //! Day to day: the second address, out of service and back, and a process that takes another's place.
 
-use rig::*;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::Arc;
+use testbed::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
--- a/crates/agent/tests/outages.rs
+++ b/crates/agent/tests/outages.rs
@@ -2,9 +2,9 @@
 //! spoil, restarts, seeds, twins.
 
 use bellcroft_simulation::{LinkFault, Place, What};
-use rig::faults::{Cluster, Shape, Stage};
-use rig::*;
 use std::time::Duration;
+use testbed::faults::{Cluster, Shape, Stage};
+use testbed::*;
 
 /// Far past the bounds of the operators' page, for a machine that does other things too.
 const SOON: Duration = Duration::from_secs(60);
--- a/crates/agent/tests/peers.rs
+++ b/crates/agent/tests/peers.rs
@@ -2,10 +2,10 @@
 
 use bellcroft_membership::{encode, Datagram, Duty, Id, Kind, Part, Rumour, State, Version};
 use bellcroft_simulation::What;
-use rig::faults::{Cluster, Shape, Stage};
-use rig::*;
 use std::collections::HashMap;
 use std::time::Duration;
+use testbed::faults::{Cluster, Shape, Stage};
+use testbed::*;
 
 const SOON: Duration = Duration::from_secs(60);
 
@@ -98,7 +98,7 @@
     let began = tokio::time::Instant::now();
     let life = 1 << 46;
     let lie = Part { site: 0, weight: 1e6, square: 1.0, took: 1.2e6, full: 1.2e6, asked: 1e6, refused: 1e6 };
-    let cluster = bellcroft_platform_settings::fnv1a("rig");
+    let cluster = bellcroft_platform_settings::fnv1a("testbed");
     for round in 0..100_u32 {
         let version = Version { life, round };
         let of = round % 9;
--- a/crates/agent/tests/readiness.rs
+++ b/crates/agent/tests/readiness.rs
@@ -1,8 +1,8 @@
 //! When a process that has started is ready: at once with a list that names a backend, else as soon as discovery answers.
 
-use rig::*;
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
+use testbed::*;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
--- a/crates/agent/tests/routes.rs
+++ b/crates/agent/tests/routes.rs
@@ -1,10 +1,10 @@
 //! Routes of the operator's file on real sockets: each time-out from which moment to which, and what a reload does.
 
-use rig::*;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::{Duration, Instant};
+use testbed::*;
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpStream};
 
--- a/crates/agent/tests/service.rs
+++ b/crates/agent/tests/service.rs
@@ -1,10 +1,10 @@
 //! The application's side, the server list, and the agent's own start and end.
 
-use rig::*;
 use serde_json::json;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use testbed::*;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::Notify;
 
--- a/crates/agent/tests/shutdown.rs
+++ b/crates/agent/tests/shutdown.rs
@@ -3,8 +3,8 @@
 //! By the protocol's page SIGKILL comes no sooner than the longest deadline (3 s at most) and 0.7 s more after SIGTERM.
 //! Whatever was taken by then and has no complete answer is lost.
 
-use rig::*;
 use std::time::Duration;
+use testbed::*;
 use tokio::time::{sleep_until, Instant};
 
 /// The longest deadline that the platform waits for.
--- a/crates/agent/tests/soak.rs
+++ b/crates/agent/tests/soak.rs
@@ -1,6 +1,6 @@
-//! The randomized soak, small and with fixed seeds; `rig soak` runs it larger and for more seeds.
+//! The randomized soak, small and with fixed seeds; `testbed soak` runs it larger and for more seeds.
 
-use rig::soak::{self, SoakPlan};
+use testbed::soak::{self, SoakPlan};
 
 /// Tries of a seed on a machine that is too busy for a verdict.
 const MAX_TRIES: usize = 4;
--- a/crates/agent/tests/system_calls.rs
+++ b/crates/agent/tests/system_calls.rs
@@ -3,9 +3,9 @@
 //! The real program runs under `bellcroft-faultshim`, which has one in so many calls fail. Verdicts come from the clients'
 //! and the servers' own records.
 
-use rig::faults::Shim;
-use rig::*;
 use std::time::Duration;
+use testbed::faults::Shim;
+use testbed::*;
 
 /// Requests of each run, at the least.
 const REQUESTS: usize = 400;
--- a/crates/agent/tests/telemetry.rs
+++ b/crates/agent/tests/telemetry.rs
@@ -1,8 +1,8 @@
 //! What the real program sends of itself, and that nobody's request waits for a receiver.
 
-use rig::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
+use testbed::*;
 
 const SHORT: &str =
     "interval = \"100ms\"\ntimeout = \"300ms\"\nretry_first = \"10ms\"\nretry_most = \"50ms\"\n";
--- a/crates/agent/tests/watches.rs
+++ b/crates/agent/tests/watches.rs
@@ -1,10 +1,10 @@
 //! A watch dies, and what comes after it: a discovery that begins anew with older versions, lists in pieces and indented,
 //! entries that make no sense, changes of what nobody knows, and drains that begin the moment it is back.
 
-use rig::*;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::Duration;
+use testbed::*;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
--- a/crates/balancer/tests/bad_input.rs
+++ b/crates/balancer/tests/bad_input.rs
@@ -13,19 +13,19 @@
 
 /// Requests sent to each of four servers, the first of which reports what is given.
 fn share(report: Vec<f64>) -> [u32; 4] {
-    let mut rig = Rig::new(settings(), 3);
-    rig.list(fleet(4, 1, 1));
+    let mut testbed = Rig::new(settings(), 3);
+    testbed.list(fleet(4, 1, 1));
     let mut sent = [0; 4];
     for _ in 0..200 {
-        let (id, server) = rig.ask(0);
+        let (id, server) = testbed.ask(0);
         let server = server.expect("an idle fleet takes it");
         sent[server.0 as usize] += 1;
-        rig.wait(Span::from_ms(20.0));
+        testbed.wait(Span::from_ms(20.0));
         let said = if server.0 == 0 { report.clone() } else { vec![0.0] };
-        rig.answer_with(id, 0, Outcome::Success, 20.0, Some(said));
-        rig.wait(Span::from_ms(10.0));
+        testbed.answer_with(id, 0, Outcome::Success, 20.0, Some(said));
+        testbed.wait(Span::from_ms(10.0));
     }
-    rig.assert_rules();
+    testbed.assert_rules();
     sent
 }
 
@@ -41,23 +41,23 @@
 
 #[test]
 fn a_clock_that_jumps_an_hour_leaves_the_fleet_in_use_and_no_request_unanswered() {
-    let mut rig = Rig::new(settings(), 3);
-    rig.list(fleet(4, 1, 1));
-    let open: Vec<_> = (0..6).map(|_| rig.ask(0).0).collect();
-    rig.now = rig.now + Span::from_ms(3_600_000.0);
+    let mut testbed = Rig::new(settings(), 3);
+    testbed.list(fleet(4, 1, 1));
+    let open: Vec<_> = (0..6).map(|_| testbed.ask(0).0).collect();
+    testbed.now = testbed.now + Span::from_ms(3_600_000.0);
     for id in open {
-        rig.answer(id, 0, Outcome::TimedOut, 800.0);
+        testbed.answer(id, 0, Outcome::TimedOut, 800.0);
     }
-    rig.wait(Span::from_ms(1000.0));
+    testbed.wait(Span::from_ms(1000.0));
     let served = (0..40).filter(|_| {
-        let (id, server) = rig.ask(0);
-        rig.wait(Span::from_ms(20.0));
+        let (id, server) = testbed.ask(0);
+        testbed.wait(Span::from_ms(20.0));
         if server.is_some() {
-            rig.answer(id, 0, Outcome::Success, 20.0);
+            testbed.answer(id, 0, Outcome::Success, 20.0);
         }
-        rig.wait(Span::from_ms(200.0));
+        testbed.wait(Span::from_ms(200.0));
         server.is_some()
     });
     assert!(served.count() > 30);
-    assert_eq!(rig.observer.lost(rig.now), 0);
+    assert_eq!(testbed.observer.lost(testbed.now), 0);
 }
--- a/crates/balancer/tests/blind.rs
+++ b/crates/balancer/tests/blind.rs
@@ -12,19 +12,19 @@
 }
 
 /// One request after another, each answered in `ms` by the servers that `works`; how often each was sent to.
-fn serve(rig: &mut Rig, n: usize, count: u32, ms: f64, ending: impl Fn(ServerId) -> Outcome) -> Vec<u32> {
+fn serve(testbed: &mut Rig, n: usize, count: u32, ms: f64, ending: impl Fn(ServerId) -> Outcome) -> Vec<u32> {
     let mut sent = vec![0; n];
     for _ in 0..count {
-        let (id, mut to) = rig.ask(0);
+        let (id, mut to) = testbed.ask(0);
         let mut attempt = 0;
         while let Some(server) = to {
             sent[server.0 as usize] += 1;
-            rig.wait(Span::from_ms(ms));
-            rig.answer(id, attempt, ending(server), ms);
+            testbed.wait(Span::from_ms(ms));
+            testbed.answer(id, attempt, ending(server), ms);
             attempt += 1;
-            to = rig.sent_to(id);
+            to = testbed.sent_to(id);
         }
-        rig.wait(Span::from_ms(50.0));
+        testbed.wait(Span::from_ms(50.0));
     }
     sent
 }
@@ -36,10 +36,10 @@
 /// A fair coin sent machines of half the size as much as the others, and they jammed first.
 #[test]
 fn load_goes_by_listed_size() {
-    let mut rig = Rig::new(Settings { weights: Weights::Size, ..settings() }, 1);
+    let mut testbed = Rig::new(Settings { weights: Weights::Size, ..settings() }, 1);
     let sized = |l: Listed| Listed { weight: if l.server.0 < 10 { 3.0 } else { 1.0 }, ..l };
-    rig.list(fleet(20, 1, 1).into_iter().map(sized).collect());
-    let sent = serve(&mut rig, 20, 3000, 20.0, all_well);
+    testbed.list(fleet(20, 1, 1).into_iter().map(sized).collect());
+    let sent = serve(&mut testbed, 20, 3000, 20.0, all_well);
     let (large, small) = (sent[..10].iter().sum::<u32>(), sent[10..].iter().sum::<u32>());
     let ratio = f64::from(large) / f64::from(small);
     assert!((2.3..3.7).contains(&ratio), "large machines were sent {ratio:.2} times as much");
@@ -48,17 +48,17 @@
 /// Machines of one listed size and different speed: the kind's answers tell them apart before single servers can.
 #[test]
 fn load_goes_by_the_pace_of_a_kind() {
-    let mut rig = Rig::new(settings(), 2);
+    let mut testbed = Rig::new(settings(), 2);
     let lines = fleet(100, 1, 1).into_iter().map(|l| Listed { kind: KindId(l.server.0 % 2), ..l });
-    rig.list(lines.collect());
+    testbed.list(lines.collect());
     let mut sent = [0, 0];
     for _ in 0..600 {
-        let (id, to) = rig.ask(0);
+        let (id, to) = testbed.ask(0);
         let kind = (to.expect("sent").0 % 2) as usize;
         sent[kind] += 1;
         let ms = [30.0, 90.0][kind];
-        rig.wait(Span::from_ms(ms));
-        rig.answer(id, 0, Outcome::Success, ms);
+        testbed.wait(Span::from_ms(ms));
+        testbed.answer(id, 0, Outcome::Success, ms);
     }
     assert!(sent[0] > 2 * sent[1], "the kind that is three times as fast was sent {sent:?}");
     assert!(sent[1] > 5, "the slow kind is not shut out: {sent:?}");
@@ -67,16 +67,16 @@
 /// Kept connections grew to balancers times servers, over the servers' caps.
 #[test]
 fn only_the_remembered_server_keeps_its_connections() {
-    let mut rig = Rig::new(settings(), 3);
-    rig.list(fleet(20, 1, 1));
+    let mut testbed = Rig::new(settings(), 3);
+    testbed.list(fleet(20, 1, 1));
     let mut kept = std::collections::BTreeSet::new();
     let mut last = None;
     for _ in 0..200 {
-        let (id, to) = rig.ask(0);
+        let (id, to) = testbed.ask(0);
         let to = to.expect("sent");
         kept.insert(to);
-        rig.wait(Span::from_ms(20.0));
-        let actions = rig.answer(id, 0, Outcome::Success, 20.0).to_vec();
+        testbed.wait(Span::from_ms(20.0));
+        let actions = testbed.answer(id, 0, Outcome::Success, 20.0).to_vec();
         // What was remembered before is let go of with its next answer, so at most a few are open.
         for action in actions {
             if let Action::CloseIdle { server } = action {
@@ -91,18 +91,18 @@
 /// A jam of the whole fleet never ended: limits per server bind nothing at one visit in many seconds.
 #[test]
 fn a_jam_of_the_fleet_lets_little_in_and_its_end_is_seen() {
-    let mut rig = Rig::new(settings(), 4);
-    rig.list(fleet(50, 1, 1));
-    serve(&mut rig, 50, 60, 2.0 * AIM_MS, |_| Outcome::TimedOut);
-    let sent = (0..200).filter(|_| rig.ask(0).1.is_some()).count();
+    let mut testbed = Rig::new(settings(), 4);
+    testbed.list(fleet(50, 1, 1));
+    serve(&mut testbed, 50, 60, 2.0 * AIM_MS, |_| Outcome::TimedOut);
+    let sent = (0..200).filter(|_| testbed.ask(0).1.is_some()).count();
     assert!((1..80).contains(&sent), "{sent} of 200 sent into a jam, seen twice a second");
-    let mut rig = Rig::new(settings(), 4);
-    rig.list(fleet(50, 1, 1));
-    serve(&mut rig, 50, 60, 2.0 * AIM_MS, |_| Outcome::TimedOut);
-    rig.wait(Span::from_ms(1000.0));
+    let mut testbed = Rig::new(settings(), 4);
+    testbed.list(fleet(50, 1, 1));
+    serve(&mut testbed, 50, 60, 2.0 * AIM_MS, |_| Outcome::TimedOut);
+    testbed.wait(Span::from_ms(1000.0));
     let refusals = (0..100).filter(|_| {
-        let (id, _) = rig.ask(0);
-        refused(&rig.actions, id)
+        let (id, _) = testbed.ask(0);
+        refused(&testbed.actions, id)
     });
     assert_eq!(refusals.count(), 0, "what was believed a second ago refuses nothing");
 }
@@ -110,10 +110,10 @@
 /// A request turned away by a short queue is no sign of a jam: it goes elsewhere at once.
 #[test]
 fn single_rejections_refuse_nothing() {
-    let mut rig = Rig::new(settings(), 5);
-    rig.list(fleet(50, 1, 1));
-    serve(&mut rig, 50, 200, 20.0, |s| if s.0 < 10 { Outcome::Rejected } else { Outcome::Success });
-    let sent = (0..100).filter(|_| rig.ask(0).1.is_some()).count();
+    let mut testbed = Rig::new(settings(), 5);
+    testbed.list(fleet(50, 1, 1));
+    serve(&mut testbed, 50, 200, 20.0, |s| if s.0 < 10 { Outcome::Rejected } else { Outcome::Success });
+    let sent = (0..100).filter(|_| testbed.ask(0).1.is_some()).count();
     assert!(sent > 90, "{sent} of 100 sent");
 }
 
@@ -137,11 +137,11 @@
     // A good answer of its own clears the doubt, so each of many fresh balancers shows its first few picks only.
     let first_picks = |wait_ms: f64| -> u32 {
         let picks = (0..60).map(|seed| {
-            let mut rig = Rig::new(settings.clone(), seed);
-            rig.list(fleet(10, 1, 1));
-            rig.tell(Event::PeerMessage { from: PeerId(1), payload: all[0].clone() });
-            rig.wait(Span::from_ms(wait_ms));
-            serve(&mut rig, 10, 3, 20.0, all_well)[server]
+            let mut testbed = Rig::new(settings.clone(), seed);
+            testbed.list(fleet(10, 1, 1));
+            testbed.tell(Event::PeerMessage { from: PeerId(1), payload: all[0].clone() });
+            testbed.wait(Span::from_ms(wait_ms));
+            serve(&mut testbed, 10, 3, 20.0, all_well)[server]
         });
         picks.sum()
     };
@@ -165,10 +165,10 @@
 /// Behind a cut link every server fails to connect, one after another; two failures tell of the zone.
 #[test]
 fn a_cut_zone_is_left_after_two_failed_connects() {
-    let mut rig = Rig::new(Settings { max_attempts: 1, ..settings() }, 9);
-    rig.list(fleet(60, 2, 1));
+    let mut testbed = Rig::new(Settings { max_attempts: 1, ..settings() }, 9);
+    testbed.list(fleet(60, 2, 1));
     let cut = |s: ServerId| if s.0 % 2 == 1 { Outcome::ConnectFailed } else { Outcome::Success };
-    let sent = serve(&mut rig, 60, 60, 20.0, cut);
+    let sent = serve(&mut testbed, 60, 60, 20.0, cut);
     let far: u32 = sent.iter().skip(1).step_by(2).sum();
     assert!(far <= 10, "{far} of 60 sent over the cut link");
 }
@@ -182,18 +182,18 @@
     }
 }
 
-fn probed(rig: &Rig) -> Vec<ServerId> {
+fn probed(testbed: &Rig) -> Vec<ServerId> {
     let server = |a: &Action| match a {
         Action::Probe { server } => Some(*server),
         _ => None,
     };
-    rig.actions.iter().filter_map(server).collect()
+    testbed.actions.iter().filter_map(server).collect()
 }
 
-fn report(rig: &mut Rig, server: ServerId, held: f64) -> Option<ServerId> {
+fn report(testbed: &mut Rig, server: ServerId, held: f64) -> Option<ServerId> {
     let report = Some(vec![0.5, held]);
     let elapsed = Span::from_ms(1.0);
-    let actions = rig.tell(Event::Probed { server, outcome: Outcome::Success, elapsed, report });
+    let actions = testbed.tell(Event::Probed { server, outcome: Outcome::Success, elapsed, report });
     actions.iter().find_map(|a| match a {
         Action::Send { server, .. } => Some(*server),
         _ => None,
@@ -203,32 +203,32 @@
 /// A third of the answers were late by chance alone, own counts being all zero.
 #[test]
 fn cheap_probes_tell_the_lightest_candidate() {
-    let mut rig = Rig::new(asking(), 14);
-    rig.list(fleet(20, 1, 1));
-    let (_, sent) = rig.ask(0);
+    let mut testbed = Rig::new(asking(), 14);
+    testbed.list(fleet(20, 1, 1));
+    let (_, sent) = testbed.ask(0);
     assert_eq!(sent, None, "it waits for its candidates");
-    let candidates = probed(&rig);
+    let candidates = probed(&testbed);
     assert!(candidates.len() >= 2, "{candidates:?}");
     let mut sent = None;
     for (i, &server) in candidates.iter().enumerate() {
-        sent = report(&mut rig, server, if i == 1 { 0.0 } else { 4.0 });
+        sent = report(&mut testbed, server, if i == 1 { 0.0 } else { 4.0 });
         assert_eq!(sent.is_some(), i + 1 == candidates.len(), "sent with the last report");
     }
     assert_eq!(sent, Some(candidates[1]));
-    rig.assert_rules();
+    testbed.assert_rules();
 }
 
 #[test]
 fn a_candidate_that_does_not_tell_is_not_waited_for_and_not_chosen() {
-    let mut rig = Rig::new(asking(), 11);
-    rig.list(fleet(20, 1, 1));
-    let (id, _) = rig.ask(0);
-    let candidates = probed(&rig);
-    report(&mut rig, candidates[0], 3.0);
-    let actions = rig.wait(Span::from_ms(0.06 * AIM_MS));
+    let mut testbed = Rig::new(asking(), 11);
+    testbed.list(fleet(20, 1, 1));
+    let (id, _) = testbed.ask(0);
+    let candidates = probed(&testbed);
+    report(&mut testbed, candidates[0], 3.0);
+    let actions = testbed.wait(Span::from_ms(0.06 * AIM_MS));
     assert_eq!(common::sent_in(&actions, id), Some(candidates[0]));
-    let (id, _) = rig.ask(0);
-    let actions = rig.wait(Span::from_ms(0.06 * AIM_MS));
+    let (id, _) = testbed.ask(0);
+    let actions = testbed.wait(Span::from_ms(0.06 * AIM_MS));
     assert!(common::sent_in(&actions, id).is_some(), "with no report at all it is sent all the same");
 }
 
@@ -241,10 +241,10 @@
         Settings { probes: false, ..asking() },
         Settings { balancers: 10, ..asking() },
     ] {
-        let mut rig = Rig::new(settings, 12);
-        rig.list(fleet(20, 1, 1));
-        assert!(rig.ask(0).1.is_some());
-        assert!(probed(&rig).is_empty());
+        let mut testbed = Rig::new(settings, 12);
+        testbed.list(fleet(20, 1, 1));
+        assert!(testbed.ask(0).1.is_some());
+        assert!(probed(&testbed).is_empty());
     }
 }
 
@@ -252,21 +252,21 @@
 #[test]
 fn a_cold_server_is_not_drawn_to_by_its_emptiness() {
     for settings in [settings(), asking()] {
-        let mut rig = Rig::new(settings, 13);
+        let mut testbed = Rig::new(settings, 13);
         let mut lines = fleet(10, 1, 1);
-        lines[9].started = Some(rig.now);
-        rig.list(lines);
+        lines[9].started = Some(testbed.now);
+        testbed.list(lines);
         let (mut cold, mut all) = (0, 0);
         for _ in 0..400 {
-            let (id, mut to) = rig.ask(0);
-            for server in probed(&rig) {
-                to = to.or(report(&mut rig, server, if server.0 == 9 { 0.0 } else { 2.0 }));
+            let (id, mut to) = testbed.ask(0);
+            for server in probed(&testbed) {
+                to = to.or(report(&mut testbed, server, if server.0 == 9 { 0.0 } else { 2.0 }));
             }
             let to = to.expect("sent");
             cold += u32::from(to.0 == 9);
             all += 1;
-            rig.answer(id, 0, Outcome::Success, 20.0);
-            rig.wait(Span::from_ms(2.0));
+            testbed.answer(id, 0, Outcome::Success, 20.0);
+            testbed.wait(Span::from_ms(2.0));
         }
         assert!(cold <= all / 20, "{cold} of {all} to one cold server of ten");
     }
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: an observer that holds a balancer to the four rules, and a small rig around one.
+//! What the tests share: an observer that holds a balancer to the four rules, and a small testbed around one.
 #![allow(dead_code, missing_docs)]
 
 use bellcroft_balancer::*;
@@ -297,7 +297,7 @@
     pub fn new(settings: Settings, seed: u64) -> Self {
         let observer = Observer::new(&settings);
         let balancer = Balancer::new(settings, seed).expect("usable settings");
-        let mut rig = Rig {
+        let mut testbed = Rig {
             balancer,
             observer,
             now: Time::from_ms(50_000.0),
@@ -306,9 +306,9 @@
             next: 0,
         };
         let mut actions = Vec::new();
-        rig.balancer.start(rig.now, &mut actions);
-        rig.take(actions);
-        rig
+        testbed.balancer.start(testbed.now, &mut actions);
+        testbed.take(actions);
+        testbed
     }
 
     fn take(&mut self, actions: Vec<Action>) {
--- a/crates/balancer/tests/drains_kept.rs
+++ b/crates/balancer/tests/drains_kept.rs
@@ -5,16 +5,16 @@
 
 fn drained(update: impl Fn(Vec<Listed>) -> ListUpdate) {
     let settings = Settings { classes: vec![class(Effect::Idempotent)], ..Settings::default() };
-    let mut rig = Rig::new(settings, 2);
-    rig.list(fleet(2, 1, 1));
-    rig.tell(Event::List(update(fleet(2, 1, 1))));
+    let mut testbed = Rig::new(settings, 2);
+    testbed.list(fleet(2, 1, 1));
+    testbed.tell(Event::List(update(fleet(2, 1, 1))));
     for _ in 0..50 {
-        let (id, sent) = rig.ask(0);
+        let (id, sent) = testbed.ask(0);
         assert_eq!(sent, Some(ServerId(1)));
-        rig.wait(Span::from_ms(10.0));
-        rig.answer(id, 0, Outcome::Success, 10.0);
+        testbed.wait(Span::from_ms(10.0));
+        testbed.answer(id, 0, Outcome::Success, 10.0);
     }
-    rig.assert_rules();
+    testbed.assert_rules();
 }
 
 #[test]
@@ -44,18 +44,18 @@
         classes: vec![class(Effect::Idempotent)],
         ..Settings::default()
     };
-    let mut rig = Rig::new(settings, 2);
-    assert!(rig.actions.contains(&Action::Follow { active: true }), "followed from the start");
-    rig.list(fleet(2, 1, 1));
+    let mut testbed = Rig::new(settings, 2);
+    assert!(testbed.actions.contains(&Action::Follow { active: true }), "followed from the start");
+    testbed.list(fleet(2, 1, 1));
     let mut asked = 0;
     for _ in 0..5 {
-        rig.tell(Event::List(ListUpdate::Failed));
-        let (id, sent) = rig.ask(0);
+        testbed.tell(Event::List(ListUpdate::Failed));
+        let (id, sent) = testbed.ask(0);
         assert!(sent.is_some());
-        rig.answer(id, 0, Outcome::Success, 10.0);
-        let actions = rig.wait(Span::from_ms(5000.0));
+        testbed.answer(id, 0, Outcome::Success, 10.0);
+        let actions = testbed.wait(Span::from_ms(5000.0));
         asked += actions.iter().filter(|a| **a == Action::Follow { active: true }).count();
     }
     assert_eq!(asked, 5, "one more call after each failure, within half of what the site asks");
-    rig.assert_rules();
+    testbed.assert_rules();
 }
--- a/crates/balancer/tests/limits.rs
+++ b/crates/balancer/tests/limits.rs
@@ -31,15 +31,15 @@
 }
 
 struct World {
-    rig: Rig,
+    testbed: Rig,
     next: u64,
 }
 
 impl World {
     fn new(servers: u32) -> Self {
-        let mut rig = Rig::new(settings(), 9);
-        rig.list(fleet(servers, 2, 2));
-        World { rig, next: 1_000_000 }
+        let mut testbed = Rig::new(settings(), 9);
+        testbed.list(fleet(servers, 2, 2));
+        World { testbed, next: 1_000_000 }
     }
 
     /// A request with these limits, and where it was sent.
@@ -51,19 +51,19 @@
     ) -> (RequestId, Option<ServerId>) {
         let id = RequestId(self.next);
         self.next += 1;
-        let left = self.rig.observer.settings.classes[class].deadline;
+        let left = self.testbed.observer.settings.classes[class].deadline;
         let request = Request {
             limits: Some(limits.clone()),
             second_copy_after: copy.map(Span::from_ms),
             ..Request::new(id, ClassId(class), left)
         };
-        self.rig.tell(Event::Request(request));
-        (id, self.rig.sent_to(id))
+        self.testbed.tell(Event::Request(request));
+        (id, self.testbed.sent_to(id))
     }
 
     fn again(&mut self, id: RequestId, attempt: u32, outcome: Outcome) -> Option<ServerId> {
-        self.rig.answer(id, attempt, outcome, 10.0);
-        self.rig.sent_to(id)
+        self.testbed.answer(id, attempt, outcome, 10.0);
+        self.testbed.sent_to(id)
     }
 }
 
@@ -84,8 +84,8 @@
         let mut texts = Vec::new();
         for limits in [None, Some(Arc::new(Limits::STANDARD))] {
             let mut random = fastrand::Rng::with_seed(seed);
-            let mut rig = Rig::new(settings(), seed);
-            rig.list(fleet(1 + random.u32(0..6), 2, 2));
+            let mut testbed = Rig::new(settings(), seed);
+            testbed.list(fleet(1 + random.u32(0..6), 2, 2));
             let mut out: VecDeque<(RequestId, u32)> = VecDeque::new();
             let mut sends: BTreeMap<RequestId, u32> = BTreeMap::new();
             let mut text = Vec::new();
@@ -95,7 +95,7 @@
                         let class = ClassId(random.usize(0..3));
                         let left = Span::from_ms(f64::from(random.u32(1..3000)));
                         let request = Request::new(RequestId(step), class, left);
-                        rig.tell(Event::Request(Request { limits: limits.clone(), ..request })).to_vec()
+                        testbed.tell(Event::Request(Request { limits: limits.clone(), ..request })).to_vec()
                     }
                     2 if !out.is_empty() => {
                         let (id, attempt) = out.remove(random.usize(0..out.len())).expect("in range");
@@ -107,9 +107,9 @@
                             Outcome::TimedOut,
                             Outcome::ConnectFailed,
                         ];
-                        rig.answer(id, attempt, outcomes[random.usize(0..outcomes.len())], 40.0).to_vec()
+                        testbed.answer(id, attempt, outcomes[random.usize(0..outcomes.len())], 40.0).to_vec()
                     }
-                    _ => rig.wait(Span::from_ms(f64::from(random.u32(1..60)))),
+                    _ => testbed.wait(Span::from_ms(f64::from(random.u32(1..60)))),
                 };
                 for action in &actions {
                     if let Action::Send { request, .. } = action {
@@ -139,7 +139,7 @@
             attempts += 1;
         }
         assert_eq!(attempts, most);
-        world.rig.assert_rules();
+        world.testbed.assert_rules();
     }
 }
 
@@ -172,7 +172,7 @@
         for (class, kept) in [(0, true), (0, false)] {
             let route = if kept { limits.clone() } else { Arc::new(Limits::STANDARD) };
             for _ in 0..seed % 5 {
-                world.rig.ask(0);
+                world.testbed.ask(0);
             }
             let (id, Some(first)) = world.ask(class, &route, None) else { continue };
             if let Some(second) = world.again(id, 0, Outcome::ConnectFailed) {
@@ -189,7 +189,7 @@
 fn an_attempt_and_a_request_end_by_the_route_s_time_outs() {
     let mut world = World::new(3);
     let limits = limits(|l| (l.timeout, l.attempt_timeout) = (Span::from_ms(900.0), Span::from_ms(400.0)));
-    let begin = world.rig.now;
+    let begin = world.testbed.now;
     let (id, _) = world.ask(0, &limits, None);
     let times = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
@@ -197,20 +197,20 @@
             _ => None,
         })
     };
-    assert_eq!(times(&world.rig.actions).map(|t| t.0), Some(400.0));
-    world.rig.wait(Span::from_ms(400.0));
-    world.rig.answer(id, 0, Outcome::TimedOut, 400.0);
-    assert_eq!(times(&world.rig.actions).map(|t| t.0), Some(800.0));
-    world.rig.wait(Span::from_ms(400.0));
-    world.rig.answer(id, 1, Outcome::TimedOut, 400.0);
+    assert_eq!(times(&world.testbed.actions).map(|t| t.0), Some(400.0));
+    world.testbed.wait(Span::from_ms(400.0));
+    world.testbed.answer(id, 0, Outcome::TimedOut, 400.0);
+    assert_eq!(times(&world.testbed.actions).map(|t| t.0), Some(800.0));
+    world.testbed.wait(Span::from_ms(400.0));
+    world.testbed.answer(id, 1, Outcome::TimedOut, 400.0);
     // The third attempt, if there is one, has what the request has left.
-    if let Some((until, _)) = times(&world.rig.actions) {
+    if let Some((until, _)) = times(&world.testbed.actions) {
         assert_eq!(until, 900.0);
-        world.rig.wait(Span::from_ms(100.0));
-        world.rig.answer(id, 2, Outcome::TimedOut, 100.0);
+        world.testbed.wait(Span::from_ms(100.0));
+        world.testbed.answer(id, 2, Outcome::TimedOut, 100.0);
     }
-    assert!(refused(&world.rig.actions, id), "it has its answer at once");
-    world.rig.assert_rules();
+    assert!(refused(&world.testbed.actions, id), "it has its answer at once");
+    world.testbed.assert_rules();
 }
 
 /// The window is the first attempt's; the grace of a drain begins with the decision at the earliest; and a connection
@@ -223,8 +223,8 @@
         ..class(keyed(Group::All, 3000.0))
     };
     // In milliseconds after its request came.
-    let write_by = |rig: &Rig, came: Time| {
-        rig.actions.iter().find_map(|a| match a {
+    let write_by = |testbed: &Rig, came: Time| {
+        testbed.actions.iter().find_map(|a| match a {
             Action::Send { write_by, .. } => Some(write_by.since(came).ms()),
             _ => None,
         })
@@ -232,27 +232,31 @@
     let ask = |aim_ms: f64, grace_ms: f64| {
         let (classes, drain_grace) = (vec![patient(aim_ms)], Span::from_ms(grace_ms));
         let settings = Settings { classes, drain_grace, ..Settings::default() };
-        let mut rig = Rig::new(settings, 3);
-        rig.list(fleet(4, 1, 1));
-        let (came, (id, _)) = (rig.now, rig.ask(0));
-        (rig, id, came)
+        let mut testbed = Rig::new(settings, 3);
+        testbed.list(fleet(4, 1, 1));
+        let (came, (id, _)) = (testbed.now, testbed.ask(0));
+        (testbed, id, came)
     };
-    let (rig, _, came) = ask(20_000.0, 1000.0);
-    assert_eq!(write_by(&rig, came), Some(850.0), "the grace, less 150 ms for a hold-up, is the shortest");
-    let (rig, _, came) = ask(2000.0, 1000.0);
-    assert_eq!(write_by(&rig, came), Some(500.0), "a quarter of the wanted time is");
-    let (rig, _, came) = ask(40.0, 1000.0);
-    assert_eq!(write_by(&rig, came), Some(50.0), "no connection is given less");
-    let (mut rig, id, came) = ask(20_000.0, 10_000.0);
-    assert_eq!(write_by(&rig, came), Some(5000.0));
-    rig.wait(Span::from_ms(1000.0));
-    rig.answer(id, 0, Outcome::ConnectionReset, 1000.0);
-    assert_eq!(write_by(&rig, came), Some(3000.0), "the end of the window, and not of the quarter");
-    let (mut rig, id, came) = ask(20_000.0, 10_000.0);
-    rig.wait(Span::from_ms(1000.0));
-    rig.answer(id, 0, Outcome::ConnectFailed, 1000.0);
+    let (testbed, _, came) = ask(20_000.0, 1000.0);
+    assert_eq!(
+        write_by(&testbed, came),
+        Some(850.0),
+        "the grace, less 150 ms for a hold-up, is the shortest"
+    );
+    let (testbed, _, came) = ask(2000.0, 1000.0);
+    assert_eq!(write_by(&testbed, came), Some(500.0), "a quarter of the wanted time is");
+    let (testbed, _, came) = ask(40.0, 1000.0);
+    assert_eq!(write_by(&testbed, came), Some(50.0), "no connection is given less");
+    let (mut testbed, id, came) = ask(20_000.0, 10_000.0);
+    assert_eq!(write_by(&testbed, came), Some(5000.0));
+    testbed.wait(Span::from_ms(1000.0));
+    testbed.answer(id, 0, Outcome::ConnectionReset, 1000.0);
+    assert_eq!(write_by(&testbed, came), Some(3000.0), "the end of the window, and not of the quarter");
+    let (mut testbed, id, came) = ask(20_000.0, 10_000.0);
+    testbed.wait(Span::from_ms(1000.0));
+    testbed.answer(id, 0, Outcome::ConnectFailed, 1000.0);
     // What never ran opens no window.
-    assert_eq!(write_by(&rig, came), Some(1000.0 + 4750.0));
+    assert_eq!(write_by(&testbed, came), Some(1000.0 + 4750.0));
 }
 
 #[test]
@@ -260,8 +264,8 @@
     let mut world = World::new(0);
     let (short, _) = world.ask(0, &limits(|l| l.queue_timeout = Span::from_ms(100.0)), None);
     let (long, _) = world.ask(0, &Arc::new(Limits::STANDARD), None);
-    assert!(world.rig.wait(Span::from_ms(90.0)).iter().all(|a| !matches!(a, Action::Refuse { .. })));
-    let actions = world.rig.wait(Span::from_ms(30.0));
+    assert!(world.testbed.wait(Span::from_ms(90.0)).iter().all(|a| !matches!(a, Action::Refuse { .. })));
+    let actions = world.testbed.wait(Span::from_ms(30.0));
     assert!(refused(&actions, short) && !refused(&actions, long));
 }
 
@@ -275,13 +279,13 @@
     assert!(sent.is_some());
     assert!(world.ask(2, &two, None).1.is_some());
     let (held, sent) = world.ask(0, &one, None);
-    assert!(sent.is_none() && !refused(&world.rig.actions, held), "held back");
+    assert!(sent.is_none() && !refused(&world.testbed.actions, held), "held back");
     let (over, _) = world.ask(2, &two, None);
-    assert!(refused(&world.rig.actions, over), "there is room for one");
+    assert!(refused(&world.testbed.actions, over), "there is room for one");
     assert!(world.ask(0, &Arc::new(Limits::STANDARD), None).1.is_some(), "others are not concerned");
-    world.rig.answer(a, 0, Outcome::Success, 20.0);
-    assert!(world.rig.sent_to(held).is_some(), "its place is free");
-    world.rig.assert_rules();
+    world.testbed.answer(a, 0, Outcome::Success, 20.0);
+    assert!(world.testbed.sent_to(held).is_some(), "its place is free");
+    world.testbed.assert_rules();
 }
 
 /// Requests of two routes with a budget each and one of their pool: neither a route nor both together spend more.
@@ -296,12 +300,12 @@
             let (id, _) = world.ask(0, route, None);
             if world.again(id, 0, outcome).is_some() {
                 spent[place] += 1;
-                world.rig.answer(id, 1, Outcome::Success, 10.0);
+                world.testbed.answer(id, 1, Outcome::Success, 10.0);
             }
         }
     }
     assert_eq!(spent, [2, 1], "two of the first's own, and one that the pool had left");
-    world.rig.assert_rules();
+    world.testbed.assert_rules();
 }
 
 /// Extra sends in every window of a second, while the whole fleet fails each request for a while.
@@ -323,24 +327,24 @@
         }
     };
     for step in 0..8000_u32 {
-        let actions = world.rig.wait(Span::from_ms(1.0));
-        take(world.rig.now, &actions, &mut out, &mut extra);
+        let actions = world.testbed.wait(Span::from_ms(1.0));
+        take(world.testbed.now, &actions, &mut out, &mut extra);
         if step % 5 == 0 {
             world.ask(0, limits, copy);
-            asked.push(world.rig.now);
-            let actions = world.rig.actions.clone();
-            take(world.rig.now, &actions, &mut out, &mut extra);
+            asked.push(world.testbed.now);
+            let actions = world.testbed.actions.clone();
+            take(world.testbed.now, &actions, &mut out, &mut extra);
         }
-        while out.front().is_some_and(|(at, ..)| *at <= world.rig.now) {
+        while out.front().is_some_and(|(at, ..)| *at <= world.testbed.now) {
             let (_, id, attempt) = out.pop_front().expect("there is one");
             let slow = (2000..6000).contains(&step);
             let outcome = if slow { Outcome::ServerError } else { Outcome::Success };
-            world.rig.answer(id, attempt, outcome, 150.0);
-            let actions = world.rig.actions.clone();
-            take(world.rig.now, &actions, &mut out, &mut extra);
+            world.testbed.answer(id, attempt, outcome, 150.0);
+            let actions = world.testbed.actions.clone();
+            take(world.testbed.now, &actions, &mut out, &mut extra);
         }
     }
-    world.rig.assert_rules();
+    world.testbed.assert_rules();
     let window = Span::from_ms(1000.0);
     let within = |times: &[Time], from: Time| {
         times.iter().filter(|at| **at >= from && at.since(from) < window).count()
@@ -368,15 +372,15 @@
 fn a_second_copy_goes_elsewhere_and_the_loser_is_called_back() {
     let mut world = World::new(4);
     let (id, first) = world.ask(0, &Arc::new(Limits::STANDARD), Some(50.0));
-    assert!(sent_in(&world.rig.wait(Span::from_ms(49.0)), id).is_none(), "not yet");
-    let second = sent_in(&world.rig.wait(Span::from_ms(2.0)), id);
+    assert!(sent_in(&world.testbed.wait(Span::from_ms(49.0)), id).is_none(), "not yet");
+    let second = sent_in(&world.testbed.wait(Span::from_ms(2.0)), id);
     assert!(second.is_some() && second != first, "{first:?} {second:?}");
-    assert!(sent_in(&world.rig.wait(Span::from_ms(200.0)), id).is_none(), "one copy");
-    world.rig.answer(id, 1, Outcome::Success, 20.0);
+    assert!(sent_in(&world.testbed.wait(Span::from_ms(200.0)), id).is_none(), "one copy");
+    world.testbed.answer(id, 1, Outcome::Success, 20.0);
     let cancel = Action::Cancel { request: id, attempt: AttemptNo(0) };
-    assert!(world.rig.actions.contains(&cancel), "{:?}", world.rig.actions);
-    world.rig.answer(id, 0, Outcome::Cancelled, 250.0);
-    world.rig.assert_rules();
+    assert!(world.testbed.actions.contains(&cancel), "{:?}", world.testbed.actions);
+    world.testbed.answer(id, 0, Outcome::Cancelled, 250.0);
+    world.testbed.assert_rules();
 }
 
 #[test]
@@ -384,22 +388,22 @@
     // Unsafe to repeat; keyed within a zone goes out in that zone only.
     let mut world = World::new(6);
     let (id, _) = world.ask(1, &Arc::new(Limits::STANDARD), Some(50.0));
-    assert!(sent_in(&world.rig.wait(Span::from_ms(300.0)), id).is_none());
+    assert!(sent_in(&world.testbed.wait(Span::from_ms(300.0)), id).is_none());
     let (id, first) = world.ask(2, &Arc::new(Limits::STANDARD), Some(50.0));
-    let copy = sent_in(&world.rig.wait(Span::from_ms(60.0)), id).expect("a copy");
+    let copy = sent_in(&world.testbed.wait(Span::from_ms(60.0)), id).expect("a copy");
     assert_eq!(first.map(|s| s.0 % 2), Some(copy.0 % 2));
     // A lone server, which has the first already.
     let mut world = World::new(1);
     let (id, _) = world.ask(0, &Arc::new(Limits::STANDARD), Some(50.0));
-    assert!(sent_in(&world.rig.wait(Span::from_ms(60.0)), id).is_none());
+    assert!(sent_in(&world.testbed.wait(Span::from_ms(60.0)), id).is_none());
     // Its share is used up.
     let mut world = World::new(6);
     let share = limits(|l| l.copies.push(Budget { id: 5, ratio: 0.0, burst: 1.0, strict: true }));
     let copies = (0..4).filter(|_| {
         let (id, _) = world.ask(0, &share, Some(50.0));
-        let copied = sent_in(&world.rig.wait(Span::from_ms(60.0)), id).is_some();
+        let copied = sent_in(&world.testbed.wait(Span::from_ms(60.0)), id).is_some();
         for attempt in 0..1 + u32::from(copied) {
-            world.rig.answer(id, attempt, Outcome::Success, 60.0);
+            world.testbed.answer(id, attempt, Outcome::Success, 60.0);
         }
         copied
     });
@@ -410,5 +414,5 @@
     let full = limits(|l| l.bounds.push(Bound { id: 9, in_flight: 1, held: 10 }));
     assert!(world.ask(0, &full, None).1.is_some());
     assert!(world.ask(0, &full, None).1.is_none());
-    assert!(sent_in(&world.rig.wait(Span::from_ms(60.0)), id).is_none());
+    assert!(sent_in(&world.testbed.wait(Span::from_ms(60.0)), id).is_none());
 }
--- a/crates/balancer/tests/no_doubled_effect.rs
+++ b/crates/balancer/tests/no_doubled_effect.rs
@@ -32,13 +32,13 @@
                         second_copies: copies,
                         ..Settings::default()
                     };
-                    let mut rig = Rig::new(settings, 3);
-                    rig.list(fleet(12, 3, 4));
-                    let (id, first) = rig.ask(0);
+                    let mut testbed = Rig::new(settings, 3);
+                    testbed.list(fleet(12, 3, 4));
+                    let (id, first) = testbed.ask(0);
                     let first = first.expect("an idle fleet takes a request").0;
-                    rig.wait(Span::from_ms(ms));
-                    rig.answer(id, 0, outcome, ms);
-                    let (next, actions) = (rig.sent_to(id), rig.actions.clone());
+                    testbed.wait(Span::from_ms(ms));
+                    testbed.answer(id, 0, outcome, ms);
+                    let (next, actions) = (testbed.sent_to(id), testbed.actions.clone());
                     let case = format!("{effect:?} {outcome:?} after {ms} ms, copies {copies}");
                     let proven = outcome.never_ran();
                     let inside = ms < 100.0;
@@ -62,7 +62,7 @@
                             }
                         }
                     }
-                    rig.assert_rules();
+                    testbed.assert_rules();
                 }
             }
         }
@@ -75,15 +75,15 @@
     let settings =
         Settings { classes: vec![class(keyed(Group::Zone, 400.0))], max_attempts: 6, ..Settings::default() };
     for seed in 0..40 {
-        let mut rig = Rig::new(settings.clone(), seed);
-        rig.list(fleet(9, 3, 3));
-        let (id, _) = rig.ask(0);
-        rig.answer(id, 0, Outcome::ConnectFailed, 1.0);
-        let second = rig.sent_to(id).expect("never ran: anywhere").0;
-        rig.answer(id, 1, Outcome::ConnectionReset, 1.0);
-        let third = rig.sent_to(id).expect("inside the window: same zone").0;
+        let mut testbed = Rig::new(settings.clone(), seed);
+        testbed.list(fleet(9, 3, 3));
+        let (id, _) = testbed.ask(0);
+        testbed.answer(id, 0, Outcome::ConnectFailed, 1.0);
+        let second = testbed.sent_to(id).expect("never ran: anywhere").0;
+        testbed.answer(id, 1, Outcome::ConnectionReset, 1.0);
+        let third = testbed.sent_to(id).expect("inside the window: same zone").0;
         assert_eq!(third % 3, second % 3);
-        rig.assert_rules();
+        testbed.assert_rules();
     }
 }
 
@@ -91,14 +91,14 @@
 #[test]
 fn a_later_proof_does_not_clear_an_earlier_attempt() {
     let settings = Settings { classes: vec![class(keyed(Group::Cell, 5000.0))], ..Settings::default() };
-    let mut rig = Rig::new(settings, 9);
-    rig.list(fleet(8, 2, 4));
-    let (id, first) = rig.ask(0);
-    rig.answer(id, 0, Outcome::ServerError, 1.0);
-    assert!(rig.sent_to(id).is_some());
-    rig.answer(id, 1, Outcome::Rejected, 1.0);
-    let third = rig.sent_to(id).map(|s| s.0 % 4);
+    let mut testbed = Rig::new(settings, 9);
+    testbed.list(fleet(8, 2, 4));
+    let (id, first) = testbed.ask(0);
+    testbed.answer(id, 0, Outcome::ServerError, 1.0);
+    assert!(testbed.sent_to(id).is_some());
+    testbed.answer(id, 1, Outcome::Rejected, 1.0);
+    let third = testbed.sent_to(id).map(|s| s.0 % 4);
     assert_eq!(third.unwrap_or(first.unwrap().0 % 4), first.unwrap().0 % 4);
-    assert!(!refused(&rig.actions, id), "it may have run in the first attempt");
-    rig.assert_rules();
+    assert!(!refused(&testbed.actions, id), "it may have run in the first attempt");
+    testbed.assert_rules();
 }
--- a/crates/balancer/tests/overload.rs
+++ b/crates/balancer/tests/overload.rs
@@ -9,12 +9,12 @@
 }
 
 /// Fills a fleet of one server until requests are held; the requests sent and those held.
-fn fill(rig: &mut Rig, count: u32) -> (Vec<RequestId>, Vec<RequestId>) {
-    rig.list(fleet(1, 1, 1));
+fn fill(testbed: &mut Rig, count: u32) -> (Vec<RequestId>, Vec<RequestId>) {
+    testbed.list(fleet(1, 1, 1));
     let asked: Vec<_> = (0..count)
         .map(|_| {
-            rig.wait(Span::from_ms(1.0));
-            rig.ask(0)
+            testbed.wait(Span::from_ms(1.0));
+            testbed.ask(0)
         })
         .collect();
     let sent = asked.iter().filter(|a| a.1.is_some()).map(|a| a.0).collect();
@@ -24,53 +24,53 @@
 /// First come first served would make every held request late.
 #[test]
 fn held_requests_go_newest_first() {
-    let mut rig = Rig::new(settings(), 1);
-    let (sent, held) = fill(&mut rig, 12);
+    let mut testbed = Rig::new(settings(), 1);
+    let (sent, held) = fill(&mut testbed, 12);
     assert!(!sent.is_empty() && held.len() > 4);
-    rig.answer(sent[0], 0, Outcome::Success, 20.0);
-    assert!(rig.sent_to(*held.last().unwrap()).is_some());
-    assert!(rig.sent_to(held[0]).is_none());
+    testbed.answer(sent[0], 0, Outcome::Success, 20.0);
+    assert!(testbed.sent_to(*held.last().unwrap()).is_some());
+    assert!(testbed.sent_to(held[0]).is_none());
 }
 
 #[test]
 fn held_requests_are_refused_before_their_aim_has_passed() {
-    let mut rig = Rig::new(settings(), 1);
-    let (_, held) = fill(&mut rig, 12);
-    let start = rig.now;
+    let mut testbed = Rig::new(settings(), 1);
+    let (_, held) = fill(&mut testbed, 12);
+    let start = testbed.now;
     let mut refusals = 0;
-    while rig.now.since(start) < Span::from_ms(200.0) {
+    while testbed.now.since(start) < Span::from_ms(200.0) {
         refusals +=
-            rig.wait(Span::from_ms(10.0)).iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
+            testbed.wait(Span::from_ms(10.0)).iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
         if refusals == held.len() {
             break;
         }
     }
     assert_eq!(refusals, held.len());
-    assert!(rig.now.since(start) < Span::from_ms(200.0), "in time for the client's next try");
+    assert!(testbed.now.since(start) < Span::from_ms(200.0), "in time for the client's next try");
 }
 
 #[test]
 fn late_answers_bring_fewer_sends_and_quick_ones_bring_them_back() {
-    let mut rig = Rig::new(settings(), 1);
-    rig.list(fleet(2, 1, 1));
+    let mut testbed = Rig::new(settings(), 1);
+    testbed.list(fleet(2, 1, 1));
     let mut round = |ms: f64| {
         let mut out = Vec::new();
         let held = loop {
-            match rig.ask(0) {
+            match testbed.ask(0) {
                 (id, Some(_)) => out.push(id),
                 (id, None) => break id,
             }
         };
         let now = out.len();
-        rig.wait(Span::from_ms(ms));
+        testbed.wait(Span::from_ms(ms));
         let mut late = None;
         for id in out {
-            late = late.or(sent_in(rig.answer(id, 0, Outcome::Success, ms), held));
+            late = late.or(sent_in(testbed.answer(id, 0, Outcome::Success, ms), held));
         }
         if late.is_some() {
-            rig.answer(held, 0, Outcome::Success, ms);
+            testbed.answer(held, 0, Outcome::Success, ms);
         }
-        rig.wait(Span::from_ms(250.0));
+        testbed.wait(Span::from_ms(250.0));
         now
     };
     let first = round(20.0);
@@ -88,26 +88,26 @@
 /// An attempt turned away as full must not go round the fleet at once, again and again.
 #[test]
 fn full_servers_get_a_rest() {
-    let mut rig = Rig::new(settings(), 1);
-    rig.list(fleet(3, 1, 1));
+    let mut testbed = Rig::new(settings(), 1);
+    testbed.list(fleet(3, 1, 1));
     let mut sends = 0;
     let mut attempts: BTreeMap<RequestId, u32> = BTreeMap::new();
     for _ in 0..200 {
-        rig.ask(0);
-        let mut todo = rig.actions.clone();
-        todo.extend(rig.wait(Span::from_ms(5.0)));
+        testbed.ask(0);
+        let mut todo = testbed.actions.clone();
+        todo.extend(testbed.wait(Span::from_ms(5.0)));
         while let Some(action) = todo.pop() {
             if let Action::Send { request, .. } = action {
                 sends += 1;
                 let attempt = attempts.entry(request).or_insert(0);
-                todo.extend_from_slice(rig.answer(request, *attempt, Outcome::Rejected, 1.0));
+                todo.extend_from_slice(testbed.answer(request, *attempt, Outcome::Rejected, 1.0));
                 *attempt += 1;
             }
         }
     }
-    rig.wait(Span::from_ms(300.0));
+    testbed.wait(Span::from_ms(300.0));
     assert!(sends < 120, "{sends} attempts for 200 requests to full servers");
-    rig.assert_rules();
+    testbed.assert_rules();
 }
 
 /// Limits of one request each from many balancers are still a crowd. One that asks four times a second holds back what a
@@ -115,15 +115,15 @@
 #[test]
 fn limits_go_below_one_request_where_balancers_are_many() {
     let rate = |balancers| {
-        let mut rig = Rig::new(Settings { balancers, ..settings() }, 1);
-        rig.list(fleet(1, 1, 1));
+        let mut testbed = Rig::new(Settings { balancers, ..settings() }, 1);
+        testbed.list(fleet(1, 1, 1));
         let mut sends = 0;
         for _ in 0..300 {
-            let (id, sent) = rig.ask(0);
-            rig.wait(Span::from_ms(250.0));
+            let (id, sent) = testbed.ask(0);
+            testbed.wait(Span::from_ms(250.0));
             if sent.is_some() {
                 sends += 1;
-                rig.answer(id, 0, Outcome::Success, 250.0);
+                testbed.answer(id, 0, Outcome::Success, 250.0);
             }
         }
         sends
@@ -135,11 +135,11 @@
 /// A later try is known by its unusual wait; when its aim has passed, serving it is wasted.
 #[test]
 fn a_later_try_past_its_aim_is_refused() {
-    let mut rig = Rig::new(settings(), 1);
-    rig.list(fleet(9, 1, 1));
+    let mut testbed = Rig::new(settings(), 1);
+    testbed.list(fleet(9, 1, 1));
     let mut ask = |id: u64, left: f64| {
         let request = Request::new(RequestId(1000 + id), ClassId(0), Span::from_ms(left));
-        rig.tell(Event::Request(request)).iter().any(|a| matches!(a, Action::Send { .. }))
+        testbed.tell(Event::Request(request)).iter().any(|a| matches!(a, Action::Send { .. }))
     };
     for id in 0..10 {
         assert!(ask(id, 500.0), "first tries of a class wait alike, here for 500 of 800 ms");
@@ -149,27 +149,27 @@
 }
 
 fn pressed(settings: Settings, ask: impl Fn(u32) -> Request) -> BTreeMap<(usize, Option<usize>), (u32, u32)> {
-    let mut rig = Rig::new(settings, 3);
-    rig.list(fleet(2, 1, 1));
+    let mut testbed = Rig::new(settings, 3);
+    testbed.list(fleet(2, 1, 1));
     let mut out: Vec<(Time, Request)> = Vec::new();
     let mut tally: BTreeMap<_, (u32, u32)> = BTreeMap::new();
     for i in 0..6000 {
         let request = ask(i);
         let entry = tally.entry((request.class.0, request.tenant.map(|t| t.0))).or_default();
         entry.0 += 1;
-        let mut actions = rig.tell(Event::Request(request.clone())).to_vec();
+        let mut actions = testbed.tell(Event::Request(request.clone())).to_vec();
         out.push((Time(u64::MAX), request));
-        actions.extend(rig.wait(Span::from_ms(2.0)));
-        let due: Vec<_> = out.iter().filter(|o| o.0 <= rig.now).map(|o| o.1.id).collect();
+        actions.extend(testbed.wait(Span::from_ms(2.0)));
+        let due: Vec<_> = out.iter().filter(|o| o.0 <= testbed.now).map(|o| o.1.id).collect();
         for id in due {
-            actions.extend_from_slice(rig.answer(id, 0, Outcome::Success, 40.0));
+            actions.extend_from_slice(testbed.answer(id, 0, Outcome::Success, 40.0));
             let (_, r) = out.swap_remove(out.iter().position(|o| o.1.id == id).unwrap());
             tally.get_mut(&(r.class.0, r.tenant.map(|t| t.0))).unwrap().1 += 1;
         }
         for action in actions {
             if let Action::Send { request, .. } = action {
                 if let Some(o) = out.iter_mut().find(|o| o.1.id == request) {
-                    o.0 = rig.now + Span::from_ms(40.0);
+                    o.0 = testbed.now + Span::from_ms(40.0);
                 }
             }
         }
@@ -217,44 +217,45 @@
 #[test]
 fn a_round_of_late_answers_from_the_whole_fleet_is_enough_to_send_far_less() {
     let settings = Settings { balancers: 20, ..settings() };
-    let mut rig = Rig::new(settings, 1);
-    rig.list(fleet(24, 1, 1));
-    let burst = |rig: &mut Rig| -> Vec<RequestId> {
-        let sent = |rig: &mut Rig| Some(rig.ask(0)).filter(|asked| asked.1.is_some()).map(|asked| asked.0);
-        std::iter::from_fn(|| sent(rig)).collect()
+    let mut testbed = Rig::new(settings, 1);
+    testbed.list(fleet(24, 1, 1));
+    let burst = |testbed: &mut Rig| -> Vec<RequestId> {
+        let sent =
+            |testbed: &mut Rig| Some(testbed.ask(0)).filter(|asked| asked.1.is_some()).map(|asked| asked.0);
+        std::iter::from_fn(|| sent(testbed)).collect()
     };
-    let answer = |rig: &mut Rig, ids: &[RequestId], ms: f64| {
-        rig.wait(Span::from_ms(ms));
+    let answer = |testbed: &mut Rig, ids: &[RequestId], ms: f64| {
+        testbed.wait(Span::from_ms(ms));
         ids.iter().for_each(|&id| {
-            rig.answer(id, 0, Outcome::Success, ms);
+            testbed.answer(id, 0, Outcome::Success, ms);
         });
     };
-    let crowd = burst(&mut rig);
-    answer(&mut rig, &crowd, 250.0);
-    rig.wait(Span::from_ms(250.0));
-    let after = burst(&mut rig);
+    let crowd = burst(&mut testbed);
+    answer(&mut testbed, &crowd, 250.0);
+    testbed.wait(Span::from_ms(250.0));
+    let after = burst(&mut testbed);
     assert!(after.len() * 2 < crowd.len(), "{} sent, {} before", after.len(), crowd.len());
-    answer(&mut rig, &after, 20.0);
+    answer(&mut testbed, &after, 20.0);
     for _ in 0..500 {
-        rig.ask_and_answer(20.0);
+        testbed.ask_and_answer(20.0);
     }
-    let last = burst(&mut rig);
+    let last = burst(&mut testbed);
     assert!(last.len() * 3 > crowd.len(), "good answers bring it back: {}", last.len());
 }
 
 /// Rests once stood as they were set at the last answer: after a jam, up to 47 s without a request.
 #[test]
 fn a_late_answer_at_a_low_level_rests_no_server_once_the_level_is_back() {
-    let mut rig = Rig::new(Settings { balancers: 20, ..settings() }, 1);
-    rig.list(fleet(2, 1, 1));
+    let mut testbed = Rig::new(Settings { balancers: 20, ..settings() }, 1);
+    testbed.list(fleet(2, 1, 1));
     for _ in 0..30 {
-        rig.ask_and_answer(190.0);
-        rig.wait(Span::from_ms(2000.0));
+        testbed.ask_and_answer(190.0);
+        testbed.wait(Span::from_ms(2000.0));
     }
     let mut used = BTreeSet::new();
     for _ in 0..150 {
-        used.extend(rig.ask_and_answer(5.0));
-        rig.wait(Span::from_ms(45.0));
+        used.extend(testbed.ask_and_answer(5.0));
+        testbed.wait(Span::from_ms(45.0));
     }
     assert_eq!(used.len(), 2, "both in use again within 8 s");
 }
--- a/crates/balancer/tests/random_walk.rs
+++ b/crates/balancer/tests/random_walk.rs
@@ -41,13 +41,13 @@
     let mut rng = fastrand::Rng::with_seed(pick);
     let mut settings = settings(pick);
     let mut classes = settings.classes.clone();
-    let mut rig = Rig::new(settings.clone(), pick ^ 0x5eed);
+    let mut testbed = Rig::new(settings.clone(), pick ^ 0x5eed);
     let mut coming: Vec<RequestId> = Vec::new();
     let mut lines = fleet(1 + rng.u32(0..9), 3, 3);
     let mut out: Vec<Out> = Vec::new();
     let mut attempts: BTreeMap<RequestId, u32> = BTreeMap::new();
     let mut said = Vec::new();
-    rig.tell(Event::List(ListUpdate::Saved(lines.clone())));
+    testbed.tell(Event::List(ListUpdate::Saved(lines.clone())));
     for step in 0..steps {
         let mut actions = Vec::new();
         match rng.u32(0..100) {
@@ -61,12 +61,12 @@
                     (request.coming, request.time_left) = (true, Span::from_ms(60_000.0));
                     coming.push(request.id);
                 }
-                actions.extend_from_slice(rig.tell(Event::Request(request)));
+                actions.extend_from_slice(testbed.tell(Event::Request(request)));
             }
             40..=79 if !out.is_empty() => {
                 let o = out.swap_remove(rng.usize(0..out.len()));
                 let outcome = match rng.u32(0..10) {
-                    _ if rig.now >= o.deadline && !o.streaming => Outcome::TimedOut,
+                    _ if testbed.now >= o.deadline && !o.streaming => Outcome::TimedOut,
                     0 => Outcome::ServerError,
                     1 if !o.streaming => Outcome::Rejected,
                     2 if !o.streaming => Outcome::ConnectFailed,
@@ -77,11 +77,11 @@
                 let report =
                     rng.bool().then(|| vec![rng.f64() * 9.0, [f64::NAN, -4.0, 30.0][rng.usize(0..3)]]);
                 let closed = outcome == Outcome::Success || o.streaming;
-                actions.extend_from_slice(rig.tell(Event::Outcome {
+                actions.extend_from_slice(testbed.tell(Event::Outcome {
                     request: o.request,
                     attempt: AttemptNo(o.attempt),
                     outcome,
-                    elapsed: rig.now.since(o.sent),
+                    elapsed: testbed.now.since(o.sent),
                     report,
                     closed,
                 }));
@@ -91,19 +91,19 @@
                 let o = &mut out[i];
                 o.streaming = true;
                 let event = Event::FirstByte { request: o.request, attempt: AttemptNo(o.attempt) };
-                actions.extend_from_slice(rig.tell(event));
+                actions.extend_from_slice(testbed.tell(event));
             }
             84 if !coming.is_empty() => {
                 let request = coming.swap_remove(rng.usize(0..coming.len()));
                 let time_left = Span::from_ms(800.0 * rng.f64());
                 for o in out.iter_mut().filter(|o| o.request == request) {
-                    (o.deadline, o.sent) = (rig.now + time_left, rig.now);
+                    (o.deadline, o.sent) = (testbed.now + time_left, testbed.now);
                 }
-                actions.extend_from_slice(rig.tell(Event::Whole { request, time_left }));
+                actions.extend_from_slice(testbed.tell(Event::Whole { request, time_left }));
             }
             85 if !coming.is_empty() => {
                 let request = coming[rng.usize(0..coming.len())];
-                actions.extend_from_slice(rig.tell(Event::Spent { request }));
+                actions.extend_from_slice(testbed.tell(Event::Spent { request }));
             }
             86 if rng.u32(0..4) == 0 => {
                 // New settings: a class more that begins as another one, and another number of attempts.
@@ -113,39 +113,39 @@
                 settings.classes = classes.clone();
                 settings.max_attempts = rng.u32(1..5);
                 let changed = [(classes.len() - 1, Some(from))];
-                rig.balancer.retune(settings.clone(), &changed).expect("usable settings");
-                rig.observer.settings = settings.clone();
+                testbed.balancer.retune(settings.clone(), &changed).expect("usable settings");
+                testbed.observer.settings = settings.clone();
             }
             84..=86 => {
                 let request = RequestId(u64::from(rng.u32(0..step + 1)));
-                actions.extend_from_slice(rig.tell(Event::ClientGone { request }));
+                actions.extend_from_slice(testbed.tell(Event::ClientGone { request }));
             }
             87..=90 => {
                 let i = rng.usize(0..lines.len());
                 lines[i].status =
                     [Status::Serving, Status::Serving, Status::Draining, Status::Gone][rng.usize(0..4)];
                 if rng.bool() && lines[i].status == Status::Serving {
-                    lines[i].started = Some(rig.now);
+                    lines[i].started = Some(testbed.now);
                 }
                 let update = match rng.u32(0..6) {
                     0 => ListUpdate::Failed,
                     1 => ListUpdate::Complete(lines.clone()),
                     _ => ListUpdate::Changes(vec![lines[i].clone()]),
                 };
-                actions.extend_from_slice(rig.tell(Event::List(update)));
+                actions.extend_from_slice(testbed.tell(Event::List(update)));
             }
-            _ => actions = rig.wait(Span::from_ms(rng.f64() * 15.0)),
+            _ => actions = testbed.wait(Span::from_ms(rng.f64() * 15.0)),
         }
         // What has run past its deadline comes back as the caller's network would bring it.
-        while let Some(i) = out.iter().position(|o| rig.now >= o.deadline && !o.streaming) {
+        while let Some(i) = out.iter().position(|o| testbed.now >= o.deadline && !o.streaming) {
             let o = out.swap_remove(i);
-            actions.extend_from_slice(rig.answer(o.request, o.attempt, Outcome::TimedOut, 800.0));
+            actions.extend_from_slice(testbed.answer(o.request, o.attempt, Outcome::TimedOut, 800.0));
         }
         for action in &actions {
             match action {
                 Action::Send { request, timeout_at, .. } => {
                     let number = attempts.entry(*request).or_insert(0);
-                    let (attempt, sent, deadline) = (*number, rig.now, *timeout_at);
+                    let (attempt, sent, deadline) = (*number, testbed.now, *timeout_at);
                     *number += 1;
                     out.push(Out { request: *request, attempt, sent, deadline, streaming: false });
                 }
@@ -153,7 +153,7 @@
                     let hit = |o: &Out| o.request == *request && o.attempt == attempt.0 && !o.streaming;
                     if let Some(o) = out.iter_mut().find(|o| hit(o)) {
                         // It ends soon, as a time-out would; the outcome's name is all that differs.
-                        o.deadline = rig.now;
+                        o.deadline = testbed.now;
                     }
                 }
                 _ => {}
@@ -161,15 +161,15 @@
         }
         said.push(format!("{actions:?}"));
     }
-    (rig, said)
+    (testbed, said)
 }
 
 #[test]
 fn the_rules_hold_on_random_walks() {
     for pick in 0..120 {
-        let (rig, said) = walk(pick, 1500);
-        assert!(rig.observer.faults.is_empty(), "walk {pick}: {:#?}", rig.observer.faults);
-        assert_eq!(rig.observer.lost(rig.now), 0, "walk {pick}");
+        let (testbed, said) = walk(pick, 1500);
+        assert!(testbed.observer.faults.is_empty(), "walk {pick}: {:#?}", testbed.observer.faults);
+        assert_eq!(testbed.observer.lost(testbed.now), 0, "walk {pick}");
         let sends = said.iter().filter(|s| s.contains("Send")).count();
         assert!(sends > 50, "walk {pick} sent only {sends} times and so shows little");
     }
@@ -185,9 +185,9 @@
 #[test]
 fn seeds_matter() {
     let with = |seed| {
-        let mut rig = Rig::new(settings(2), seed);
-        rig.list(fleet(9, 3, 3));
-        (0..20).map(|_| rig.ask(0).1).collect::<Vec<_>>()
+        let mut testbed = Rig::new(settings(2), seed);
+        testbed.list(fleet(9, 3, 3));
+        (0..20).map(|_| testbed.ask(0).1).collect::<Vec<_>>()
     };
     assert_ne!(with(1), with(2));
 }
@@ -195,23 +195,23 @@
 /// Two balancers fed in turn act as each does alone: they share nothing.
 #[test]
 fn interleaved_balancers_act_as_if_apart() {
-    let step = |rig: &mut Rig, i: u32| {
-        let (id, sent) = rig.ask((i % 3) as usize);
-        let mut actions = rig.actions.clone();
-        actions.extend(rig.wait(Span::from_ms(3.0)));
+    let step = |testbed: &mut Rig, i: u32| {
+        let (id, sent) = testbed.ask((i % 3) as usize);
+        let mut actions = testbed.actions.clone();
+        actions.extend(testbed.wait(Span::from_ms(3.0)));
         if sent.is_some() && i % 4 != 0 {
-            actions.extend_from_slice(rig.answer(id, 0, Outcome::Success, 3.0));
+            actions.extend_from_slice(testbed.answer(id, 0, Outcome::Success, 3.0));
         }
         actions
     };
     let start = |seed| {
-        let mut rig = Rig::new(settings(seed), seed);
-        rig.list(fleet(7, 3, 3));
-        rig
+        let mut testbed = Rig::new(settings(seed), seed);
+        testbed.list(fleet(7, 3, 3));
+        testbed
     };
     let alone = |seed| {
-        let mut rig = start(seed);
-        (0..300).map(|i| step(&mut rig, i)).collect::<Vec<_>>()
+        let mut testbed = start(seed);
+        (0..300).map(|i| step(&mut testbed, i)).collect::<Vec<_>>()
     };
     let (mut a, mut b) = (start(3), start(8));
     let (mut from_a, mut from_b) = (Vec::new(), Vec::new());
--- a/crates/balancer/tests/settings.rs
+++ b/crates/balancer/tests/settings.rs
@@ -41,24 +41,24 @@
         warm_after: Span::ZERO,
         ..Settings::default()
     };
-    let mut rig = Rig::new(settings, 1);
-    rig.list(fleet(3, 1, 1));
+    let mut testbed = Rig::new(settings, 1);
+    testbed.list(fleet(3, 1, 1));
     for _ in 0..100 {
-        let (id, sent) = rig.ask(0);
+        let (id, sent) = testbed.ask(0);
         assert!(sent.is_some());
-        rig.wait(Span::from_ms(10.0));
-        rig.answer_with(id, 0, Outcome::Success, 10.0, Some(vec![f64::NAN, -1.0, 1e300]));
+        testbed.wait(Span::from_ms(10.0));
+        testbed.answer_with(id, 0, Outcome::Success, 10.0, Some(vec![f64::NAN, -1.0, 1e300]));
     }
-    rig.assert_rules();
+    testbed.assert_rules();
 }
 
 #[test]
 fn a_request_of_an_unknown_class_is_refused() {
-    let mut rig = Rig::new(Settings::default(), 1);
-    rig.list(fleet(3, 1, 1));
+    let mut testbed = Rig::new(Settings::default(), 1);
+    testbed.list(fleet(3, 1, 1));
     let request = Request::new(RequestId(5), ClassId(9), Span::from_ms(100.0));
     let mut actions = Vec::new();
-    rig.balancer.handle(rig.now, Event::Request(request), &mut actions);
+    testbed.balancer.handle(testbed.now, Event::Request(request), &mut actions);
     assert!(refused(&actions, RequestId(5)));
     assert!(!actions.iter().any(|a| matches!(a, Action::Send { .. })));
 }
--- a/crates/experiments/src/main.rs
+++ b/crates/experiments/src/main.rs
@@ -351,7 +351,7 @@
             let table = members::table(&plan, |row| eprint!("{row}"));
             print!("{table}");
             if let Some(page) = into {
-                rig::write_into(&page, "measure:members", &table).map_err(bad)?;
+                testbed::write_into(&page, "measure:members", &table).map_err(bad)?;
             }
         }
         Command::Check { files } => {
--- a/crates/experiments/src/sockets.rs
+++ b/crates/experiments/src/sockets.rs
@@ -1,4 +1,4 @@
-//! A scenario on real sockets: the rig's servers and list, the real program, and the load generator, on loopback, so that
+//! A scenario on real sockets: the testbed's servers and list, the real program, and the load generator, on loopback, so that
 //! the model can be held against what sockets do.
 //!
 //! What loopback can't show is refused and named: zones that are cut off, servers that come back, a network with time.
@@ -7,11 +7,11 @@
 use bellcroft_simulation::{Arrivals, Dist, Effect, Network, Outcome, Reports, Scenario, What};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use rig::{Agent, Plan, Work, World};
 use serde_json::{json, Value};
 use std::collections::HashSet;
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
+use testbed::{Agent, Plan, Work, World};
 use tokio::time::{sleep_until, Instant};
 
 /// More than this share one machine's cores to no purpose.
--- a/crates/experiments/tests/load.rs
+++ b/crates/experiments/tests/load.rs
@@ -2,10 +2,10 @@
 
 use bellcroft_simulation::{ClassSpec, Dist, Effect};
 use experiments::load::{run, Load, Loaded};
-use rig::{ok, Backend, Plan, Reply, Server, World};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use testbed::{ok, Backend, Plan, Reply, Server, World};
 
 fn class(name: &str, effect: Effect) -> ClassSpec {
     ClassSpec {
@@ -120,14 +120,14 @@
     assert_eq!(sum(&loaded, |c| c.served + c.refused + c.failed + c.lost), 300);
     assert_eq!((sum(&loaded, |c| c.refused), sum(&loaded, |c| c.lost)), (100, 40));
     assert_eq!(count.load(Ordering::SeqCst), 300, "nothing is sent twice");
-    let nobody = run(Load { most: 20, ..load(rig::nobody().await) }, |_, _| {}).await;
+    let nobody = run(Load { most: 20, ..load(testbed::nobody().await) }, |_, _| {}).await;
     assert_eq!(sum(&nobody, |c| c.lost), 20);
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_real_agent_serves_it() {
     let world = World::start(4, &Plan::default()).await;
-    let agent = rig::Agent::with(world.config("n0"), |_| {}).await;
+    let agent = testbed::Agent::with(world.config("n0"), |_| {}).await;
     agent.ready().await;
     let loaded = run(Load { most: 200, ..load(agent.address) }, |_, _| {}).await;
     assert_eq!((sum(&loaded, |c| c.served), loaded.classes.len()), (200, 2));
--- a/crates/telemetry/tests/instance.rs
+++ b/crates/telemetry/tests/instance.rs
@@ -2,7 +2,7 @@
 
 use bellcroft_balancer::{Outcome, Settings, Span, Time};
 use bellcroft_telemetry::*;
-use rig::Store;
+use testbed::Store;
 
 fn at(ms: u64) -> Time {
     Time(1_000_000_000 + ms * 1000)
--- a/crates/telemetry/tests/sender.rs
+++ b/crates/telemetry/tests/sender.rs
@@ -1,8 +1,8 @@
 //! The sender against a receiver that the test plays, which reads bodies by a code path of its own.
 
 use bellcroft_telemetry::*;
-use rig::Store;
 use std::time::Duration;
+use testbed::Store;
 
 const MS: Duration = Duration::from_millis(1);
 const CREATED: i64 = 1_700_000_000_000;
--- a/crates/rig/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,8 +1,8 @@
 //! The demo: a small fleet of servers, one agent, steady traffic, and one server that slows down half way.
 
-use rig::{p99, wanted_share, Agent, Fate, Load, Plan, Record, Traffic, World, CLASSES};
 use std::process::ExitCode;
 use std::time::Duration;
+use testbed::{p99, wanted_share, Agent, Fate, Load, Plan, Record, Traffic, World, CLASSES};
 use tokio::time::Instant;
 
 #[derive(clap::Args)]
--- a/crates/rig/src/faults/cluster.rs
+++ b/crates/testbed/src/faults/cluster.rs
@@ -182,7 +182,7 @@
     pub fn drain(&mut self, server: usize) {
         self.world.drain(server);
         self.publish();
-        self.journal.note("rig", "told", format!("s{server} drains"));
+        self.journal.note("testbed", "told", format!("s{server} drains"));
     }
 
     /// A new server in place of one, under its name: born now, cold by its plan.
@@ -192,7 +192,7 @@
             own[server].lead(Some(self.world.servers[server].address));
         }
         self.publish();
-        self.journal.note("rig", "told", format!("s{server} starts, cold"));
+        self.journal.note("testbed", "told", format!("s{server} starts, cold"));
     }
 
     fn state(&self, instance: usize) -> PathBuf {
@@ -220,7 +220,7 @@
             };
             let named: Vec<String> = named.iter().map(|at| format!("\"{at}\"")).collect();
             text.push_str(&format!(
-                "[membership]\ncluster = \"rig\"\nlisten = \"127.0.0.1:0\"\nnumber = {instance}\n{key} = [{}]\n",
+                "[membership]\ncluster = \"testbed\"\nlisten = \"127.0.0.1:0\"\nnumber = {instance}\n{key} = [{}]\n",
                 named.join(", ")
             ));
         }
@@ -246,7 +246,7 @@
         let home = |n: usize| self.datagrams.at(n).filter(|_| n != instance).unwrap_or(nowhere);
         let peers: Vec<String> = (0..self.shape.instances).map(|n| format!("\"{}\"", home(n))).collect();
         let text = format!(
-            "[membership]\ncluster = \"rig\"\nlisten = \"127.0.0.1:0\"\nnumber = {instance}\npeers = [{}]\n",
+            "[membership]\ncluster = \"testbed\"\nlisten = \"127.0.0.1:0\"\nnumber = {instance}\npeers = [{}]\n",
             peers.join(", ")
         );
         let operator = self.folder.write(&format!("{}-twin.toml", name(instance)), &text);
@@ -261,7 +261,7 @@
         self.kill(instance).await;
         let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
         self.datagrams.home(instance, socket.local_addr().ok());
-        self.journal.note(name(instance), "did", "is spoken for by the rig");
+        self.journal.note(name(instance), "did", "is spoken for by the testbed");
         (socket, self.datagrams.roster(instance, self.shape.instances))
     }
 
@@ -388,7 +388,7 @@
                 );
             }
         }
-        self.journal.note("rig", "did", format!("partition {groups:?}"));
+        self.journal.note("testbed", "did", format!("partition {groups:?}"));
     }
 
     /// Does what a timeline says.
@@ -419,11 +419,11 @@
                 let word =
                     |places: &[Place]| places.iter().map(|p| String::from(*p)).collect::<Vec<_>>().join(" ");
                 let what = if *link == LinkFault::default() { "well".into() } else { format!("{link:?}") };
-                self.journal.note("rig", "did", format!("link {} -> {}: {what}", word(from), word(to)));
+                self.journal.note("testbed", "did", format!("link {} -> {}: {what}", word(from), word(to)));
             }
             What::Slow { servers, factor } => {
                 servers.iter().for_each(|s| self.world.servers[*s].slow(*factor));
-                self.journal.note("rig", "did", format!("servers {servers:?} slow by {factor}"));
+                self.journal.note("testbed", "did", format!("servers {servers:?} slow by {factor}"));
             }
             What::Mute { servers, on } => {
                 for server in servers {
@@ -433,11 +433,11 @@
                         self.world.servers[*server].heal();
                     }
                 }
-                self.journal.note("rig", "did", format!("servers {servers:?} mute: {on}"));
+                self.journal.note("testbed", "did", format!("servers {servers:?} mute: {on}"));
             }
             What::Crash { servers } => {
                 servers.iter().for_each(|s| self.world.servers[*s].kill());
-                self.journal.note("rig", "did", format!("servers {servers:?} crash"));
+                self.journal.note("testbed", "did", format!("servers {servers:?} crash"));
                 servers.iter().for_each(|s| self.world.remove(*s));
                 self.publish();
             }
@@ -464,7 +464,7 @@
                 None => self.launch(instance).await,
             }
         }
-        self.journal.note("rig", "did", "all is put right");
+        self.journal.note("testbed", "did", "all is put right");
     }
 
     /// What an instance says of the others, over its control socket; none if it doesn't answer.
--- a/crates/rig/src/faults/journal.rs
+++ b/crates/testbed/src/faults/journal.rs
@@ -9,7 +9,7 @@
 pub struct Entry {
     /// Seconds since the beginning.
     pub at: f64,
-    /// Where: `rig`, or an instance such as `i3`.
+    /// Where: `testbed`, or an instance such as `i3`.
     pub who: String,
     /// `did` for a fault or a process's start and end, `told` for a list, `says` for a line of a process's log.
     pub kind: &'static str,
--- a/crates/rig/src/faults/play.rs
+++ b/crates/testbed/src/faults/play.rs
@@ -13,7 +13,7 @@
 
 /// In the quiet tail all must agree within this.
 pub const AGREE_WITHIN: Duration = Duration::from_secs(45);
-/// The rig itself lags if its own clock's ticks come this late; what it saw then is not the programs' doing.
+/// The testbed itself lags if its own clock's ticks come this late; what it saw then is not the programs' doing.
 const LAG_MOST: Duration = Duration::from_millis(500);
 
 /// What came of a play.
@@ -29,7 +29,7 @@
     pub agreed_after: Option<f64>,
     /// Members that were called dead and had never been killed, stopped or cut, by who said so.
     pub mistaken: Vec<String>,
-    /// The worst lag of the rig's own clock in milliseconds.
+    /// The worst lag of the testbed's own clock in milliseconds.
     pub lag_ms: f64,
 }
 
--- a/crates/rig/src/folder.rs
+++ b/crates/testbed/src/folder.rs
@@ -13,7 +13,7 @@
     pub fn new() -> Self {
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NUMBER.fetch_add(1, Ordering::SeqCst);
-        let path = std::env::temp_dir().join(format!("bellcroft-rig-{}-{number}", std::process::id()));
+        let path = std::env::temp_dir().join(format!("bellcroft-testbed-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&path).expect("a folder");
         Folder(path)
     }
--- a/crates/rig/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! `rig demo` shows an agent at work between stand-ins; `rig measure` measures one.
+//! `testbed demo` shows an agent at work between stand-ins; `testbed measure` measures one.
 
 mod demo;
 mod measure;
@@ -15,7 +15,7 @@
 
 /// Stand-ins around the real agent, on loopback.
 #[derive(Parser)]
-#[command(name = "rig", version, max_term_width = 100)]
+#[command(name = "testbed", version, max_term_width = 100)]
 struct Args {
     #[command(subcommand)]
     command: Command,
@@ -65,7 +65,7 @@
     let args = Args::parse();
     if let Command::Hollow { file } = &args.command {
         // On one thread of its own.
-        return rig::scale::run_hollow(file);
+        return testbed::scale::run_hollow(file);
     }
     if let Command::Measure(measure::What::Fleet(options)) = &args.command {
         if let Some(program) = &options.program {
@@ -76,14 +76,14 @@
     let runtime = match tokio::runtime::Runtime::new() {
         Ok(runtime) => runtime,
         Err(e) => {
-            eprintln!("rig: cannot start the runtime: {e}");
+            eprintln!("testbed: cannot start the runtime: {e}");
             return ExitCode::FAILURE;
         }
     };
     match args.command {
         Command::Alerts { files } => alerts(&files),
-        Command::Metrics { into } => measure::table(&rig::metrics_table(), into.as_deref(), "metrics"),
-        Command::Hollow { file } => rig::scale::run_hollow(&file),
+        Command::Metrics { into } => measure::table(&testbed::metrics_table(), into.as_deref(), "metrics"),
+        Command::Hollow { file } => testbed::scale::run_hollow(&file),
         Command::Scale(options) => runtime.block_on(play_scale::play(&options)),
         Command::Soak(options) => runtime.block_on(play_soak::run(&options)),
         Command::Faults(options) => runtime.block_on(play_faults::run(&options)),
@@ -106,7 +106,7 @@
 fn alerts(files: &[std::path::PathBuf]) -> ExitCode {
     let mut code = ExitCode::SUCCESS;
     for file in files {
-        match rig::run_unit_tests(file) {
+        match testbed::run_unit_tests(file) {
             Ok(tally) => {
                 tally.failed.iter().for_each(|failure| println!("FAILED: {failure}"));
                 println!("{}: {} checked, {} failed", file.display(), tally.checked, tally.failed.len());
@@ -115,7 +115,7 @@
                 }
             }
             Err(why) => {
-                eprintln!("rig: {why}");
+                eprintln!("testbed: {why}");
                 return ExitCode::from(2);
             }
         }
--- a/crates/rig/src/measure.rs
+++ b/crates/testbed/src/measure.rs
@@ -1,9 +1,9 @@
-//! `rig measure`: figures for the pages, as ratios within one run where they depend on the machine.
+//! `testbed measure`: figures for the pages, as ratios within one run where they depend on the machine.
 
-use rig::{Fleet, Load, Plan, Record, Traffic, World};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
+use testbed::{Fleet, Load, Plan, Record, Traffic, World};
 use tokio::time::{sleep, Instant};
 
 #[derive(clap::Subcommand)]
@@ -33,7 +33,7 @@
     /// Instances that may be down at a time.
     #[arg(long, default_value_t = 5)]
     at_once: u64,
-    /// The program to measure; the rig's own binary plays it otherwise, which is larger.
+    /// The program to measure; the testbed's own binary plays it otherwise, which is larger.
     #[arg(long, value_name = "PATH")]
     pub program: Option<PathBuf>,
     /// A page to write the table into, between its markers.
@@ -132,8 +132,8 @@
     }
     print!("{table}");
     if let Some(page) = &options.into {
-        if let Err(why) = rig::write_into(page, "measure:fleet", &table) {
-            eprintln!("rig: {why}");
+        if let Err(why) = testbed::write_into(page, "measure:fleet", &table) {
+            eprintln!("testbed: {why}");
             return ExitCode::from(2);
         }
     }
@@ -172,9 +172,9 @@
 /// Prints a table, and writes it into a page if there is one.
 pub fn table(table: &str, page: Option<&Path>, marker: &str) -> ExitCode {
     print!("{table}");
-    match page.map(|page| rig::write_into(page, marker, table)) {
+    match page.map(|page| testbed::write_into(page, marker, table)) {
         Some(Err(why)) => {
-            eprintln!("rig: {why}");
+            eprintln!("testbed: {why}");
             ExitCode::from(2)
         }
         _ => ExitCode::SUCCESS,
--- a/crates/rig/src/measure_membership.rs
+++ b/crates/testbed/src/measure_membership.rs
@@ -1,12 +1,12 @@
-//! `rig measure membership`.
+//! `testbed measure membership`.
 
 use crate::measure::{memory_kb, table};
-use rig::faults::{Cluster, Shape};
-use rig::{Folder, Load, Plan, Record, Traffic, World, LONG};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
+use testbed::faults::{Cluster, Shape};
+use testbed::{Folder, Load, Plan, Record, Traffic, World, LONG};
 use tokio::time::{sleep, timeout};
 
 #[derive(clap::Args)]
@@ -68,7 +68,7 @@
     eprintln!("two fleets of {} ...", options.instances);
     let (on, off) = (Cluster::start(shape(true)).await, Cluster::start(shape(false)).await);
     if on.agree(LONG).await.is_none() {
-        eprintln!("rig: the instances did not find each other");
+        eprintln!("testbed: the instances did not find each other");
         return ExitCode::FAILURE;
     }
     let mut pairs = Vec::new();
@@ -114,11 +114,11 @@
             .map(|n| format!("\"{}\"", SocketAddr::from(([127, 1, (n >> 8) as u8, n as u8], 9))))
             .collect();
         let section = format!(
-            "[membership]\ncluster = \"rig\"\nlisten = \"127.0.0.1:0\"\nnumber = 0\npeers = [{}]\n",
+            "[membership]\ncluster = \"testbed\"\nlisten = \"127.0.0.1:0\"\nnumber = 0\npeers = [{}]\n",
             peers.join(", ")
         );
         let operator = folder.write(&format!("{name}.toml"), if roster > 0 { &section } else { "" });
-        let mut agent = rig::Agent::operated(world.config(name), &operator).await;
+        let mut agent = testbed::Agent::operated(world.config(name), &operator).await;
         agent.ready().await;
         sleep(Duration::from_secs(3)).await;
         let kb = agent.child.id().and_then(memory_kb).map_or(0, |(_, private)| private);
--- a/crates/rig/src/measure_path.rs
+++ b/crates/testbed/src/measure_path.rs
@@ -1,4 +1,4 @@
-//! `rig measure path`: what two programs add to a request's time, its CPU and the backends' connections.
+//! `testbed measure path`: what two programs add to a request's time, its CPU and the backends' connections.
 //!
 //! An open-loop client plays one schedule three times: straight to the stand-in servers, and through an agent that is run
 //! from each of the two programs. Such rounds are repeated in changing order, so that what drifts falls on all three.
@@ -6,15 +6,15 @@
 mod report;
 
 use crate::measure::table;
-use rig::open_loop::{play, quantile, Sample, Schedule};
-use rig::{config, host, ok, request, Agent, Backend, Directory, Mood, Reply};
 use serde_json::json;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
+use testbed::open_loop::{play, quantile, Sample, Schedule};
+use testbed::{config, host, ok, request, Agent, Backend, Directory, Mood, Reply};
 
-/// Options of `rig measure path`.
+/// Options of `testbed measure path`.
 #[derive(clap::Args)]
 pub struct Options {
     /// The program to compare with.
@@ -131,7 +131,7 @@
         eprintln!("{rate} requests a second, round {}, {valid} of {} count ...", number + 1, options.pairs);
         let round = play_round(options, rate, number).await;
         match round.void_because() {
-            Some(why) => eprintln!("rig: this round is void: {why}"),
+            Some(why) => eprintln!("testbed: this round is void: {why}"),
             None => valid += 1,
         }
         rounds.push(round);
--- a/crates/rig/src/measure_path/report.rs
+++ b/crates/testbed/src/measure_path/report.rs
@@ -1,8 +1,8 @@
-//! The table of `rig measure path`.
+//! The table of `testbed measure path`.
 
 use super::{Measurement, Options, Round, Route};
-use rig::open_loop::quantile;
 use std::time::Duration;
+use testbed::open_loop::quantile;
 
 const SHARES: [f64; 4] = [0.5, 0.9, 0.99, 0.999];
 
--- a/crates/rig/src/measure_routes.rs
+++ b/crates/testbed/src/measure_routes.rs
@@ -1,12 +1,12 @@
-//! `rig measure routes`: troubles with today's defaults and with the example files beside them, and the cost of a
+//! `testbed measure routes`: troubles with today's defaults and with the example files beside them, and the cost of a
 //! look-up.
 
 use bellcroft_routes::{Ids, Match, RouteSpec, Spec, Table};
-use rig::write_into;
-use rig::{p99, wanted_share, Agent, Folder, Load, Plan, Record, Server, Traffic, World, CLASSES};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
+use testbed::write_into;
+use testbed::{p99, wanted_share, Agent, Folder, Load, Plan, Record, Server, Traffic, World, CLASSES};
 use tokio::time::sleep;
 
 #[derive(clap::Args)]
@@ -64,7 +64,7 @@
     print!("{table}");
     if let Some(page) = &options.into {
         if let Err(why) = write_into(page, "measure:routes", &table) {
-            eprintln!("rig: {why}");
+            eprintln!("testbed: {why}");
             return ExitCode::from(2);
         }
     }
--- a/crates/rig/src/measure_telemetry.rs
+++ b/crates/testbed/src/measure_telemetry.rs
@@ -1,14 +1,14 @@
-//! `rig measure telemetry` and `rig measure alerts`.
+//! `testbed measure telemetry` and `testbed measure alerts`.
 
 use crate::measure::{memory_kb, table};
 use bellcroft_telemetry::{encode, families, Family, Kind, Registry, Version};
-use rig::{
-    p99, stage, Agent, Folder, Incident, Load, Plan, Receiver, Record, RuleFile, Taking, Traffic, World,
-};
 use serde_json::json;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
+use testbed::{
+    p99, stage, Agent, Folder, Incident, Load, Plan, Receiver, Record, RuleFile, Taking, Traffic, World,
+};
 use tokio::time::sleep;
 
 #[derive(clap::Args)]
@@ -191,7 +191,7 @@
         // Servers that are listed and never sent to: their counts are there all the same.
         let hosts: Vec<_> = (0..1000)
             .map(|n| {
-                let mut line = rig::host(&format!("server-{n}"), world.servers[0].address, "draining");
+                let mut line = testbed::host(&format!("server-{n}"), world.servers[0].address, "draining");
                 line["dial"] = json!(format!("127.1.{}.{}:9", n / 250, n % 250 + 1));
                 line
             })
@@ -200,14 +200,14 @@
         config["known"]["hosts"] = json!(hosts);
         let name = config["name"].as_str().unwrap_or_default().to_owned();
         // Only a watch that says nothing leaves the known list as it is.
-        config["discovery"] = json!(rig::Directory::start(rig::Mood::Mute).await.address.to_string());
+        config["discovery"] = json!(testbed::Directory::start(testbed::Mood::Mute).await.address.to_string());
         let agent = Agent::operated(config, &file).await;
         agent.ready().await;
         let of =
-            |store: &rig::Store| store.series.keys().filter(|l| l.get("instance") == Some(&name)).count();
+            |store: &testbed::Store| store.series.keys().filter(|l| l.get("instance") == Some(&name)).count();
         let mut series = 0;
         if names.is_some() {
-            let sampled = |store: &rig::Store| {
+            let sampled = |store: &testbed::Store| {
                 store.series.iter().any(|(l, s)| l.get("instance") == Some(&name) && s.len() >= 3)
             };
             receiver.until("three samples", |store, _| sampled(store)).await;
@@ -250,7 +250,7 @@
     receiver.taking.send_replace(Taking::All);
     let mut records = traffic.finish().await;
     let total = records.len();
-    let taken = |store: &rig::Store| store.sum("bellcroft_requests_total", &[]) as usize == total;
+    let taken = |store: &testbed::Store| store.sum("bellcroft_requests_total", &[]) as usize == total;
     receiver.until("all counts", |store, _| taken(store)).await;
     let breaches = world.audit(&records).len();
     records.truncate(end);
@@ -296,7 +296,7 @@
     let rules = match RuleFile::load(&options.rules) {
         Ok(rules) => rules,
         Err(why) => {
-            eprintln!("rig: {why}");
+            eprintln!("testbed: {why}");
             return ExitCode::from(2);
         }
     };
@@ -322,7 +322,7 @@
         }
     }
     let code = table(&text, options.into.as_deref(), "measure:alerts");
-    missed.iter().for_each(|line| eprintln!("rig: {line}"));
+    missed.iter().for_each(|line| eprintln!("testbed: {line}"));
     if missed.is_empty() {
         code
     } else {
--- a/crates/rig/src/play_faults.rs
+++ b/crates/testbed/src/play_faults.rs
@@ -1,9 +1,9 @@
-//! `rig faults`.
+//! `testbed faults`.
 
-use rig::faults::{play, Timeline};
 use std::io::IsTerminal;
 use std::path::PathBuf;
 use std::process::ExitCode;
+use testbed::faults::{play, Timeline};
 
 /// Exit code of a play that the machine was too busy for.
 const STARVED: u8 = 3;
@@ -25,7 +25,7 @@
     let timeline = match Timeline::read(&options.file) {
         Ok(timeline) => timeline,
         Err(why) => {
-            eprintln!("rig: {why}");
+            eprintln!("testbed: {why}");
             return ExitCode::from(2);
         }
     };
@@ -47,7 +47,7 @@
     if let Some(file) = &options.record {
         let lines: String = entries.iter().map(|e| serde_json::json!(e).to_string() + "\n").collect();
         if let Err(e) = std::fs::write(file, lines) {
-            eprintln!("rig: {}: {e}", file.display());
+            eprintln!("testbed: {}: {e}", file.display());
             return ExitCode::from(2);
         }
     }
@@ -70,7 +70,7 @@
             None => println!("NO ONE VIEW in the quiet tail"),
         }
         println!(
-            "{} breaches, {} without an answer; the rig's own clock lagged by {:.0} ms at most",
+            "{} breaches, {} without an answer; the testbed's own clock lagged by {:.0} ms at most",
             verdict.breaches.len(),
             verdict.unanswered.len(),
             verdict.lag_ms
@@ -79,7 +79,7 @@
     match (verdict.good(), verdict.starved()) {
         (true, _) => ExitCode::SUCCESS,
         (false, true) => {
-            eprintln!("rig: the machine was too busy to tell; play it again");
+            eprintln!("testbed: the machine was too busy to tell; play it again");
             ExitCode::from(STARVED)
         }
         (false, false) => ExitCode::FAILURE,
--- a/crates/rig/src/play_scale.rs
+++ b/crates/testbed/src/play_scale.rs
@@ -1,9 +1,11 @@
-//! `rig scale`.
+//! `testbed scale`.
 
-use rig::scale::{model_table, page_block, read_results, run, summary_table, Machine, RunResult, Scenario};
 use std::io::{IsTerminal, Write};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use testbed::scale::{
+    model_table, page_block, read_results, run, summary_table, Machine, RunResult, Scenario,
+};
 use tokio::signal::unix::{signal, SignalKind};
 
 /// Exit code of runs that the machine could not keep up with.
@@ -48,7 +50,7 @@
         match play_scenario(file, options).await {
             Ok(played) => results = played,
             Err((why, code)) => {
-                eprintln!("rig: {why}");
+                eprintln!("testbed: {why}");
                 return code;
             }
         }
@@ -58,7 +60,7 @@
         match read_results(file) {
             Ok(all) => results = all,
             Err(why) => {
-                eprintln!("rig: {why}");
+                eprintln!("testbed: {why}");
                 return ExitCode::from(2);
             }
         }
@@ -67,8 +69,8 @@
         print!("{}", if options.into.is_some() { page_block(&results) } else { summary_table(&results) });
     }
     if let Some(page) = &options.into {
-        if let Err(why) = rig::write_into(page, MARKER, &page_block(&results)) {
-            eprintln!("rig: {why}");
+        if let Err(why) = testbed::write_into(page, MARKER, &page_block(&results)) {
+            eprintln!("testbed: {why}");
             return ExitCode::from(2);
         }
     }
@@ -84,9 +86,9 @@
     print!("{table}");
     let lossy = options.losses.iter().any(|loss| *loss > 0.0);
     let marker = if lossy { MODEL_LOSS_MARKER } else { MODEL_MARKER };
-    match options.into.as_deref().map(|page| rig::write_into(page, marker, &table)) {
+    match options.into.as_deref().map(|page| testbed::write_into(page, marker, &table)) {
         Some(Err(why)) => {
-            eprintln!("rig: {why}");
+            eprintln!("testbed: {why}");
             ExitCode::from(2)
         }
         _ => ExitCode::SUCCESS,
--- a/crates/rig/src/play_soak.rs
+++ b/crates/testbed/src/play_soak.rs
@@ -1,7 +1,7 @@
-//! `rig soak`.
+//! `testbed soak`.
 
-use rig::soak::{self, SoakPlan};
 use std::process::ExitCode;
+use testbed::soak::{self, SoakPlan};
 
 /// Exit code of a soak that the machine was too busy for.
 const STARVED: u8 = 3;
@@ -66,7 +66,7 @@
         }
         if let Some(folder) = options.logs.as_ref().filter(|_| !report.passed()) {
             if let Err(why) = write_logs(folder, seed, &report.logs) {
-                eprintln!("rig: {}: {why}", folder.display());
+                eprintln!("testbed: {}: {why}", folder.display());
                 return ExitCode::from(2);
             }
         }
--- a/crates/rig/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -71,14 +71,14 @@
     file
 }
 
-/// The real program, ready for its arguments. In tests it lies beside them, built by cargo; the binaries of rig and experiments
+/// The real program, ready for its arguments. In tests it lies beside them, built by cargo; the binaries of testbed and experiments
 /// play it themselves, for cargo builds no other package's binary to run one.
 pub fn program() -> std::process::Command {
     let own = std::env::current_exe().expect("a path");
     let beside = own.parent().and_then(|dir| dir.parent()).map(|dir| dir.join("bellcroft"));
     match std::env::var_os("BELLCROFT_PROGRAM").map(PathBuf::from) {
         Some(program) => std::process::Command::new(program),
-        None if own.file_stem().is_some_and(|name| name == "rig" || name == "experiments") => {
+        None if own.file_stem().is_some_and(|name| name == "testbed" || name == "experiments") => {
             let mut command = std::process::Command::new(own);
             command.arg("agent");
             command
--- a/crates/rig/src/scale/children.rs
+++ b/crates/testbed/src/scale/children.rs
@@ -56,13 +56,13 @@
     output.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The rig's own program, which plays agents and hollow processes; in tests it lies beside them, built by cargo.
+/// The testbed's own program, which plays agents and hollow processes; in tests it lies beside them, built by cargo.
 fn rig_program() -> PathBuf {
-    let own = std::env::current_exe().unwrap_or_else(|_| PathBuf::from("rig"));
-    if own.file_stem().is_some_and(|name| name == "rig") {
+    let own = std::env::current_exe().unwrap_or_else(|_| PathBuf::from("testbed"));
+    if own.file_stem().is_some_and(|name| name == "testbed") {
         return own;
     }
-    own.parent().and_then(Path::parent).map_or(own.clone(), |folder| folder.join("rig"))
+    own.parent().and_then(Path::parent).map_or(own.clone(), |folder| folder.join("testbed"))
 }
 
 impl RunProcess {
--- a/crates/rig/src/scale/hollow.rs
+++ b/crates/testbed/src/scale/hollow.rs
@@ -67,14 +67,14 @@
     let agents = match read_assignments(file) {
         Ok(agents) => agents,
         Err(why) => {
-            eprintln!("rig hollow: {}: {why}", file.display());
+            eprintln!("testbed hollow: {}: {why}", file.display());
             return ExitCode::from(2);
         }
     };
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(e) => {
-            eprintln!("rig hollow: cannot start the runtime: {e}");
+            eprintln!("testbed hollow: cannot start the runtime: {e}");
             return ExitCode::FAILURE;
         }
     };
@@ -84,7 +84,7 @@
     match ended {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("rig hollow: {why}");
+            eprintln!("testbed hollow: {why}");
             ExitCode::FAILURE
         }
     }
@@ -148,7 +148,7 @@
         agents.into_iter().map(|agent| tokio::task::spawn_local(async move { agent.stop().await })).collect();
     for stop in stops {
         if let Err(e) = stop.await {
-            eprintln!("rig hollow: an agent's end: {e}");
+            eprintln!("testbed hollow: an agent's end: {e}");
         }
     }
 }
@@ -156,7 +156,7 @@
 async fn reload(agents: &[Rc<ControlPlane>]) {
     for agent in agents {
         if let Err(why) = agent.reload() {
-            eprintln!("rig hollow: reload: {why}");
+            eprintln!("testbed hollow: reload: {why}");
         }
         // Each real agent is a process of its own: others must not wait for this one's files.
         tokio::task::yield_now().await;
--- a/crates/rig/src/scale/run.rs
+++ b/crates/testbed/src/scale/run.rs
@@ -492,7 +492,7 @@
 
 async fn serves(front: SocketAddr) -> bool {
     let Ok(mut stream) = TcpStream::connect(front).await else { return false };
-    if stream.write_all(b"GET /ready HTTP/1.1\r\nHost: rig\r\n\r\n").await.is_err() {
+    if stream.write_all(b"GET /ready HTTP/1.1\r\nHost: testbed\r\n\r\n").await.is_err() {
         return false;
     }
     let answer = tokio::time::timeout(Duration::from_secs(1), read_message(&mut stream, 0)).await;
--- a/crates/rig/tests/alerts.rs
+++ b/crates/testbed/tests/alerts.rs
@@ -1,9 +1,9 @@
 //! The shipped alert rules, and the evaluator that they are held against.
 
 use bellcroft_telemetry::families;
-use rig::*;
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
+use testbed::*;
 
 fn root(path: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").join(path)
--- a/crates/rig/tests/golden.rs
+++ b/crates/testbed/tests/golden.rs
@@ -4,5 +4,5 @@
 
 #[test]
 fn table_of_series_matches_golden_file() {
-    expect_file!["golden/metrics.md"].assert_eq(&rig::metrics_table());
+    expect_file!["golden/metrics.md"].assert_eq(&testbed::metrics_table());
 }
--- a/crates/rig/tests/incidents.rs
+++ b/crates/testbed/tests/incidents.rs
@@ -1,10 +1,10 @@
 //! Incidents that must set the shipped alerts off, and a calm run that must not. In a process of their own: nothing else
 //! takes the machine's time meanwhile.
 
-use rig::*;
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::time::Duration;
+use testbed::*;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn staged_incidents_fire_their_alerts_and_a_calm_run_none() {
--- a/crates/rig/tests/open_loop.rs
+++ b/crates/testbed/tests/open_loop.rs
@@ -1,9 +1,9 @@
-//! The open-loop client of `rig measure path`.
+//! The open-loop client of `testbed measure path`.
 
-use rig::open_loop::{play, quantile, Sample, Schedule};
-use rig::{ok, request, Backend, Reply};
 use std::net::SocketAddr;
 use std::time::Duration;
+use testbed::open_loop::{play, quantile, Sample, Schedule};
+use testbed::{ok, request, Backend, Reply};
 
 const SECOND: Duration = Duration::from_secs(1);
 
--- a/crates/rig/tests/scale.rs
+++ b/crates/testbed/tests/scale.rs
@@ -1,10 +1,10 @@
 //! The scale run: its counts, its comparison of hollow and real agents, its fit, and what it refuses.
 
-use rig::scale::fit::{mean, Fit, Law, Point, TooFewSizes};
-use rig::scale::{
+use std::path::Path;
+use testbed::scale::fit::{mean, Fit, Law, Point, TooFewSizes};
+use testbed::scale::{
     compare, page_block, run, AgentFigures, FleetFigures, Machine, Needs, RunError, RunResult, Scenario,
 };
-use std::path::Path;
 
 fn scenario(text: &str) -> Scenario {
     Scenario::parse(text).unwrap_or_else(|why| panic!("{why}"))
@@ -36,7 +36,7 @@
         assert!(figures.telemetry_posts > 0.0 && figures.memory_mib > 0.0, "{figures:?}");
     }
     let agents = (result.hollow as f64, result.real as f64);
-    let sum = |of: fn(&rig::scale::AgentFigures) -> f64| {
+    let sum = |of: fn(&testbed::scale::AgentFigures) -> f64| {
         agents.0 * of(&result.hollow_agent) + agents.1 * of(&result.real_agent)
     };
     let (sent, received) = (sum(|figures| figures.datagrams_out), sum(|figures| figures.datagrams_in));
@@ -74,7 +74,7 @@
     let killer = tokio::spawn(async {
         loop {
             if let Some(pid) = settled_hollow_process(4) {
-                rig::kill("-KILL", pid).await;
+                testbed::kill("-KILL", pid).await;
                 return;
             }
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
@@ -337,26 +337,26 @@
 
 #[tokio::test]
 async fn harness_that_is_told_to_end_leaves_no_process_behind() {
-    let folder = rig::Folder::new();
+    let folder = testbed::Folder::new();
     let file = folder.write(
         "scenario.toml",
         "name = \"x\"\nhollow = [4]\nreal = 1\nseed = 7\nsettle_s = 600.0\nwindow_s = 600.0\n",
     );
-    let mut command = tokio::process::Command::new(env!("CARGO_BIN_EXE_rig"));
+    let mut command = tokio::process::Command::new(env!("CARGO_BIN_EXE_testbed"));
     let mut harness = command.arg("scale").arg(&file).kill_on_drop(true).spawn().expect("the harness starts");
     let id = harness.id().expect("it runs");
     // The files of its agents lie in folders that it names by its own number.
-    let mark = format!("bellcroft-rig-{id}-");
-    rig::soon("the start of its processes", async {
+    let mark = format!("bellcroft-testbed-{id}-");
+    testbed::soon("the start of its processes", async {
         while named(&mark) < 2 {
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         }
     })
     .await;
-    rig::kill("-TERM", id).await;
-    let ended = rig::soon("its end", harness.wait()).await.expect("a status");
+    testbed::kill("-TERM", id).await;
+    let ended = testbed::soon("its end", harness.wait()).await.expect("a status");
     assert_eq!(ended.code(), Some(1));
-    rig::soon("the end of its processes", async {
+    testbed::soon("the end of its processes", async {
         while named(&mark) > 0 {
             tokio::time::sleep(std::time::Duration::from_millis(20)).await;
         }
--- a/crates/rig/tests/scale_refusal.rs
+++ b/crates/testbed/tests/scale_refusal.rs
@@ -1,7 +1,7 @@
 //! A scale run beyond the machine starts nothing. Alone in its process, whose children it counts.
 
-use rig::scale::{run, RunError, Scenario, ScenarioError};
 use std::path::Path;
+use testbed::scale::{run, RunError, Scenario, ScenarioError};
 
 /// Processes of this program that this test process has started, by their parent.
 fn children() -> usize {
--- a/crates/rig/tests/timelines.rs
+++ b/crates/testbed/tests/timelines.rs
@@ -1,7 +1,7 @@
 //! Files of faults: the shipped ones, and bad ones.
 
-use rig::faults::Timeline;
 use std::path::Path;
+use testbed::faults::Timeline;
 
 #[test]
 fn the_shipped_timelines_are_good() {
