--- a/crates/agent/tests/system_calls.rs
+++ b/crates/agent/tests/system_calls.rs
@@ -1,6 +1,6 @@
 //! System calls that fail or do less, in the ways that Linux documents: no request is lost or run twice for them.
 //!
-//! The real program runs under `bellcroft-faultshim`, which has one in so many calls fail. Verdicts come from the clients'
+//! The real program runs under `bellcroft-fault-injector`, which has one in so many calls fail. Verdicts come from the clients'
 //! and the servers' own records.
 
 use std::time::Duration;
--- a/crates/testbed/src/faults/shim.rs
+++ b/crates/testbed/src/faults/shim.rs
@@ -1,11 +1,11 @@
-//! Starts the real program under `bellcroft-faultshim`: system calls that fail, stall or do less, by a specification.
+//! Starts the real program under `bellcroft-fault-injector`: system calls that fail, stall or do less, by a specification.
 
 use crate::{write_config, Agent};
 use serde_json::Value;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A specification (`bellcroft_faultshim::spec`) and the file that counts the faults which it brought.
+/// A specification (`bellcroft_fault_injector::spec`) and the file that counts the faults which it brought.
 #[derive(Debug)]
 pub struct Shim {
     specification: String,
