--- a/crates/fault-injector/src/inject.rs
+++ b/crates/fault-injector/src/inject.rs
@@ -30,7 +30,7 @@
     let rules = match parse(&text) {
         Ok(rules) => rules,
         Err(why) => {
-            eprintln!("faultshim: {SPECIFICATION}: {why}");
+            eprintln!("fault-injector: {SPECIFICATION}: {why}");
             std::process::exit(BAD_SPECIFICATION);
         }
     };
@@ -40,7 +40,7 @@
         match opened {
             Ok(opened) => COUNTS.store(opened.into_raw_fd(), Ordering::Relaxed),
             Err(why) => {
-                eprintln!("faultshim: {file}: {why}");
+                eprintln!("fault-injector: {file}: {why}");
                 std::process::exit(BAD_SPECIFICATION);
             }
         }
