--- a/crates/agent-core/src/clock_skew.rs
+++ b/crates/agent-core/src/clock_skew.rs
@@ -5,18 +5,18 @@
 //! changes nothing; but the clock may have been stepped before it started, by an hour. What it has to go by are starts that
 //! it hears of as news: such a server is a few seconds old at most, and none has started in the future.
 
-use bellcroft_balancer::{Span, Time};
+use bellcroft_balancer::{Micros, Time};
 
 /// A start that is heard of as news is no older than this, unless the clocks differ: discovery has 6 s to tell it.
-const MAX_NEWS_AGE: Span = Span(10_000_000);
+const MAX_NEWS_AGE: Micros = Micros(10_000_000);
 
 /// The estimate of one process.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ClockSkew {
     /// The least age in which a start was heard of as news, by this process's clock.
-    least_news_age: Option<Span>,
+    least_news_age: Option<Micros>,
     /// By how much the latest start known lay in the future when it was heard of.
-    behind: Span,
+    behind: Micros,
 }
 
 impl ClockSkew {
@@ -32,7 +32,7 @@
 
     /// A server's start by this process's clock.
     pub fn local(&self, started: Time) -> Time {
-        if self.behind > Span::ZERO {
+        if self.behind > Micros::ZERO {
             return started - self.behind;
         }
         // The clock is ahead if every start seemed old when it was news.
--- a/crates/agent-core/src/console.rs
+++ b/crates/agent-core/src/console.rs
@@ -1,6 +1,6 @@
 //! One line asks, one answer follows: the calls of the second address, and the figures that it shows.
 
-use bellcroft_balancer::{Span, Time};
+use bellcroft_balancer::{Micros, Time};
 use std::fmt;
 use std::fmt::Write;
 
@@ -9,7 +9,7 @@
 /// Callers at a time. They come every second or two; the rest is room for those that say nothing.
 pub const CALLERS_MOST: usize = 12;
 /// A caller that has not completed its line by then is let go.
-pub const SAY_WITHIN: Span = Span(6_000_000);
+pub const SAY_WITHIN: Micros = Micros(6_000_000);
 /// Prefix of every figure.
 const PREFIX: &str = "svc";
 
--- a/crates/agent-core/src/guard.rs
+++ b/crates/agent-core/src/guard.rs
@@ -6,10 +6,10 @@
 //! as a [`Violation`].
 
 use crate::shutdown::ShutdownSchedule;
-use bellcroft_balancer::{Effect, Group, Outcome, Span, Time};
+use bellcroft_balancer::{DedupScope, Micros, Outcome, RetrySafety, Time};
 
 /// What sockets and clocks may add to a limit before it counts as broken; the platform's own measure.
-const SLACK: Span = Span(50_000);
+const SLACK: Micros = Micros(50_000);
 
 /// When an attempt may begin and when it ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,7 +39,7 @@
 /// The attempts of one request that may have run, or still may, as far as they bind later ones.
 #[derive(Debug, Clone, Default)]
 pub struct AttemptHistory {
-    effect: Effect,
+    effect: RetrySafety,
     attempts: Vec<PriorAttempt>,
 }
 
@@ -52,13 +52,13 @@
 
 impl AttemptHistory {
     /// Of a request with this effect that has not been sent.
-    pub fn new(effect: Effect) -> Self {
+    pub fn new(effect: RetrySafety) -> Self {
         AttemptHistory { effect, attempts: Vec::new() }
     }
 
     /// An attempt goes out.
     pub fn on_sent(&mut self, number: u32, sent: Time, groups: ServerGroups) {
-        if self.effect != Effect::Idempotent {
+        if self.effect != RetrySafety::Idempotent {
             self.attempts.push(PriorAttempt { number, sent, groups });
         }
     }
@@ -238,21 +238,21 @@
 /// Whether a request may go out though an earlier attempt of it may have run.
 fn may_repeat(
     now: Time,
-    effect: Effect,
+    effect: RetrySafety,
     prior: &PriorAttempt,
     groups: ServerGroups,
 ) -> Result<(), SendDenied> {
     match effect {
-        Effect::Idempotent => Ok(()),
-        Effect::AtMostOnce => Err(SendDenied::MayRunTwice),
-        Effect::Deduplicated { window, .. } if now > prior.sent + window => {
+        RetrySafety::Idempotent => Ok(()),
+        RetrySafety::AtMostOnce => Err(SendDenied::MayRunTwice),
+        RetrySafety::Deduplicated { window, .. } if now > prior.sent + window => {
             Err(SendDenied::OutsideDedupWindow)
         }
-        Effect::Deduplicated { group, .. } => {
+        RetrySafety::Deduplicated { scope: group, .. } => {
             let shared = match group {
-                Group::All => true,
-                Group::Zone => groups.zone == prior.groups.zone,
-                Group::Cell => groups.cell == prior.groups.cell,
+                DedupScope::All => true,
+                DedupScope::Zone => groups.zone == prior.groups.zone,
+                DedupScope::Group => groups.cell == prior.groups.cell,
             };
             if shared {
                 Ok(())
--- a/crates/agent-core/src/passage.rs
+++ b/crates/agent-core/src/passage.rs
@@ -1,6 +1,6 @@
 //! Bodies: what is taken whole, what is passed on as it comes, and how long a side that says nothing is waited for.
 
-use bellcroft_balancer::{Span, Time};
+use bellcroft_balancer::{Micros, Time};
 
 /// A body up to this is taken whole before it goes on, and can be tried again; above it, it is passed on.
 pub const WHOLE_MOST: usize = 64 << 10;
@@ -12,7 +12,7 @@
 const KEPT_SHARE: usize = 4;
 /// An answer of unknown length that has not come whole this long after its head is passed on: its client may be waiting
 /// for what is there.
-const GATHER_MOST: Span = Span(40_000);
+const GATHER_MOST: Micros = Micros(40_000);
 
 /// What is wrong with a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -75,7 +75,7 @@
 }
 
 /// More of a body must come within this: slow it may be, but not silent.
-const GAP_MOST: Span = Span(2_000_000);
+const GAP_MOST: Micros = Micros(2_000_000);
 /// A body may keep its reader waiting for so long in all, and longer by what it brings: this much a second at least. A
 /// slow line brings some ten times as much; whoever brings less holds a place to hold it.
 const SLOWEST: u64 = 4 << 10;
@@ -84,9 +84,9 @@
 /// server takes is not its client's fault.
 #[derive(Debug, Clone, Copy)]
 pub struct Patience {
-    gap: Span,
+    gap: Micros,
     came: u64,
-    waited: Span,
+    waited: Micros,
     since: Option<Time>,
 }
 
@@ -98,8 +98,8 @@
 
 impl Patience {
     /// With one who may say nothing for so long.
-    pub fn of(gap: Span) -> Self {
-        Patience { gap, came: 0, waited: Span::ZERO, since: None }
+    pub fn of(gap: Micros) -> Self {
+        Patience { gap, came: 0, waited: Micros::ZERO, since: None }
     }
 
     /// There is room for more, and nothing has come.
@@ -111,14 +111,14 @@
     pub fn came(&mut self, more: usize, now: Time) {
         self.came += more as u64;
         if let Some(since) = self.since.take() {
-            self.waited = Span(self.waited.0 + now.since(since).0);
+            self.waited = Micros(self.waited.0 + now.since(since).0);
         }
     }
 
     /// When it is over; none while nothing is waited for.
     pub fn until(&self) -> Option<Time> {
-        let earned = Span(self.gap.0 + self.came * 1_000_000 / SLOWEST);
-        self.since.map(|since| since + earned.less(self.waited).min(self.gap))
+        let earned = Micros(self.gap.0 + self.came * 1_000_000 / SLOWEST);
+        self.since.map(|since| since + earned.saturating_sub(self.waited).min(self.gap))
     }
 }
 
@@ -218,7 +218,7 @@
         fn before(self) -> Time;
     }
 
-    impl Before for Span {
+    impl Before for Micros {
         fn before(self) -> Time {
             Time(self.0 - 1)
         }
@@ -239,12 +239,12 @@
         let mut now = Time(0);
         for _ in 0..1000 {
             slow.waits(now);
-            now = now + Span(100_000);
+            now = now + Micros(100_000);
             assert!(slow.until().is_some_and(|until| until > now), "64 kB/s are enough");
             slow.came(6400, now);
             assert_eq!(slow.until(), None, "its reader has enough");
             // A server that takes its time is not its client's fault.
-            now = now + Span(5_000_000);
+            now = now + Micros(5_000_000);
         }
         slow.waits(now);
         assert_eq!(slow.until(), Some(now + GAP_MOST));
@@ -252,10 +252,10 @@
         let mut bytes = 0;
         loop {
             trickle.waits(now);
-            if trickle.until().is_none_or(|until| until <= now + Span(500_000)) {
+            if trickle.until().is_none_or(|until| until <= now + Micros(500_000)) {
                 break;
             }
-            now = now + Span(500_000);
+            now = now + Micros(500_000);
             trickle.came(1, now);
             bytes += 1;
         }
@@ -265,11 +265,11 @@
     /// A side that is given more time at once trickles no longer for it.
     #[test]
     fn a_trickle_ends_whatever_the_gap() {
-        let gap = Span(30_000_000);
+        let gap = Micros(30_000_000);
         let (mut trickle, mut now, mut bytes) = (Patience::of(gap), Time(0), 0);
         loop {
             trickle.waits(now);
-            let next = now + Span(1_000_000);
+            let next = now + Micros(1_000_000);
             if trickle.until().is_none_or(|until| until <= next) {
                 break;
             }
--- a/crates/agent-core/src/retune.rs
+++ b/crates/agent-core/src/retune.rs
@@ -4,15 +4,15 @@
 //! A class's place in the table is never given to another one while anything refers to it, so a request that is open
 //! keeps its class, and its rules, whatever the newest file says.
 
-use bellcroft_balancer::{Class, Effect, Group, Span, Time};
+use bellcroft_balancer::{Class, DedupScope, Micros, RetrySafety, Time};
 use serde_json::Value;
 
 /// For so long after new settings have been taken, requests still come in the old ones' form: clients change theirs some
 /// time after the signal, and the slowest take seconds over a request's head.
-const FORMER_KNOWN: Span = Span(6_000_000);
+const FORMER_KNOWN: Micros = Micros(6_000_000);
 /// For so long, where a request's form does not tell which of two rules it was made for, the narrower one binds, and the
 /// smaller number of attempts.
-const BOTH_BIND: Span = Span(2_000_000);
+const BOTH_BIND: Micros = Micros(2_000_000);
 
 /// What a newer file lacks that the present one has, as paths such as `settings.classes[1].deadlineMs`. A file that was
 /// cut short, or written by a hand that forgot a line, must not silently fall back to defaults.
@@ -89,16 +89,16 @@
 
 impl Form {
     /// The form of requests with this effect.
-    pub fn of(effect: Effect) -> Self {
+    pub fn of(effect: RetrySafety) -> Self {
         match effect {
-            Effect::Idempotent => Form::Read,
-            Effect::Deduplicated { .. } => Form::Keyed,
-            Effect::AtMostOnce => Form::Bare,
+            RetrySafety::Idempotent => Form::Read,
+            RetrySafety::Deduplicated { .. } => Form::Keyed,
+            RetrySafety::AtMostOnce => Form::Bare,
         }
     }
 
     /// Whether a request of this form is one of such an effect. A key that nobody asked for does no harm.
-    fn fits(self, effect: Effect) -> bool {
+    fn fits(self, effect: RetrySafety) -> bool {
         self == Form::of(effect) || (self, Form::of(effect)) == (Form::Keyed, Form::Bare)
     }
 }
@@ -126,7 +126,7 @@
     /// There is none of that name.
     Unknown,
     /// There is one, of this effect, and the request has another's form.
-    Form(Effect),
+    Form(RetrySafety),
 }
 
 /// The classes, by their places in the decisions' table.
@@ -179,14 +179,14 @@
             Standing::Former { until } if now < until => Some(2),
             Standing::Both { .. } | Standing::Former { .. } => None,
         };
-        let exact = |entry: &Entry| form == Form::of(entry.class.effect);
+        let exact = |entry: &Entry| form == Form::of(entry.class.retry_safety);
         let named = || self.entries.iter().enumerate().filter(|(_, entry)| entry.name == name);
-        let fits = named().filter(|(_, entry)| form.fits(entry.class.effect));
+        let fits = named().filter(|(_, entry)| form.fits(entry.class.retry_safety));
         let ranked = fits.filter_map(|(place, entry)| Some(((!exact(entry), rank(entry)?), place)));
         if let Some((_, place)) = ranked.min() {
             return Ok(place);
         }
-        let known = named().filter_map(|(_, entry)| Some((rank(entry)?, entry.class.effect)));
+        let known = named().filter_map(|(_, entry)| Some((rank(entry)?, entry.class.retry_safety)));
         known
             .min_by_key(|(rank, _)| *rank)
             .map_or(Err(Unfit::Unknown), |(_, effect)| Err(Unfit::Form(effect)))
@@ -225,9 +225,9 @@
             };
             begin(self, class.clone(), Standing::Present);
             if let Some(old) = old {
-                let before = self.entries[old].class.effect;
-                if before != class.effect && Form::of(before) == Form::of(class.effect) {
-                    let both = Class { effect: narrower(before, class.effect), ..class.clone() };
+                let before = self.entries[old].class.retry_safety;
+                if before != class.retry_safety && Form::of(before) == Form::of(class.retry_safety) {
+                    let both = Class { retry_safety: narrower(before, class.retry_safety), ..class.clone() };
                     begin(self, both, Standing::Both { until: now + BOTH_BIND });
                 }
                 self.entries[old].standing = former;
@@ -262,16 +262,17 @@
 }
 
 /// What may be done under either of two effects of one form.
-fn narrower(one: Effect, other: Effect) -> Effect {
-    let reach = |group: Group| match group {
-        Group::Cell => 0,
-        Group::Zone => 1,
-        Group::All => 2,
+fn narrower(one: RetrySafety, other: RetrySafety) -> RetrySafety {
+    let reach = |group: DedupScope| match group {
+        DedupScope::Group => 0,
+        DedupScope::Zone => 1,
+        DedupScope::All => 2,
     };
     match (one, other) {
-        (Effect::Deduplicated { group: a, window: v }, Effect::Deduplicated { group: b, window: w }) => {
-            Effect::Deduplicated { group: if reach(a) < reach(b) { a } else { b }, window: v.min(w) }
-        }
+        (
+            RetrySafety::Deduplicated { scope: a, window: v },
+            RetrySafety::Deduplicated { scope: b, window: w },
+        ) => RetrySafety::Deduplicated { scope: if reach(a) < reach(b) { a } else { b }, window: v.min(w) },
         _ => one,
     }
 }
@@ -299,10 +300,11 @@
     use super::*;
     use serde_json::json;
 
-    const KEYED: Effect = Effect::Deduplicated { group: Group::All, window: Span(7_500_000) };
+    const KEYED: RetrySafety =
+        RetrySafety::Deduplicated { scope: DedupScope::All, window: Micros(7_500_000) };
 
-    fn class(effect: Effect) -> Class {
-        Class { effect, ..Class::default() }
+    fn class(effect: RetrySafety) -> Class {
+        Class { retry_safety: effect, ..Class::default() }
     }
 
     fn names(words: &[&str]) -> Vec<String> {
@@ -310,7 +312,7 @@
     }
 
     fn book() -> Book {
-        let classes = [Effect::Idempotent, KEYED, Effect::AtMostOnce].map(class);
+        let classes = [RetrySafety::Idempotent, KEYED, RetrySafety::AtMostOnce].map(class);
         Book::new(&names(&["read", "log", "pay"]), &classes)
     }
 
@@ -340,9 +342,9 @@
     #[test]
     fn a_class_that_did_not_change_keeps_its_place() {
         let mut book = book();
-        let classes = [Effect::Idempotent, KEYED, Effect::AtMostOnce].map(class);
+        let classes = [RetrySafety::Idempotent, KEYED, RetrySafety::AtMostOnce].map(class);
         assert!(book.retune(Time(1), &names(&["read", "log", "pay"]), &classes, |_| true).is_empty());
-        let turned = [KEYED, Effect::Idempotent, Effect::AtMostOnce].map(class);
+        let turned = [KEYED, RetrySafety::Idempotent, RetrySafety::AtMostOnce].map(class);
         assert!(book.retune(Time(2), &names(&["log", "read", "pay"]), &turned, |_| true).is_empty());
         assert_eq!(book.find(Time(3), "log", Form::Keyed), Ok(1), "whatever the order");
     }
@@ -351,7 +353,7 @@
     #[test]
     fn a_request_s_form_tells_which_rules_it_was_made_for() {
         let mut book = book();
-        let classes = [KEYED, Effect::AtMostOnce].map(class);
+        let classes = [KEYED, RetrySafety::AtMostOnce].map(class);
         let changed = book.retune(Time(10), &names(&["read", "pay"]), &classes, |_| true);
         assert_eq!(changed, [(3, Some(0))]);
         let soon = Time(10) + FORMER_KNOWN * 0.9;
@@ -366,19 +368,22 @@
         assert_eq!(book.find(later, "read", Form::Read), Err(Unfit::Form(KEYED)));
         assert_eq!(book.find(later, "log", Form::Keyed), Err(Unfit::Unknown));
         assert_eq!(book.find(later, "pay", Form::Keyed), Ok(2), "a key does no harm");
-        assert_eq!(book.find(later, "pay", Form::Read), Err(Unfit::Form(Effect::AtMostOnce)));
+        assert_eq!(book.find(later, "pay", Form::Read), Err(Unfit::Form(RetrySafety::AtMostOnce)));
     }
 
     #[test]
     fn where_the_form_tells_nothing_both_rules_bind_for_a_while() {
         let mut book = book();
-        let newer = Effect::Deduplicated { group: Group::Zone, window: Span(9_000_000) };
-        let classes = [Effect::Idempotent, newer, Effect::AtMostOnce].map(class);
+        let newer = RetrySafety::Deduplicated { scope: DedupScope::Zone, window: Micros(9_000_000) };
+        let classes = [RetrySafety::Idempotent, newer, RetrySafety::AtMostOnce].map(class);
         let changed = book.retune(Time(0), &names(&["read", "log", "pay"]), &classes, |_| true);
         assert_eq!(changed, [(3, Some(1)), (4, Some(1))]);
         let effect =
-            |at: Time| book.classes()[book.find(at, "log", Form::Keyed).expect("it is there")].effect;
-        assert_eq!(effect(Time(1)), Effect::Deduplicated { group: Group::Zone, window: Span(7_500_000) });
+            |at: Time| book.classes()[book.find(at, "log", Form::Keyed).expect("it is there")].retry_safety;
+        assert_eq!(
+            effect(Time(1)),
+            RetrySafety::Deduplicated { scope: DedupScope::Zone, window: Micros(7_500_000) }
+        );
         assert_eq!(effect(Time(0) + BOTH_BIND), newer);
     }
 
@@ -389,7 +394,7 @@
         let mut most = 0;
         for n in 0..1000_u64 {
             now = now + FORMER_KNOWN * 1.5;
-            let classes = [Class { deadline: Span(1_000_000 + n), ..class(Effect::Idempotent) }];
+            let classes = [Class { deadline: Micros(1_000_000 + n), ..class(RetrySafety::Idempotent) }];
             let changed = book.retune(now, &names(&["read"]), &classes, |place| place != 1);
             assert!(changed.iter().all(|(place, _)| *place != 1), "somebody refers to it");
             assert_eq!(book.classes()[book.find(now, "read", Form::Read).expect("it is there")], classes[0]);
@@ -403,11 +408,11 @@
     fn files_in_quick_succession() {
         let mut book = book();
         for n in 0..20_u64 {
-            let window = Span(1_000_000 * (n + 1));
-            let effect = Effect::Deduplicated { group: Group::All, window };
+            let window = Micros(1_000_000 * (n + 1));
+            let effect = RetrySafety::Deduplicated { scope: DedupScope::All, window };
             book.retune(Time(n), &names(&["log"]), &[class(effect)], |_| true);
             let place = book.find(Time(n), "log", Form::Keyed).expect("it is there");
-            let Effect::Deduplicated { window: bound, .. } = book.classes()[place].effect else {
+            let RetrySafety::Deduplicated { window: bound, .. } = book.classes()[place].retry_safety else {
                 panic!("keyed");
             };
             assert!(bound <= window, "the narrower one binds");
--- a/crates/agent-core/src/service.rs
+++ b/crates/agent-core/src/service.rs
@@ -1,16 +1,16 @@
 //! What an instance may still do for clients while it is taken out of service, put back, or replaced.
 
-use bellcroft_balancer::{Span, Time};
+use bellcroft_balancer::{Micros, Time};
 
 /// New connections go on coming for a moment after the first no; they are taken, and what they ask is answered. A
 /// connection that is still idle this long after the drain began has no use any more.
 ///
 /// The platform wants none that is idle, or that had a request lately, 4 s after the call; each answer since closes its
 /// connection, so those that are left are idle since before the call.
-const DRAIN_IDLE: Span = Span(1_500_000);
+const DRAIN_IDLE: Micros = Micros(1_500_000);
 /// The same for a process that another one has taken over from: what it still has must be over soon, for it is killed
 /// once the longest deadline has passed.
-const REPLACED_IDLE: Span = Span(450_000);
+const REPLACED_IDLE: Micros = Micros(450_000);
 
 /// What it is there for at present.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -100,7 +100,7 @@
 mod tests {
     use super::*;
 
-    const SECOND: Span = Span(1_000_000);
+    const SECOND: Micros = Micros(1_000_000);
 
     #[test]
     fn out_of_service_and_back() {
--- a/crates/agent-core/src/waking.rs
+++ b/crates/agent-core/src/waking.rs
@@ -1,12 +1,12 @@
 //! A process that stood still (SIGSTOP, a machine put to sleep) goes on as if nothing had happened; the list of servers
 //! that it holds may be minutes old. Its decisions wait for a new one, for a stated time at most.
 
-use bellcroft_balancer::{Span, Time};
+use bellcroft_balancer::{Micros, Time};
 
 /// Without a beat for this long, the process has stood still. A beat comes twice a second at least.
-pub const STALL: Span = Span(1_000_000);
+pub const STALL: Micros = Micros(1_000_000);
 /// Decisions wait for the list at most this long: discovery may be gone, and requests have their deadlines.
-pub const LIST_WITHIN: Span = Span(250_000);
+pub const LIST_WITHIN: Micros = Micros(250_000);
 
 /// Whether decisions wait for the list.
 #[derive(Debug, Clone, Copy)]
--- a/crates/agent-core/tests/clock_skew.rs
+++ b/crates/agent-core/tests/clock_skew.rs
@@ -1,9 +1,9 @@
 //! Starts of servers by a clock that was stepped before the process started.
 
 use bellcroft_agent_core::clock_skew::ClockSkew;
-use bellcroft_balancer::{Span, Time};
+use bellcroft_balancer::{Micros, Time};
 
-const SECOND: Span = Span(1_000_000);
+const SECOND: Micros = Micros(1_000_000);
 const HOUR: f64 = 3_600.0;
 
 /// The platform's time, and this process's: so many seconds ahead.
--- a/crates/agent-core/tests/guard.rs
+++ b/crates/agent-core/tests/guard.rs
@@ -2,9 +2,9 @@
 
 use bellcroft_agent_core::guard::*;
 use bellcroft_agent_core::shutdown::*;
-use bellcroft_balancer::{Effect, Group, Outcome, Span, Time};
+use bellcroft_balancer::{DedupScope, Micros, Outcome, RetrySafety, Time};
 
-const MS: Span = Span(1_000);
+const MS: Micros = Micros(1_000);
 const HERE: ServerGroups = ServerGroups { zone: 1, cell: 1 };
 const OTHER_CELL: ServerGroups = ServerGroups { zone: 1, cell: 2 };
 const OTHER_ZONE: ServerGroups = ServerGroups { zone: 2, cell: 2 };
@@ -52,10 +52,10 @@
     assert_eq!(guard.answer_by(at(100.0)), at(100.0));
     let window = guard.window(at(50_000.0), at(60_000.0));
     assert_eq!((window.start_by, window.end_by), (schedule.answer_by(), schedule.answer_by()));
-    let just_before = schedule.answer_by() - Span(1);
+    let just_before = schedule.answer_by() - Micros(1);
     assert!(!guard.must_answer_all(just_before) && guard.must_answer_all(schedule.answer_by()));
     assert!(!guard.must_end(schedule.answer_by()) && guard.must_end(schedule.exit_by()));
-    let history = AttemptHistory::new(Effect::Idempotent);
+    let history = AttemptHistory::new(RetrySafety::Idempotent);
     assert_eq!(guard.may_send(just_before, &history, HERE), Ok(()));
     assert_eq!(guard.may_send(schedule.answer_by(), &history, HERE), Err(SendDenied::ProcessEnding));
 }
@@ -71,23 +71,23 @@
 /// Which repeats pass, by effect, what the earlier attempt may have done, server and time.
 #[test]
 fn repeats_pass_only_where_nothing_can_run_twice() {
-    let dedup = |group| Effect::Deduplicated { group, window: MS * 500.0 };
+    let dedup = |group| RetrySafety::Deduplicated { scope: group, window: MS * 500.0 };
     let (ran, never) = (Outcome::ConnectionReset, Outcome::ConnectFailed);
     let twice = Err(SendDenied::MayRunTwice);
     let (late, elsewhere) = (Err(SendDenied::OutsideDedupWindow), Err(SendDenied::OutsideDedupGroup));
     let cases = [
-        (Effect::Idempotent, Some(ran), 10_000.0, OTHER_ZONE, Ok(())),
-        (Effect::Idempotent, None, 10_000.0, OTHER_ZONE, Ok(())),
-        (Effect::AtMostOnce, Some(never), 10.0, HERE, Ok(())),
-        (Effect::AtMostOnce, Some(ran), 10.0, HERE, twice),
-        (Effect::AtMostOnce, None, 10.0, HERE, twice),
-        (dedup(Group::All), Some(ran), 500.0, OTHER_ZONE, Ok(())),
-        (dedup(Group::All), Some(ran), 500.1, HERE, late),
-        (dedup(Group::All), Some(never), 500.1, HERE, Ok(())),
-        (dedup(Group::Zone), None, 400.0, OTHER_CELL, Ok(())),
-        (dedup(Group::Zone), None, 400.0, OTHER_ZONE, elsewhere),
-        (dedup(Group::Cell), Some(ran), 400.0, HERE, Ok(())),
-        (dedup(Group::Cell), Some(ran), 400.0, OTHER_CELL, elsewhere),
+        (RetrySafety::Idempotent, Some(ran), 10_000.0, OTHER_ZONE, Ok(())),
+        (RetrySafety::Idempotent, None, 10_000.0, OTHER_ZONE, Ok(())),
+        (RetrySafety::AtMostOnce, Some(never), 10.0, HERE, Ok(())),
+        (RetrySafety::AtMostOnce, Some(ran), 10.0, HERE, twice),
+        (RetrySafety::AtMostOnce, None, 10.0, HERE, twice),
+        (dedup(DedupScope::All), Some(ran), 500.0, OTHER_ZONE, Ok(())),
+        (dedup(DedupScope::All), Some(ran), 500.1, HERE, late),
+        (dedup(DedupScope::All), Some(never), 500.1, HERE, Ok(())),
+        (dedup(DedupScope::Zone), None, 400.0, OTHER_CELL, Ok(())),
+        (dedup(DedupScope::Zone), None, 400.0, OTHER_ZONE, elsewhere),
+        (dedup(DedupScope::Group), Some(ran), 400.0, HERE, Ok(())),
+        (dedup(DedupScope::Group), Some(ran), 400.0, OTHER_CELL, elsewhere),
     ];
     for (effect, outcome, ms, groups, expected) in cases {
         let mut guard = Guard::default();
--- a/crates/agent/src/clock.rs
+++ b/crates/agent/src/clock.rs
@@ -1,6 +1,6 @@
 //! The one clock of an instance.
 
-use bellcroft_balancer::{Span, Time};
+use bellcroft_balancer::{Micros, Time};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
@@ -9,14 +9,14 @@
 #[derive(Clone, Copy)]
 pub struct Clock {
     origin: Instant,
-    unix: Span,
+    unix: Micros,
 }
 
 impl Clock {
     /// One that starts now.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { origin: Instant::now(), unix: Span(unix.as_micros() as u64) }
+        Clock { origin: Instant::now(), unix: Micros(unix.as_micros() as u64) }
     }
 
     /// The time at `instant`.
--- a/crates/agent/src/daemon/shutdown.rs
+++ b/crates/agent/src/daemon/shutdown.rs
@@ -6,7 +6,7 @@
 use crate::front::Accepting;
 use bellcroft_agent_core::guard::Violation;
 use bellcroft_agent_core::shutdown::ShutdownSchedule;
-use bellcroft_balancer::{Span, Time};
+use bellcroft_balancer::{Micros, Time};
 use std::time::Duration;
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
@@ -52,7 +52,7 @@
 fn schedule(instance: &Instance, signalled: Time) -> ShutdownSchedule {
     let config = instance.control.config();
     let longest_deadline = config.settings.classes.iter().map(|class| class.deadline).max();
-    let operator_limit = config.daemon.stop_within.map(|limit| Span(limit.as_micros() as u64));
+    let operator_limit = config.daemon.stop_within.map(|limit| Micros(limit.as_micros() as u64));
     ShutdownSchedule::new(signalled, longest_deadline.unwrap_or_default(), operator_limit)
 }
 
--- a/crates/agent/src/discovery/mod.rs
+++ b/crates/agent/src/discovery/mod.rs
@@ -1,7 +1,7 @@
 //! The server list: reading it, watching it, asking for the whole of it.
 //!
 //! When to begin a watch and when to ask again after a failure is the balancer's to say
-//! ([`bellcroft_balancer::Action::Follow`], [`bellcroft_balancer::Action::FetchList`]); a watch once begun is kept up here.
+//! ([`bellcroft_balancer::Action::Watch`], [`bellcroft_balancer::Action::FetchEndpoints`]); a watch once begun is kept up here.
 
 mod client;
 pub mod codec;
--- a/crates/agent/src/discovery/policy.rs
+++ b/crates/agent/src/discovery/policy.rs
@@ -93,7 +93,7 @@
     /// The latest moment, from discovery's return, at which it is asked: a call that hangs had begun just before. Where
     /// lists are pushed, it is asked again after another `hedge_delay`.
     pub fn unreachable_ask(&self) -> Duration {
-        let micros = |span: bellcroft_balancer::Span| Duration::from_micros(span.0);
+        let micros = |span: bellcroft_balancer::Micros| Duration::from_micros(span.0);
         match self.retry_delay {
             Some(delay) => self.call_timeout + delay,
             None => {
--- a/crates/agent/src/driver.rs
+++ b/crates/agent/src/driver.rs
@@ -40,7 +40,7 @@
 use tracing::{info, warn};
 
 /// What has changed since the list that the configuration knows is told at once; what is told later has happened since.
-const FIRST_ANSWER_TIME: Span = Span(500_000);
+const FIRST_ANSWER_TIME: Micros = Micros(500_000);
 
 /// Idle connections are looked through this often.
 const SWEEP: Duration = Duration::from_millis(500);
@@ -90,7 +90,7 @@
     /// What it is about.
     pub key: Option<KeyId>,
     /// A guess at its work.
-    pub cost_hint: Option<Span>,
+    pub cost_hint: Option<Micros>,
     /// The client says that it is a repeat.
     pub repeat: bool,
     /// When its answer must be on its way; of one that is coming, when it must have come.
@@ -112,7 +112,7 @@
     /// A backend's answer: its content type and its body.
     Served(Option<HeaderValue>, Content),
     /// Refused by the balancer; trying again is harmless, and makes sense after this long.
-    Refused(Option<Span>),
+    Refused(Option<Micros>),
     /// Failed, with no promise.
     Failed(StatusCode),
 }
@@ -263,7 +263,7 @@
             if !list.is_empty() {
                 state.news_from = Some(clock.now() + FIRST_ANSWER_TIME);
             }
-            state.queue.push_back(Event::List(ListUpdate::Saved(list)));
+            state.queue.push_back(Event::Endpoints(EndpointUpdate::SavedSnapshot(list)));
             for action in actions {
                 driver.carry_out(&mut state, action);
             }
@@ -339,13 +339,13 @@
         settings.balancers = settings.balancers.max(self.reckoned.get());
         let (kinds, _) = merge(&old.kinds, &newer.names.kinds);
         let mut book = self.book.borrow_mut();
-        let free = |place: usize| !state.balancer.refers_to(ClassId(place));
+        let free = |place: usize| !state.balancer.references_class(ClassId(place));
         let changed = book.retune(now, &newer.names.classes, &newer.settings.classes, free);
         settings.classes = book.classes();
         if settings.max_attempts != former.max_attempts {
             state.attempts_most.changed(former.max_attempts, now);
         }
-        state.balancer.retune(settings, &changed)?;
+        state.balancer.reconfigure(settings, &changed)?;
         let followed = state.discovery.follows_by_itself();
         let watch_policy = watch_policy(state.balancer.settings());
         state.discovery.retune(watch_policy);
@@ -398,7 +398,7 @@
             for request in open {
                 let answer = Answer::Failed(StatusCode::GATEWAY_TIMEOUT);
                 state.answer(request, answer, AnswerReason::ProcessEnds);
-                state.queue.push_back(Event::ClientGone { request });
+                state.queue.push_back(Event::ClientDisconnected { request });
             }
         }
         self.pump();
@@ -406,7 +406,7 @@
 
     /// Servers of the list that get nothing at present, or less than their share.
     pub fn avoided(&self) -> usize {
-        self.state.borrow().balancer.avoided(self.clock.now())
+        self.state.borrow().balancer.avoided_servers(self.clock.now())
     }
 
     /// Attempts that were written whole to a server.
@@ -437,30 +437,29 @@
             let now = self.clock.now();
             let time_left = self.answer_by(arrival.deadline).since(now);
             state.log.taken(&arrival.request_id, arrival.class.0, Duration::from_micros(time_left.0));
-            let effect = state.balancer.settings().classes.get(arrival.class.0).map(|class| class.effect);
+            let effect =
+                state.balancer.settings().classes.get(arrival.class.0).map(|class| class.retry_safety);
             let ending = self.guard.borrow().must_answer_all(now);
             let mut limits = arrival.route.as_ref().map(|route| route.limits.clone());
             if let Some(most) = state.attempts_most.most(self.clock.now()) {
                 let fewer = limits.as_deref().unwrap_or(&Limits::STANDARD).clone();
-                limits = Some(Arc::new(Limits { attempts: fewer.attempts.min(most), ..fewer }));
+                limits = Some(Arc::new(Limits { max_attempts: fewer.max_attempts.min(most), ..fewer }));
             }
             let request = bellcroft_balancer::Request {
                 tenant: arrival.tenant,
                 key: arrival.key,
                 cost_hint: arrival.cost_hint,
-                repeat: arrival.repeat,
-                coming: arrival.body.upload().is_some(),
+                is_retry: arrival.repeat,
+                streaming: arrival.body.upload().is_some(),
                 limits,
                 // What is coming can go one way at a time.
-                second_copy_after: arrival
-                    .route
-                    .as_ref()
-                    .filter(|_| arrival.body.upload().is_none())
-                    .and_then(|route| match route.second_copy_after {
+                hedge_after: arrival.route.as_ref().filter(|_| arrival.body.upload().is_none()).and_then(
+                    |route| match route.second_copy_after {
                         SecondCopy::Never => None,
                         SecondCopy::After(after) => Some(after),
                         SecondCopy::Percentile(p) => state.recent[arrival.class.0].percentile(p),
-                    }),
+                    },
+                ),
                 ..bellcroft_balancer::Request::new(id, arrival.class, time_left)
             };
             let owing = self.telemetry.clone().map(|telemetry| {
@@ -469,7 +468,7 @@
                 telemetry.taken(id.0, class, arrival.tenant.map(|t| t.0), route, until);
                 Owing::new(telemetry, self.clock, id, class, arrival.whole)
             });
-            let history = AttemptHistory::new(effect.unwrap_or(Effect::AtMostOnce));
+            let history = AttemptHistory::new(effect.unwrap_or(RetrySafety::AtMostOnce));
             let open = Open { answer, parts: Rc::new(arrival), sends: 0, history, timed_out: false };
             state.open.insert(id, open);
             if ending {
@@ -499,7 +498,7 @@
                 }
             }
             let time_left = answer_by.since(self.clock.now());
-            state.queue.push_back(Event::Whole { request: id, time_left });
+            state.queue.push_back(Event::BodyComplete { request: id, time_left });
         }
         self.pump();
     }
@@ -512,7 +511,7 @@
             let Some(open) = state.open.remove(&id) else { return };
             state.log.client_left(&open.parts.request_id);
             state.stop_unwritten(id, open.sends);
-            state.queue.push_back(Event::ClientGone { request: id });
+            state.queue.push_back(Event::ClientDisconnected { request: id });
         }
         self.pump();
     }
@@ -530,8 +529,8 @@
         let update = {
             let state = &mut self.state.borrow_mut();
             let update = match list.whole {
-                true => ListUpdate::Complete(self.take_list(state, list)),
-                false => ListUpdate::Changes(self.take_list(state, list)),
+                true => EndpointUpdate::Snapshot(self.take_list(state, list)),
+                false => EndpointUpdate::Delta(self.take_list(state, list)),
             };
             state.news_from.get_or_insert(self.clock.now());
             update
@@ -541,7 +540,7 @@
 
     /// The watch of discovery has failed: the balancer says when the next begins.
     pub fn on_watch_failed(self: &Rc<Self>) {
-        self.update_list(ListUpdate::Failed);
+        self.update_list(EndpointUpdate::Failed);
     }
 
     /// A call to discovery goes out.
@@ -572,8 +571,8 @@
     }
 
     /// Before all else that is queued: what waits for the list is to be decided by it.
-    fn update_list(self: &Rc<Self>, update: ListUpdate) {
-        self.state.borrow_mut().queue.push_front(Event::List(update));
+    fn update_list(self: &Rc<Self>, update: EndpointUpdate) {
+        self.state.borrow_mut().queue.push_front(Event::Endpoints(update));
         self.pump();
     }
 
@@ -658,7 +657,7 @@
             }
             state.actions = actions;
             if let Some(peers) = &*self.peers.borrow() {
-                peers.saw(state.balancer.signs());
+                peers.saw(state.balancer.signals());
             }
         }
     }
@@ -673,7 +672,7 @@
                     progress.call_off();
                 }
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Shed { request, retry_after } => {
                 if let Some(peers) = &*self.peers.borrow() {
                     peers.refused();
                 }
@@ -691,15 +690,15 @@
                     self.wake.notify_one();
                 }
             }
-            Action::Probe { server } => self.probe(server),
+            Action::HealthCheck { server } => self.probe(server),
             Action::CloseIdle { server } => self.upstream.close_idle(server),
-            Action::Follow { active } => {
+            Action::Watch { active } => {
                 let seq = state.known_version();
                 state.discovery.follow(self, active, seq);
             }
-            Action::FetchList => state.discovery.fetch(self),
+            Action::FetchEndpoints => state.discovery.fetch(self),
             // A way to talk to each other is there where the operator's file has one.
-            Action::Tell { to, payload } => {
+            Action::SendHint { to, payload } => {
                 let server = payload.try_into().map(u32::from_be_bytes).map(ServerId);
                 let name = server.ok().and_then(|server| state.names.get(&server));
                 if let (Some(peers), Some(to), Some(name)) = (&*self.peers.borrow(), to, name) {
@@ -736,7 +735,7 @@
         let sent = Instant::now();
         let upload = open.parts.body.upload().cloned();
         let outgoing = outgoing(&open.parts);
-        let time = |span: Span| Duration::from_micros(span.0);
+        let time = |span: Micros| Duration::from_micros(span.0);
         let route = open.parts.route.as_ref();
         let limits = AttemptLimits {
             window: AttemptWindow {
@@ -774,7 +773,7 @@
         ended: AttemptResult,
         sent: Instant,
     ) {
-        let elapsed = Span(sent.elapsed().as_micros() as u64);
+        let elapsed = Micros(sent.elapsed().as_micros() as u64);
         if let Some(telemetry) = &self.telemetry {
             telemetry.ended((key.0 .0, key.1), class.0, server.0, ended.outcome, elapsed);
         }
@@ -793,7 +792,7 @@
             }
             let spent = |open: &Open| open.parts.body.upload().is_some_and(|upload| upload.spent());
             if state.open.get(&key.0).is_some_and(spent) {
-                state.queue.push_back(Event::Spent { request: key.0 });
+                state.queue.push_back(Event::AttemptsExhausted { request: key.0 });
             }
             let closed = !state.open.contains_key(&key.0);
             state.queue.push_back(Event::Outcome {
@@ -813,17 +812,22 @@
         tokio::task::spawn_local(async move {
             let sent = Instant::now();
             let AttemptResult { outcome, report, .. } = driver.upstream.probe(server).await;
-            let elapsed = Span(sent.elapsed().as_micros() as u64);
+            let elapsed = Micros(sent.elapsed().as_micros() as u64);
             if let Some(telemetry) = &driver.telemetry {
                 telemetry.probed(outcome);
             }
-            driver.state.borrow_mut().queue.push_back(Event::Probed { server, outcome, elapsed, report });
+            driver.state.borrow_mut().queue.push_back(Event::HealthChecked {
+                server,
+                outcome,
+                elapsed,
+                report,
+            });
             driver.pump();
         });
     }
 
     /// Takes in where the servers of a list are reached, and puts the list in the balancer's terms.
-    fn take_list(&self, state: &mut State, list: EndpointList) -> Vec<Listed> {
+    fn take_list(&self, state: &mut State, list: EndpointList) -> Vec<Endpoint> {
         state.seq = Some(list.seq);
         for entry in list.rejected_entries {
             if state.rejected_entries.len() < MAX_REPORTED_ENTRIES && !state.rejected_entries.contains(&entry)
@@ -858,14 +862,14 @@
             }
             let zone = place(&names.zones, &host.site);
             state.groups.insert(server, ServerGroups { zone, cell: host.block });
-            lines.push(Listed {
+            lines.push(Endpoint {
                 server,
                 zone: ZoneId(zone),
-                kind: KindId(place(&names.kinds, &host.kind)),
-                cell: CellId(host.block),
+                machine_type: MachineTypeId(place(&names.kinds, &host.kind)),
+                dedup_group: DedupGroupId(host.block),
                 status,
                 weight: host.share,
-                started: state.started(server, host.born_ms),
+                started_at: state.started(server, host.born_ms),
             });
         }
         if list.whole {
@@ -883,7 +887,7 @@
 
 impl Driver {
     /// Tells the observer what the list says; of a whole one also what it no longer says.
-    fn count_list(&self, telemetry: &Instance, state: &State, whole: bool, lines: &[Listed]) {
+    fn count_list(&self, telemetry: &Instance, state: &State, whole: bool, lines: &[Endpoint]) {
         let now = self.clock.now();
         let line = |server: ServerId, zone, cell, status, started| {
             let (up, here) = (status == Status::Serving, status != Status::Gone);
@@ -891,7 +895,7 @@
             telemetry.listed(now, Line { server: server.0, name, zone, cell, up, here, started });
         };
         for l in lines {
-            line(l.server, l.zone.0, l.cell.0, l.status, l.started);
+            line(l.server, l.zone.0, l.dedup_group.0, l.status, l.started_at);
         }
         if whole {
             let named: HashSet<ServerId> = lines.iter().map(|l| l.server).collect();
@@ -913,7 +917,7 @@
             let known = state.names.iter().find(|(_, own)| named(own) == name).map(|(server, _)| *server);
             let Some(server) = known else { return };
             let mut payload = server.0.to_be_bytes().to_vec();
-            payload.extend(lone.then_some(LONE));
+            payload.extend(lone.then_some(UNCONFIRMED_HINT));
             state.queue.push_back(Event::PeerMessage { from, payload });
         }
         self.pump();
@@ -929,7 +933,7 @@
         let mut state = self.state.borrow_mut();
         let mut settings = state.balancer.settings().clone();
         settings.balancers = instances;
-        if let Err(e) = state.balancer.retune(settings, &[]) {
+        if let Err(e) = state.balancer.reconfigure(settings, &[]) {
             warn!("cannot reckon by {instances} instances: {e}");
         }
     }
@@ -941,7 +945,7 @@
         if !waits {
             return self.queue.pop_front();
         }
-        let place = self.queue.iter().position(|event| matches!(event, Event::List(_)))?;
+        let place = self.queue.iter().position(|event| matches!(event, Event::Endpoints(_)))?;
         self.queue.remove(place)
     }
 
@@ -985,7 +989,7 @@
     /// An attempt of the decisions' has not gone out.
     fn on_not_sent(&mut self, request: RequestId, attempt: u32) {
         let (attempt, outcome) = (AttemptNo(attempt), Outcome::NotSent);
-        let (elapsed, report, closed) = (Span::ZERO, None, !self.open.contains_key(&request));
+        let (elapsed, report, closed) = (Micros::ZERO, None, !self.open.contains_key(&request));
         self.queue.push_back(Event::Outcome { request, attempt, outcome, elapsed, report, closed });
     }
 
@@ -1007,9 +1011,9 @@
     }
 
     /// Forgets the names of servers that left long ago; `lines` are the latest news of the list.
-    fn forget(&mut self, whole: bool, lines: &[Listed]) -> Vec<ServerId> {
+    fn forget(&mut self, whole: bool, lines: &[Endpoint]) -> Vec<ServerId> {
         let now = Instant::now();
-        let gone = |l: &&Listed| l.status == Status::Gone;
+        let gone = |l: &&Endpoint| l.status == Status::Gone;
         for line in lines {
             self.left.remove(&line.server);
         }
@@ -1052,7 +1056,7 @@
 
 /// How these settings would have discovery asked.
 fn watch_policy(settings: &Settings) -> WatchPolicy {
-    WatchPolicy::new(settings.discovery, Duration::from_micros(settings.drain_grace.0))
+    WatchPolicy::new(settings.discovery, Duration::from_micros(settings.drain_grace_period.0))
 }
 
 /// The name of a request's route.
--- a/crates/agent/src/front/request.rs
+++ b/crates/agent/src/front/request.rs
@@ -8,7 +8,7 @@
 use crate::upstream::{forwarded, join};
 use bellcroft_agent_core::passage::{self, Way, BODY_MOST};
 use bellcroft_agent_core::retune::{Form, Unfit};
-use bellcroft_balancer::{Effect, KeyId, Span, TenantId};
+use bellcroft_balancer::{KeyId, Micros, RetrySafety, TenantId};
 use bellcroft_platform_settings::fnv1a;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -68,7 +68,7 @@
         let class = match found {
             Ok(_) if form == Form::Read && head.method != Method::GET => return Err(other_method("GET")),
             Ok(class) => class,
-            Err(Unfit::Form(Effect::Idempotent)) => return Err(other_method("GET")),
+            Err(Unfit::Form(RetrySafety::Idempotent)) => return Err(other_method("GET")),
             Err(_) if head.method != Method::POST => return Err(other_method("POST")),
             Err(_) => return Err(bad("this class needs an Idempotency-Key")),
         };
@@ -83,7 +83,7 @@
             class,
             tenant,
             key: key.map(|key| KeyId(fnv1a(key))),
-            cost_hint: cost.filter(|us| *us > 0.0 && us.is_finite()).map(|us| Span::from_ms(us / 1e3)),
+            cost_hint: cost.filter(|us| *us > 0.0 && us.is_finite()).map(|us| Micros::from_ms(us / 1e3)),
             repeat: header_text(&head.headers, "x-retried") == Some("1"),
             deadline: whole + if body.upload().is_some() { COMING_MOST } else { wait - room },
             wait: wait - room,
--- a/crates/agent/src/peers/mod.rs
+++ b/crates/agent/src/peers/mod.rs
@@ -7,7 +7,7 @@
 pub mod status;
 
 use crate::clock::Clock;
-use bellcroft_balancer::{FleetState, PeerId, Sign};
+use bellcroft_balancer::{FleetState, PeerId, Signal};
 use bellcroft_membership::{Change, Config, Digest, Figures, Heard, Hearsay, Id, Membership, Output, Stance};
 use bellcroft_net::DatagramSocket;
 use status::{MemberStatus, MembershipStatus, SeenStatus, SiteStatus};
@@ -180,12 +180,14 @@
     }
 
     /// What this instance's decisions have seen of answers, to be shared.
-    pub fn saw(&self, signs: impl ExactSizeIterator<Item = Sign>) {
+    pub fn saw(&self, signs: impl ExactSizeIterator<Item = Signal>) {
         // Most of what happens shows nothing.
         if signs.len() == 0 {
             return;
         }
-        self.count_in(|digest, now, _| signs.for_each(|s| digest.saw(now, s.zone.0 as u8, s.took, s.full)));
+        self.count_in(|digest, now, _| {
+            signs.for_each(|s| digest.saw(now, s.zone.0 as u8, s.latency, s.load))
+        });
     }
 
     /// A request has come to this instance.
--- a/crates/agent/src/peers/status.rs
+++ b/crates/agent/src/peers/status.rs
@@ -51,10 +51,10 @@
     pub fn of(state: bellcroft_balancer::FleetState) -> Self {
         let round = |value: f64| (value * 1e3).round() / 1e3;
         SeenStatus {
-            answers: round(state.sure),
-            took: round(state.took),
-            full: round(state.full),
-            refused: round(state.refused),
+            answers: round(state.weight),
+            took: round(state.latency),
+            full: round(state.load),
+            refused: round(state.shed),
         }
     }
 }
--- a/crates/agent/src/telemetry.rs
+++ b/crates/agent/src/telemetry.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use crate::daemon::config::Config;
 use crate::peers::Peers;
-use bellcroft_balancer::{RequestId, ServerId, Span};
+use bellcroft_balancer::{Micros, RequestId, ServerId};
 use bellcroft_membership::{Refused, Stance, State};
 use bellcroft_operator_config::RemoteWrite;
 use bellcroft_routes::SecondCopy;
@@ -171,7 +171,7 @@
     fn drop(&mut self) {
         let over = if self.out { self.over } else { Over::Left };
         let now = Instant::now();
-        let took = Span(now.saturating_duration_since(self.from).as_micros() as u64);
+        let took = Micros(now.saturating_duration_since(self.from).as_micros() as u64);
         self.instance.over(self.clock.at(now), self.id.0, self.class, over, took);
     }
 }
--- a/crates/agent/src/upstream/relay.rs
+++ b/crates/agent/src/upstream/relay.rs
@@ -4,7 +4,7 @@
 use super::pool::ConnectionPool;
 use super::response::{BodyStart, MAX_RELAYED_BYTES};
 use bellcroft_agent_core::passage::{Passed, Patience, WHOLE_MOST};
-use bellcroft_balancer::{Span, Time};
+use bellcroft_balancer::{Micros, Time};
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
 use std::future::Future;
@@ -16,7 +16,7 @@
 use tokio::time::{sleep_until, Instant, Sleep};
 
 /// A backend that has begun a long response and sends nothing for this long, or next to nothing, will not end it.
-const STALL_TIMEOUT: Span = Span(30_000_000);
+const STALL_TIMEOUT: Micros = Micros(30_000_000);
 
 /// A long response that is passed on as it comes. Its connection serves the next attempt once it is over, and ends if it
 /// is dropped before.
--- a/crates/agent/tests/watch_schedule.rs
+++ b/crates/agent/tests/watch_schedule.rs
@@ -4,7 +4,7 @@
 use bellcroft::discovery::error::CallError;
 use bellcroft::discovery::policy::{WatchPolicy, CALL_TIMEOUT, SOCKET_ALLOWANCE};
 use bellcroft::discovery::schedule::{AnswerVersion, CallId, Query, Step, WatchSchedule};
-use bellcroft_balancer::{Action, Balancer, Discovery, Event, ListUpdate, Settings, Time, TimerId};
+use bellcroft_balancer::{Action, Balancer, Discovery, EndpointUpdate, Event, Settings, Time, TimerId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -104,7 +104,7 @@
         let changed = begins + Duration::from_micros(after[random.usize(..3)]);
         let settings = Settings {
             discovery: lists,
-            drain_grace: bellcroft_balancer::Span(drain_grace.as_micros() as u64),
+            drain_grace_period: bellcroft_balancer::Micros(drain_grace.as_micros() as u64),
             ..Settings::default()
         };
         let asked = lists == Discovery::OnRequest;
@@ -207,7 +207,7 @@
             self.schedule.on_answer(self.now, id, answer, &mut steps);
             if steps.contains(&Step::Deliver(id)) {
                 self.learned = version.filter(|version| *version >= 2).map(|_| self.now);
-                self.tell_balancer(ListUpdate::Changes(Vec::new()));
+                self.tell_balancer(EndpointUpdate::Delta(Vec::new()));
             }
             self.carry_out(steps);
         }
@@ -222,7 +222,7 @@
                     self.calls.insert(id, call);
                 }
                 Step::Cancel(id) => drop(self.calls.remove(&id)),
-                Step::Idle => self.tell_balancer(ListUpdate::Failed),
+                Step::Idle => self.tell_balancer(EndpointUpdate::Failed),
                 Step::Deliver(_) | Step::WatchSilent { .. } | Step::CallFailed { .. } => {}
             }
         }
@@ -279,9 +279,9 @@
         self.carry_out(steps);
     }
 
-    fn tell_balancer(&mut self, update: ListUpdate) {
-        let failed = update == ListUpdate::Failed;
-        self.tell(Event::List(update));
+    fn tell_balancer(&mut self, update: EndpointUpdate) {
+        let failed = update == EndpointUpdate::Failed;
+        self.tell(Event::Endpoints(update));
         // Only a failed watch is begun anew by the balancer.
         assert!(!failed || self.balancer.is_none() || self.timer.is_some());
     }
@@ -301,7 +301,7 @@
                     assert_eq!(timer, TimerId(0), "only the tick");
                     self.timer = Some(Duration::from_micros(at.0));
                 }
-                Action::Follow { active } => {
+                Action::Watch { active } => {
                     assert!(active);
                     self.begin();
                 }
--- a/crates/balancer/src/api.rs
+++ b/crates/balancer/src/api.rs
@@ -10,58 +10,58 @@
 
 /// A length of time in microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub struct Span(pub u64);
+pub struct Micros(pub u64);
 
 impl Time {
     /// The moment `ms` milliseconds after the epoch; below zero or not a number counts as the epoch.
     pub fn from_ms(ms: f64) -> Self {
-        Time(Span::from_ms(ms).0)
+        Time(Micros::from_ms(ms).0)
     }
     /// Milliseconds since the epoch.
     pub fn ms(self) -> f64 {
         self.0 as f64 / 1e3
     }
     /// The time that has passed since `earlier`, zero if it lies ahead.
-    pub fn since(self, earlier: Time) -> Span {
-        Span(self.0.saturating_sub(earlier.0))
+    pub fn since(self, earlier: Time) -> Micros {
+        Micros(self.0.saturating_sub(earlier.0))
     }
 }
 
-impl Span {
+impl Micros {
     /// No time at all.
-    pub const ZERO: Span = Span(0);
+    pub const ZERO: Micros = Micros(0);
     /// `ms` milliseconds; below zero or not a number counts as none.
     pub fn from_ms(ms: f64) -> Self {
-        Span((ms * 1e3).round() as u64)
+        Micros((ms * 1e3).round() as u64)
     }
     /// The length in milliseconds.
     pub fn ms(self) -> f64 {
         self.0 as f64 / 1e3
     }
     /// This length less `other`, never below zero.
-    pub fn less(self, other: Span) -> Span {
-        Span(self.0.saturating_sub(other.0))
+    pub fn saturating_sub(self, other: Micros) -> Micros {
+        Micros(self.0.saturating_sub(other.0))
     }
 }
 
-impl Add<Span> for Time {
+impl Add<Micros> for Time {
     type Output = Time;
-    fn add(self, span: Span) -> Time {
+    fn add(self, span: Micros) -> Time {
         Time(self.0.saturating_add(span.0))
     }
 }
 
-impl Sub<Span> for Time {
+impl Sub<Micros> for Time {
     type Output = Time;
-    fn sub(self, span: Span) -> Time {
+    fn sub(self, span: Micros) -> Time {
         Time(self.0.saturating_sub(span.0))
     }
 }
 
-impl Mul<f64> for Span {
-    type Output = Span;
-    fn mul(self, factor: f64) -> Span {
-        Span((self.0 as f64 * factor).round() as u64)
+impl Mul<f64> for Micros {
+    type Output = Micros;
+    fn mul(self, factor: f64) -> Micros {
+        Micros((self.0 as f64 * factor).round() as u64)
     }
 }
 
@@ -85,9 +85,9 @@
     /// A zone, as the server list numbers them.
     ZoneId(u32),
     /// A kind of machine, as the server list numbers them.
-    KindId(u32),
+    MachineTypeId(u32),
     /// A cell (a group of servers that remember each other's requests), as the server list numbers them.
-    CellId(u32),
+    DedupGroupId(u32),
     /// The thing that a request concerns; requests for the same thing carry the same key.
     KeyId(u64),
     /// An attempt of a request: 0 for its first send, 1 for its second and so on.
@@ -100,16 +100,16 @@
 
 /// What repeating a request would do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
-pub enum Effect {
+pub enum RetrySafety {
     /// Safe to repeat.
     #[default]
     Idempotent,
     /// Carries a key by which the servers of `group` drop a repeat for `window` from the first send on.
     Deduplicated {
         /// Which servers drop repeats.
-        group: Group,
+        scope: DedupScope,
         /// For how long they do.
-        window: Span,
+        window: Micros,
     },
     /// Must not run twice.
     AtMostOnce,
@@ -117,30 +117,30 @@
 
 /// The servers that share a memory of what has already run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Group {
+pub enum DedupScope {
     /// All of them.
     All,
     /// Those of one zone.
     Zone,
     /// Those of one cell.
-    Cell,
+    Group,
 }
 
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
     /// What a repeat would do.
-    pub effect: Effect,
-    /// An answer within this is worth all of `worth`.
-    pub aim: Span,
+    pub retry_safety: RetrySafety,
+    /// An answer within this is worth all of `priority_weight`.
+    pub latency_objective: Micros,
     /// The aim grows by this multiple of the request's own work, up to the deadline.
-    pub aim_stretch: f64,
+    pub objective_stretch: f64,
     /// How long a client waits in all, over all its tries.
-    pub deadline: Span,
+    pub deadline: Micros,
     /// What a request answered within its aim is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The share of the worth that an answer between aim and deadline keeps.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// The answer is a stream, announced by [`Event::FirstByte`].
     pub stream: bool,
 }
@@ -148,12 +148,12 @@
 impl Default for Class {
     fn default() -> Self {
         Class {
-            effect: Effect::Idempotent,
-            aim: Span::from_ms(500.0),
-            aim_stretch: 0.0,
-            deadline: Span::from_ms(1000.0),
-            worth: 1.0,
-            late_worth: 0.0,
+            retry_safety: RetrySafety::Idempotent,
+            latency_objective: Micros::from_ms(500.0),
+            objective_stretch: 0.0,
+            deadline: Micros::from_ms(1000.0),
+            priority_weight: 1.0,
+            late_weight: 0.0,
             stream: false,
         }
     }
@@ -170,7 +170,7 @@
 
 /// What a server's report can say, in the order that [`Settings::report_fields`] gives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum ReportField {
+pub enum LoadReportField {
     /// Requests it holds.
     InFlight,
     /// Requests that wait in it.
@@ -190,11 +190,11 @@
 /// A watch that has failed is begun again this long after it began at the latest, or after [`MIN_WATCH_RETRY_DELAY`] if
 /// that is later, with jitter and the interval of the balancer's timer: two tries fit in the 6 s after which what
 /// discovery has counts as told once it can be reached again. A service that turns calls away is given room.
-pub const MAX_WATCH_RETRY_DELAY: Span = Span(3_750_000);
+pub const MAX_WATCH_RETRY_DELAY: Micros = Micros(3_750_000);
 
 /// The pause after the first failure, doubled after each further one, and the least one after a call that hung, jitter
 /// included.
-pub const MIN_WATCH_RETRY_DELAY: Span = Span(600_000);
+pub const MIN_WATCH_RETRY_DELAY: Micros = Micros(600_000);
 
 /// How the balancer hears of changes to the server list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
@@ -202,13 +202,13 @@
     /// They come by themselves.
     #[default]
     Pushed,
-    /// Only after [`Action::Follow`] or [`Action::FetchList`].
+    /// Only after [`Action::Watch`] or [`Action::FetchEndpoints`].
     OnRequest,
 }
 
 /// Where load reports come from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
-pub enum ReportSource {
+pub enum LoadReportSource {
     /// There are none.
     #[default]
     None,
@@ -218,7 +218,7 @@
     Probes,
 }
 
-/// The meaning of [`Listed::weight`].
+/// The meaning of [`Endpoint::weight`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub enum Weights {
     /// They say nothing.
@@ -232,7 +232,7 @@
 
 /// How the service weighs its results; the parts need not sum to one.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Goal {
+pub struct Objective {
     /// All requests together.
     pub whole: f64,
     /// The worst stretch of time.
@@ -243,15 +243,15 @@
     pub worst_tenant: f64,
 }
 
-impl Default for Goal {
+impl Default for Objective {
     fn default() -> Self {
-        Goal { whole: 1.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 }
+        Objective { whole: 1.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 }
     }
 }
 
 /// What things cost, as a share of the result for one of each per request.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Prices {
+pub struct Costs {
     /// An attempt that leaves the balancer's zone.
     pub cross_zone: f64,
     /// A probe.
@@ -278,51 +278,51 @@
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// What a request over its tenant's share is still worth, as a fraction.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Worth counts by work and not by request.
-    pub worth_by_work: bool,
+    pub weight_by_work: bool,
     /// How the results are weighed.
-    pub goal: Goal,
+    pub objective: Objective,
     /// What things cost.
-    pub prices: Prices,
+    pub costs: Costs,
     /// How the server list is heard.
     pub discovery: Discovery,
     /// Without a subscription the list must be asked for at least this often.
-    pub ask_within: Span,
+    pub poll_interval: Micros,
     /// Where load reports come from.
-    pub report_source: ReportSource,
+    pub report_source: LoadReportSource,
     /// What a load report holds, in order.
-    pub report_fields: Vec<ReportField>,
+    pub report_fields: Vec<LoadReportField>,
     /// What the list's weights mean.
     pub weights: Weights,
     /// A server that met a key lately serves it for less work.
-    pub warm_keys: bool,
+    pub key_affinity: bool,
     /// Most attempts for one request.
     pub max_attempts: u32,
     /// A request may have two attempts out at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// [`Action::Cancel`] is allowed.
     pub cancel: bool,
-    /// [`Action::Probe`] is allowed.
-    pub probes: bool,
-    /// [`Action::Tell`] is allowed.
+    /// [`Action::HealthCheck`] is allowed.
+    pub health_checks: bool,
+    /// [`Action::SendHint`] is allowed.
     pub peers: bool,
-    /// Clients are passed the advice in [`Action::Refuse`].
+    /// Clients are passed the advice in [`Action::Shed`].
     pub retry_after: bool,
     /// The longest advice that a client heeds.
-    pub max_retry_after: Span,
+    pub max_retry_after: Micros,
     /// Nothing new may go to a draining or gone server this long after the balancer was told.
-    pub drain_grace: Span,
+    pub drain_grace_period: Micros,
     /// A server starts at this share of its capacity or more.
-    pub cold_share: f64,
+    pub initial_capacity: f64,
     /// And is warm after this.
-    pub warm_after: Span,
+    pub slow_start_window: Micros,
     /// Sent more than this multiple of what it can do ...
     pub overload_factor: f64,
     /// ... for this long, a cold server falls over.
-    pub fall_after: Span,
+    pub fall_after: Micros,
     /// How often at most events come.
-    pub period: Span,
+    pub event_interval: Micros,
 }
 
 impl Default for Settings {
@@ -332,29 +332,29 @@
             zone: ZoneId(0),
             classes: vec![Class::default()],
             tenants: Vec::new(),
-            over_share_worth: 1.0,
-            worth_by_work: false,
-            goal: Goal::default(),
-            prices: Prices::default(),
+            over_quota_weight: 1.0,
+            weight_by_work: false,
+            objective: Objective::default(),
+            costs: Costs::default(),
             discovery: Discovery::Pushed,
-            ask_within: Span::from_ms(10_000.0),
-            report_source: ReportSource::None,
+            poll_interval: Micros::from_ms(10_000.0),
+            report_source: LoadReportSource::None,
             report_fields: Vec::new(),
             weights: Weights::None,
-            warm_keys: false,
+            key_affinity: false,
             max_attempts: 3,
-            second_copies: false,
+            hedging: false,
             cancel: true,
-            probes: false,
+            health_checks: false,
             peers: false,
             retry_after: false,
-            max_retry_after: Span::from_ms(1000.0),
-            drain_grace: Span::from_ms(1000.0),
-            cold_share: 0.1,
-            warm_after: Span::from_ms(20_000.0),
+            max_retry_after: Micros::from_ms(1000.0),
+            drain_grace_period: Micros::from_ms(1000.0),
+            initial_capacity: 0.1,
+            slow_start_window: Micros::from_ms(20_000.0),
             overload_factor: 2.0,
-            fall_after: Span::from_ms(1000.0),
-            period: Span::from_ms(1.0),
+            fall_after: Micros::from_ms(1000.0),
+            event_interval: Micros::from_ms(1.0),
         }
     }
 }
@@ -369,14 +369,14 @@
             return Err(SettingsError::NoAttempts);
         }
         for class in &self.classes {
-            if class.aim == Span::ZERO {
-                return Err(SettingsError::ZeroSpan { setting: "aim" });
+            if class.latency_objective == Micros::ZERO {
+                return Err(SettingsError::ZeroDuration { setting: "aim" });
             }
-            if class.deadline == Span::ZERO {
-                return Err(SettingsError::ZeroSpan { setting: "deadline" });
+            if class.deadline == Micros::ZERO {
+                return Err(SettingsError::ZeroDuration { setting: "deadline" });
             }
-            if matches!(class.effect, Effect::Deduplicated { window: Span::ZERO, .. }) {
-                return Err(SettingsError::ZeroSpan { setting: "dedup window" });
+            if matches!(class.retry_safety, RetrySafety::Deduplicated { window: Micros::ZERO, .. }) {
+                return Err(SettingsError::ZeroDuration { setting: "dedup window" });
             }
         }
         // A share may be the sum of others.
@@ -384,8 +384,8 @@
         if let Some(tenant) = self.tenants.iter().find(|tenant| !share(tenant.fraction)) {
             return Err(SettingsError::BadShare { value: tenant.fraction });
         }
-        let numbers = [("cold_share", self.cold_share), ("overload_factor", self.overload_factor)];
-        let numbers = numbers.into_iter().chain(self.classes.iter().map(|c| ("worth", c.worth)));
+        let numbers = [("cold_share", self.initial_capacity), ("overload_factor", self.overload_factor)];
+        let numbers = numbers.into_iter().chain(self.classes.iter().map(|c| ("worth", c.priority_weight)));
         for (setting, value) in numbers {
             if !value.is_finite() || value < 0.0 {
                 return Err(SettingsError::BadNumber { setting, value });
@@ -414,7 +414,7 @@
         value: f64,
     },
     /// A span that must be above zero is zero.
-    ZeroSpan {
+    ZeroDuration {
         /// Which setting.
         setting: &'static str,
     },
@@ -432,7 +432,9 @@
             SettingsError::BadShare { value } => {
                 write!(f, "a tenant's share (fraction) is {value}; a number from 0 to 1 is needed")
             }
-            SettingsError::ZeroSpan { setting } => write!(f, "setting {setting} is zero; it must be longer"),
+            SettingsError::ZeroDuration { setting } => {
+                write!(f, "setting {setting} is zero; it must be longer")
+            }
             SettingsError::NoAttempts => {
                 write!(f, "settings allow no attempt for a request; at least one is needed")
             }
@@ -455,47 +457,47 @@
 
 /// A line of the server list.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Listed {
+pub struct Endpoint {
     /// The server.
     pub server: ServerId,
     /// Its zone.
     pub zone: ZoneId,
     /// Its kind.
-    pub kind: KindId,
+    pub machine_type: MachineTypeId,
     /// Its cell.
-    pub cell: CellId,
+    pub dedup_group: DedupGroupId,
     /// Its status.
     pub status: Status,
     /// Its size among the others; see [`Settings::weights`].
     pub weight: f64,
     /// When it last started, if that was lately.
-    pub started: Option<Time>,
+    pub started_at: Option<Time>,
 }
 
-impl Listed {
+impl Endpoint {
     /// A serving server that started long ago, in zone, kind and cell 0.
     pub fn serving(server: ServerId) -> Self {
-        Listed {
+        Endpoint {
             server,
             zone: ZoneId(0),
-            kind: KindId(0),
-            cell: CellId(0),
+            machine_type: MachineTypeId(0),
+            dedup_group: DedupGroupId(0),
             status: Status::Serving,
             weight: 1.0,
-            started: None,
+            started_at: None,
         }
     }
 }
 
 /// News of the server list.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ListUpdate {
+pub enum EndpointUpdate {
     /// The changed lines only.
-    Changes(Vec<Listed>),
+    Delta(Vec<Endpoint>),
     /// The whole list: what it leaves out has left.
-    Complete(Vec<Listed>),
+    Snapshot(Vec<Endpoint>),
     /// The whole list as it was saved before a restart; may be stale.
-    Saved(Vec<Listed>),
+    SavedSnapshot(Vec<Endpoint>),
     /// A call or the subscription failed; what was known still stands.
     Failed,
 }
@@ -512,33 +514,33 @@
     /// What it concerns.
     pub key: Option<KeyId>,
     /// A guess at its work, in core time.
-    pub cost_hint: Option<Span>,
+    pub cost_hint: Option<Micros>,
     /// The client says that this is a repeat.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// How long the client still waits for this try; of one that is still coming, the longest that this may take.
-    pub time_left: Span,
-    /// Its body is on its way and is passed on as it comes: its time begins with [`Event::Whole`].
-    pub coming: bool,
+    pub time_left: Micros,
+    /// Its body is on its way and is passed on as it comes: its time begins with [`Event::BodyComplete`].
+    pub streaming: bool,
     /// What its route allows; without one, [`Limits::STANDARD`].
     pub limits: Option<Arc<Limits>>,
     /// A second copy goes out if there is no answer this long after a send; never without.
-    pub second_copy_after: Option<Span>,
+    pub hedge_after: Option<Micros>,
 }
 
 impl Request {
     /// A first try without tenant, key or hint.
-    pub fn new(id: RequestId, class: ClassId, time_left: Span) -> Self {
+    pub fn new(id: RequestId, class: ClassId, time_left: Micros) -> Self {
         Request {
             id,
             class,
             tenant: None,
             key: None,
             cost_hint: None,
-            repeat: false,
+            is_retry: false,
             time_left,
-            coming: false,
+            streaming: false,
             limits: None,
-            second_copy_after: None,
+            hedge_after: None,
         }
     }
 
@@ -592,7 +594,7 @@
 
 /// Further attempts that requests earn and save up together.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Budget {
+pub struct RetryBudget {
     /// Its name, chosen by the caller: small, and the same for all requests that share the budget. 0 is the one of
     /// requests without a route.
     pub id: u32,
@@ -606,36 +608,36 @@
 
 /// What requests may occupy together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Bound {
-    /// Its name, chosen by the caller as that of a [`Budget`].
+pub struct ConcurrencyLimit {
+    /// Its name, chosen by the caller as that of a [`RetryBudget`].
     pub id: u32,
     /// Attempts that may be out at a time.
-    pub in_flight: u32,
+    pub max_in_flight: u32,
     /// Requests that may be held back at a time.
-    pub held: u32,
+    pub max_queued: u32,
 }
 
-/// What a route allows its requests, within what the settings allow. Time-outs of [`Span`]'s greatest value are none.
+/// What a route allows its requests, within what the settings allow. Time-outs of [`Micros`]'s greatest value are none.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
     /// The request has its final answer after this, if its client does not leave it less.
-    pub timeout: Span,
+    pub timeout: Micros,
     /// An attempt times out after this.
-    pub attempt_timeout: Span,
+    pub attempt_timeout: Micros,
     /// A request that has been held back for this long is given up.
-    pub queue_timeout: Span,
+    pub queue_timeout: Micros,
     /// Attempts in all.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// What another attempt may follow.
     pub retry_on: RetryOn,
     /// Further attempts stay in the zone of the first.
     pub same_zone: bool,
     /// What pays for further attempts, second copies among them: every one of these.
-    pub budgets: Vec<Budget>,
+    pub budgets: Vec<RetryBudget>,
     /// What pays for second copies besides.
-    pub copies: Vec<Budget>,
+    pub hedge_budgets: Vec<RetryBudget>,
     /// What is occupied.
-    pub bounds: Vec<Bound>,
+    pub concurrency_limits: Vec<ConcurrencyLimit>,
 }
 
 /// How an attempt or a probe ended.
@@ -680,14 +682,14 @@
     /// A request has come in.
     Request(Request),
     /// The last byte of a request that was still coming has come, and its time begins.
-    Whole {
+    BodyComplete {
         /// The request.
         request: RequestId,
         /// How long the client waits from now on.
-        time_left: Span,
+        time_left: Micros,
     },
     /// A part of a request has gone out that nobody has any more: no other attempt can be made of it.
-    Spent {
+    AttemptsExhausted {
         /// The request.
         request: RequestId,
     },
@@ -707,33 +709,33 @@
         /// How it ended.
         outcome: Outcome,
         /// The time since it was sent.
-        elapsed: Span,
+        elapsed: Micros,
         /// The server's report, if one came.
         report: Option<Vec<f64>>,
         /// The request has its final answer; without this one is still owed.
         closed: bool,
     },
     /// The client has gone; nothing is owed any more.
-    ClientGone {
+    ClientDisconnected {
         /// The request.
         request: RequestId,
     },
     /// A timer is due.
     Timer(TimerId),
     /// The answer to a probe.
-    Probed {
+    HealthChecked {
         /// The server.
         server: ServerId,
         /// How the probe ended.
         outcome: Outcome,
         /// The time since it was sent.
-        elapsed: Span,
+        elapsed: Micros,
         /// The server's report, if one came.
         report: Option<Vec<f64>>,
     },
     /// News of the server list.
-    List(ListUpdate),
-    /// Another balancer's message. Its host adds [`LONE`] to one that nobody else has confirmed.
+    Endpoints(EndpointUpdate),
+    /// Another balancer's message. Its host adds [`UNCONFIRMED_HINT`] to one that nobody else has confirmed.
     PeerMessage {
         /// Who sent it.
         from: PeerId,
@@ -745,30 +747,30 @@
 }
 
 /// The last byte of a message on a server that one balancer alone has sent: it may be that one's link.
-pub const LONE: u8 = 1;
+pub const UNCONFIRMED_HINT: u8 = 1;
 
 /// What a balancer has seen of an answer, to be shared with the others where they are looked for.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Sign {
+pub struct Signal {
     /// The server's zone.
     pub zone: ZoneId,
     /// How long it took, as a share of its aim.
-    pub took: f64,
+    pub latency: f64,
     /// What its server's load speaks for, likewise.
-    pub full: f64,
+    pub load: f64,
 }
 
 /// The state of the whole fleet's servers, as all balancers together see it.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct FleetState {
     /// Answers that it rests on, by how much they still count; 0 where nothing is known.
-    pub sure: f64,
+    pub weight: f64,
     /// What answers take of late, as a share of their aims.
-    pub took: f64,
+    pub latency: f64,
     /// What the servers' load speaks for, likewise.
-    pub full: f64,
+    pub load: f64,
     /// The share of requests that are refused.
-    pub refused: f64,
+    pub shed: f64,
 }
 
 /// What the balancer wants done.
@@ -799,11 +801,11 @@
         attempt: AttemptNo,
     },
     /// Final answer: refused, and harmless to try again.
-    Refuse {
+    Shed {
         /// The request.
         request: RequestId,
         /// When a new try makes sense, if that is known.
-        retry_after: Option<Span>,
+        retry_after: Option<Micros>,
     },
     /// Final answer: failed, with no promise about its effect.
     Fail {
@@ -818,7 +820,7 @@
         timer: TimerId,
     },
     /// Send a health probe.
-    Probe {
+    HealthCheck {
         /// Where to.
         server: ServerId,
     },
@@ -828,19 +830,19 @@
         server: ServerId,
     },
     /// Send a message to one other balancer, or to all.
-    Tell {
+    SendHint {
         /// Whom; `None` for all.
         to: Option<PeerId>,
         /// What.
         payload: Vec<u8>,
     },
     /// Open or close the subscription to the server list.
-    Follow {
+    Watch {
         /// Open it.
         active: bool,
     },
     /// Ask for the whole server list once.
-    FetchList,
+    FetchEndpoints,
     /// Something that people on call may want to read.
     Log {
         /// The text.
--- a/crates/balancer/src/decisions/admission.rs
+++ b/crates/balancer/src/decisions/admission.rs
@@ -17,26 +17,28 @@
     pub(super) fn arrive(&mut self, now: Time, request: Request, out: &mut Vec<Action>) {
         let id = request.id;
         let Some(class) = self.settings.classes.get(request.class.0) else {
-            out.push(Action::Refuse { request: id, retry_after: None });
+            out.push(Action::Shed { request: id, retry_after: None });
             return;
         };
         if self.live.contains_key(&id) {
             return;
         }
         // First tries of a class wait alike; another wait is what earlier tries have left of the deadline.
-        let period = self.settings.period;
+        let period = self.settings.event_interval;
         let (usual, votes) = &mut self.usual_wait[request.class.0];
-        let near = request.time_left.less(*usual) <= period && usual.less(request.time_left) <= period;
-        let alike = near || *votes == 0 || request.coming;
+        let near = request.time_left.saturating_sub(*usual) <= period
+            && usual.saturating_sub(request.time_left) <= period;
+        let alike = near || *votes == 0 || request.streaming;
         match *votes {
-            _ if request.coming => {}
+            _ if request.streaming => {}
             0 => (*usual, *votes) = (request.time_left, 1),
             _ if alike => *votes = (*votes + 1).min(VOTES_MOST),
             _ => *votes -= 1,
         }
-        let spent = if alike { Span::ZERO } else { class.deadline.less(request.time_left) };
+        let spent = if alike { Micros::ZERO } else { class.deadline.saturating_sub(request.time_left) };
         let deadline = now + request.time_left.min(request.limits().timeout);
-        let wanted = if request.coming { request.time_left } else { class.aim.less(spent) };
+        let wanted =
+            if request.streaming { request.time_left } else { class.latency_objective.saturating_sub(spent) };
         let wanted_by = (now + wanted).min(deadline);
         self.count(now, &request);
         let over_share = self.over_share(&request);
@@ -55,11 +57,12 @@
     }
 
     /// A request that was passed on as it came is whole: only now does its server have it, and its time run.
-    pub(super) fn whole(&mut self, now: Time, id: RequestId, time_left: Span) {
-        let Some(live) = self.live.get_mut(&id).filter(|live| live.request.coming) else { return };
-        live.request.coming = false;
+    pub(super) fn whole(&mut self, now: Time, id: RequestId, time_left: Micros) {
+        let Some(live) = self.live.get_mut(&id).filter(|live| live.request.streaming) else { return };
+        live.request.streaming = false;
         live.deadline = now + time_left.min(live.request.limits().timeout);
-        live.wanted_by = (now + self.settings.classes[live.request.class.0].aim).min(live.deadline);
+        live.wanted_by =
+            (now + self.settings.classes[live.request.class.0].latency_objective).min(live.deadline);
         for (_, flight) in self.flights.range_mut((id, 0)..=(id, u32::MAX)).filter(|(_, f)| f.coming) {
             (flight.coming, flight.sent) = (false, now);
             self.servers[flight.server].in_flight += 1;
@@ -115,7 +118,7 @@
         let Some(tenant) = request.tenant.filter(|t| t.0 < self.settings.tenants.len()) else { return false };
         let all: f64 = self.tenant_asked.iter().sum();
         let fair = SHARE_SLACK * self.settings.tenants[tenant.0].fraction * all;
-        self.settings.over_share_worth < 1.0 && self.rng.f64() * self.tenant_asked[tenant.0] > fair.max(1.0)
+        self.settings.over_quota_weight < 1.0 && self.rng.f64() * self.tenant_asked[tenant.0] > fair.max(1.0)
     }
 
     /// Classes to be refused last. Refusing a set of classes costs their worth and, once, the part of the
@@ -123,12 +126,13 @@
     pub(super) fn rank_classes(&mut self) {
         let classes = &self.settings.classes;
         let work = |c: usize| self.asked[c] * self.usual(c);
-        let worth =
-            |c: usize| classes[c].worth * if self.settings.worth_by_work { work(c) } else { self.asked[c] };
+        let worth = |c: usize| {
+            classes[c].priority_weight * if self.settings.weight_by_work { work(c) } else { self.asked[c] }
+        };
         let mut order: Vec<usize> = (0..classes.len()).filter(|&c| work(c) > 0.0).collect();
         order.sort_by(|&a, &b| (worth(a) / work(a)).total_cmp(&(worth(b) / work(b))));
         let total: f64 = order.iter().map(|&c| worth(c)).sum();
-        let goal = &self.settings.goal;
+        let goal = &self.settings.objective;
         let (mut lost, mut freed, mut least, mut giving) = (goal.worst_class * total, 0.0, f64::INFINITY, 0);
         for (i, &c) in order.iter().enumerate() {
             lost += (goal.whole + goal.worst_window) * worth(c);
@@ -144,18 +148,22 @@
     /// Sent now, it would not be answered while that is worth something.
     pub(super) fn hopeless(&self, now: Time, live: &Live) -> bool {
         let c = &self.settings.classes[live.request.class.0];
-        let soon = c.aim * (0.7 * self.class_pace[live.request.class.0]);
-        now + soon >= if c.late_worth > 0.0 { live.deadline } else { live.wanted_by }
+        let soon = c.latency_objective * (0.7 * self.class_pace[live.request.class.0]);
+        now + soon >= if c.late_weight > 0.0 { live.deadline } else { live.wanted_by }
     }
 
     /// Keeps a request for later, or ends it if that is hopeless.
     pub(super) fn hold(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let Some(live) = self.live.get(&id) else { return };
-        let shares = |other: &RequestId, bound: &Bound| {
-            self.live.get(other).is_some_and(|o| o.request.limits().bounds.iter().any(|b| b.id == bound.id))
+        let shares = |other: &RequestId, bound: &ConcurrencyLimit| {
+            self.live
+                .get(other)
+                .is_some_and(|o| o.request.limits().concurrency_limits.iter().any(|b| b.id == bound.id))
+        };
+        let full = |b: &ConcurrencyLimit| {
+            self.held.iter().filter(|other| shares(other, b)).count() >= b.max_queued as usize
         };
-        let full = |b: &Bound| self.held.iter().filter(|other| shares(other, b)).count() >= b.held as usize;
-        if self.held.len() >= HELD_MOST || live.request.limits().bounds.iter().any(full) {
+        if self.held.len() >= HELD_MOST || live.request.limits().concurrency_limits.iter().any(full) {
             self.end(now, id, out);
             return;
         }
--- a/crates/balancer/src/decisions/dispatch.rs
+++ b/crates/balancer/src/decisions/dispatch.rs
@@ -7,7 +7,7 @@
 /// Second copies go out only at this level or more of the common one.
 const COPY_LEVEL: f64 = 0.9;
 /// The longest that a process may be held up between reading its clock and writing.
-const MAX_STALL: Span = Span(150_000);
+const MAX_STALL: Micros = Micros(150_000);
 
 impl Balancer {
     pub(super) fn send(&mut self, now: Time, pick: &Pick, server: usize, out: &mut Vec<Action>) {
@@ -22,25 +22,25 @@
         let patience = (live.wanted_by.since(now) * CONNECT_SHARE).max(CONNECT_LEAST);
         let mut write_by = timeout_at.min(now + start_time.min(patience));
         let first = live.attempts.iter().find(|a| a.fate != Fate::NeverRan);
-        if let (Some(first), Effect::Deduplicated { window, .. }) =
-            (first, self.settings.classes[class].effect)
+        if let (Some(first), RetrySafety::Deduplicated { window, .. }) =
+            (first, self.settings.classes[class].retry_safety)
         {
             write_by = write_by.min(first.sent + window);
         }
-        for bound in &limits.bounds {
+        for bound in &limits.concurrency_limits {
             let place = bound.id as usize;
             self.occupied.resize(self.occupied.len().max(place + 1), 0);
             self.occupied[place] += 1;
         }
-        if let (false, Some(after)) = (pick.copy, live.request.second_copy_after) {
+        if let (false, Some(after)) = (pick.copy, live.request.hedge_after) {
             self.copies.insert((now + after, id));
             out.push(Action::SetTimer { at: now + after, timer: COPY });
         }
         live.held_since = None;
         let limits = live.request.limits.clone();
-        let (zone, cell) = (s.listed.zone, s.listed.cell);
+        let (zone, cell) = (s.listed.zone, s.listed.dedup_group);
         live.attempts.push(Attempt { server, zone, cell, sent: now, fate: Fate::Out });
-        let coming = live.request.coming;
+        let coming = live.request.streaming;
         s.in_flight += u32::from(!coming);
         s.sent_since += 1;
         let share = pick.work / self.warm.max(1) as f64;
@@ -57,9 +57,9 @@
 
     /// How long after its decision an attempt may begin. Its server may be told to drain just after the decision, and the
     /// process may be held up between its last look at the clock and the write: the drain grace period covers both.
-    fn start_time(&self) -> Span {
-        let grace = self.settings.drain_grace;
-        grace.less(MAX_STALL).max(CONNECT_LEAST.min(grace))
+    fn start_time(&self) -> Micros {
+        let grace = self.settings.drain_grace_period;
+        grace.saturating_sub(MAX_STALL).max(CONNECT_LEAST.min(grace))
     }
 
     /// Sends the second copies that are due. They are the first to stop when capacity is short: while
@@ -71,10 +71,11 @@
             let limits = live.request.limits.clone().unwrap_or_default();
             let alone = live.attempts.iter().filter(|a| a.fate == Fate::Out).count() == 1;
             let short = !self.held.is_empty() || self.level.min(self.open(now)) < COPY_LEVEL;
-            let paid = self.affords(&limits, false) && limits.copies.iter().all(|b| self.saved(b) >= 1.0);
+            let paid =
+                self.affords(&limits, false) && limits.hedge_budgets.iter().all(|b| self.saved(b) >= 1.0);
             if alone && !short && paid && !self.hopeless(now, live) && self.place(now, id, out) {
                 self.pay(&limits, false);
-                limits.copies.iter().for_each(|b| self.save(b, self.saved(b) - 1.0));
+                limits.hedge_budgets.iter().for_each(|b| self.save(b, self.saved(b) - 1.0));
             }
         }
     }
--- a/crates/balancer/src/decisions/endpoints.rs
+++ b/crates/balancer/src/decisions/endpoints.rs
@@ -5,17 +5,18 @@
 use crate::records::*;
 
 impl Balancer {
-    pub(super) fn list(&mut self, now: Time, update: ListUpdate, out: &mut Vec<Action>) {
+    pub(super) fn list(&mut self, now: Time, update: EndpointUpdate, out: &mut Vec<Action>) {
         let (lines, complete) = match update {
-            ListUpdate::Failed => {
+            EndpointUpdate::Failed => {
                 let jitter = 0.5 + 0.5 * self.rng.f64();
-                let left = MAX_WATCH_RETRY_DELAY.less(TICK_IDLE).less(now.since(self.asked_at));
+                let left =
+                    MAX_WATCH_RETRY_DELAY.saturating_sub(TICK_IDLE).saturating_sub(now.since(self.asked_at));
                 self.ask_at = Some(now + self.ask_pause.min(left.max(MIN_WATCH_RETRY_DELAY)) * jitter);
-                self.ask_pause = (self.ask_pause * 2.0).min(self.settings.ask_within * 0.5);
+                self.ask_pause = (self.ask_pause * 2.0).min(self.settings.poll_interval * 0.5);
                 return;
             }
-            ListUpdate::Changes(lines) => (lines, false),
-            ListUpdate::Complete(lines) | ListUpdate::Saved(lines) => (lines, true),
+            EndpointUpdate::Delta(lines) => (lines, false),
+            EndpointUpdate::Snapshot(lines) | EndpointUpdate::SavedSnapshot(lines) => (lines, true),
         };
         self.ask_pause = MIN_WATCH_RETRY_DELAY;
         if complete {
@@ -28,7 +29,7 @@
             match self.index.get(&server) {
                 Some(&i) => {
                     let s = &mut self.servers[i];
-                    if line.started.is_some() && line.started != s.listed.started {
+                    if line.started_at.is_some() && line.started_at != s.listed.started_at {
                         // A new process: what was learned of the old one says nothing, and it is cold.
                         let (in_flight, last_answer) = (s.in_flight, s.last_answer);
                         *s = Server { in_flight, last_answer, ..Server::new(line, LIMIT_FIRST, now) };
--- a/crates/balancer/src/decisions/fleet_load.rs
+++ b/crates/balancer/src/decisions/fleet_load.rs
@@ -43,12 +43,12 @@
     /// fewer; they are among those. Peers' words must not outweigh several own answers.
     pub(super) fn seen(&self, now: Time) -> (f64, f64) {
         let (signs, (at, fleet)) = (self.signs.now(now), self.fleet);
-        let sure = fleet.sure * (-now.since(at).ms() / STATE_MS).exp();
+        let sure = fleet.weight * (-now.since(at).ms() / STATE_MS).exp();
         if sure > signs {
             let own =
                 self.measured.now(now) / signs.max(1e-3) * (OWN_ENOUGH / signs.max(1e-3)).clamp(1.0, 3.0);
             let own = if signs > 0.0 { own } else { f64::MAX };
-            return (sure, sure * fleet.full.min(MEASURED * fleet.took.min(own)));
+            return (sure, sure * fleet.load.min(MEASURED * fleet.latency.min(own)));
         }
         (signs, (self.holding.now(now) * self.cost(now)).min(MEASURED * self.measured.now(now)))
     }
@@ -65,7 +65,7 @@
         self.measured.add(now, life, used);
         let holds = holds.min(SIGN_MOST / self.cost(now).max(1e-9));
         self.holding.add(now, life, holds);
-        self.tell_sign(Sign { zone, took: used, full: holds * self.cost(now) });
+        self.tell_sign(Signal { zone, latency: used, load: holds * self.cost(now) });
     }
 
     /// What a held request has cost of late, as a share of the aim.
--- a/crates/balancer/src/decisions/mod.rs
+++ b/crates/balancer/src/decisions/mod.rs
@@ -24,7 +24,7 @@
 use tuning::*;
 
 /// How an attempt ended, after how long, and the report that came with it.
-type Ended = (Outcome, Span, Option<Vec<f64>>);
+type Ended = (Outcome, Micros, Option<Vec<f64>>);
 
 /// An attempt, and the place of its server.
 type Away = ((RequestId, u32), usize);
@@ -41,7 +41,7 @@
     /// To be called once, before the first event.
     pub fn start(&mut self, now: Time, out: &mut Vec<Action>) {
         if self.settings.discovery == Discovery::OnRequest {
-            out.push(Action::Follow { active: true });
+            out.push(Action::Watch { active: true });
         }
         self.set_tick(now, TICK_IDLE, out);
     }
@@ -50,8 +50,8 @@
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Request(request) => self.arrive(now, request, out),
-            Event::Whole { request, time_left } => self.whole(now, request, time_left),
-            Event::Spent { request } => {
+            Event::BodyComplete { request, time_left } => self.whole(now, request, time_left),
+            Event::AttemptsExhausted { request } => {
                 self.live.entry(request).and_modify(|live| live.spent = true);
             }
             Event::FirstByte { request, attempt } => {
@@ -62,7 +62,7 @@
             Event::Outcome { request, attempt, outcome, elapsed, report, closed } => {
                 self.outcome(now, (request, attempt.0), (outcome, elapsed, report), closed, out);
             }
-            Event::ClientGone { request } => {
+            Event::ClientDisconnected { request } => {
                 self.live.remove(&request);
             }
             Event::Timer(TICK) => self.tick(now, out),
@@ -71,7 +71,7 @@
             Event::Timer(_) => {}
             Event::PeerMessage { payload, .. } => self.hear(now, &payload),
             Event::Fleet(state) => self.fleet = (now, state),
-            Event::Probed { server, outcome, report, .. } => {
+            Event::HealthChecked { server, outcome, report, .. } => {
                 let Some(&s) = self.index.get(&server) else { return };
                 match report {
                     Some(report) => self.read_report(now, s, &report),
@@ -80,7 +80,7 @@
                 }
                 self.choose_asked(now, out);
             }
-            Event::List(update) => self.list(now, update, out),
+            Event::Endpoints(update) => self.list(now, update, out),
         }
     }
 }
--- a/crates/balancer/src/decisions/outcomes.rs
+++ b/crates/balancer/src/decisions/outcomes.rs
@@ -25,7 +25,7 @@
     ) {
         let Some(flight) = self.flights.remove(&key) else { return };
         self.servers[flight.server].in_flight -= u32::from(!flight.coming);
-        for bound in flight.limits.iter().flat_map(|limits| &limits.bounds) {
+        for bound in flight.limits.iter().flat_map(|limits| &limits.concurrency_limits) {
             self.occupied[bound.id as usize] -= 1;
         }
         let (outcome, elapsed, report) = ended;
@@ -61,7 +61,7 @@
 
     /// Whether a connection to each server costs less than the new ones that it spares.
     pub(super) fn worth_keeping(&self) -> bool {
-        let (open, fresh) = (self.settings.prices.connection, self.settings.prices.handshake);
+        let (open, fresh) = (self.settings.costs.connection, self.settings.costs.handshake);
         let (open, fresh) = if open + fresh > 0.0 { (open, fresh) } else { (UNPRICED, UNPRICED) };
         let visits = self.rate() * IDLE_S / self.serving.len().max(1) as f64;
         let reused = 1.0 - (-visits).exp();
@@ -91,10 +91,10 @@
     pub(super) fn end(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let Some(live) = self.live.remove(&id) else { return };
         if self.lawful(&live, now).refuse {
-            let aim = self.settings.classes[live.request.class.0].aim;
+            let aim = self.settings.classes[live.request.class.0].latency_objective;
             let advice = (aim * COME_BACK).min(self.settings.max_retry_after);
             let retry_after = self.settings.retry_after.then_some(advice);
-            out.push(Action::Refuse { request: id, retry_after });
+            out.push(Action::Shed { request: id, retry_after });
         } else {
             out.push(Action::Fail { request: id });
         }
@@ -114,11 +114,11 @@
             let Some(live) = self.live.get(&id) else { return false };
             let class = live.request.class.0;
             let margin = (WAIT_MARGIN * self.class_now[class]).min(WAIT_MOST);
-            let waited = live.held_since.map_or(Span::ZERO, |at| now.since(at));
+            let waited = live.held_since.map_or(Micros::ZERO, |at| now.since(at));
             let patience = live.request.limits().queue_timeout;
             if waited >= patience
                 || self.hopeless(now, live)
-                || now + self.settings.classes[class].aim * margin >= live.wanted_by
+                || now + self.settings.classes[class].latency_objective * margin >= live.wanted_by
             {
                 self.end(now, id, out);
                 return false;
--- a/crates/balancer/src/decisions/probes.rs
+++ b/crates/balancer/src/decisions/probes.rs
@@ -14,9 +14,14 @@
     /// probes only, say what a server holds, and those of one pick cost next to nothing.
     pub(super) fn asks(&self) -> bool {
         let s = &self.settings;
-        let telling = s.report_fields.iter().any(|f| matches!(f, ReportField::InFlight | ReportField::Queue));
-        let price = s.prices.probe * (DRAWS + REMEMBERED) as f64;
-        s.probes && s.report_source == ReportSource::Probes && telling && price <= ASK_PRICE && self.blind
+        let telling =
+            s.report_fields.iter().any(|f| matches!(f, LoadReportField::InFlight | LoadReportField::Queue));
+        let price = s.costs.probe * (DRAWS + REMEMBERED) as f64;
+        s.health_checks
+            && s.report_source == LoadReportSource::Probes
+            && telling
+            && price <= ASK_PRICE
+            && self.blind
     }
 
     /// Probes the candidates; the pick waits until all have answered, for a small part of the aim at most.
@@ -30,9 +35,10 @@
         candidates.sort_unstable();
         candidates.dedup();
         let live = &self.live[&id];
-        let until = (now + self.settings.classes[live.request.class.0].aim * ASK_WAIT).min(live.deadline);
+        let until = (now + self.settings.classes[live.request.class.0].latency_objective * ASK_WAIT)
+            .min(live.deadline);
         for &c in &candidates {
-            out.push(Action::Probe { server: self.servers[c].listed.server });
+            out.push(Action::HealthCheck { server: self.servers[c].listed.server });
         }
         out.push(Action::SetTimer { at: until, timer: ASKED });
         self.asking.push(Asking { id, candidates, since: now, until });
--- a/crates/balancer/src/decisions/reports.rs
+++ b/crates/balancer/src/decisions/reports.rs
@@ -5,9 +5,9 @@
 use crate::records::*;
 
 /// What one peer alone has said is believed for less.
-const DOUBT_LONE: Span = Span(2_000_000);
+const DOUBT_LONE: Micros = Micros(2_000_000);
 /// A good answer of a server stands against hearsay for so long.
-const VOUCHED: Span = Span(1_000_000);
+const VOUCHED: Micros = Micros(1_000_000);
 
 impl Balancer {
     /// Hearsay makes a known server doubted for a short while and nothing else: old, lost or false news is
@@ -32,7 +32,7 @@
 
     pub(super) fn read_report(&mut self, now: Time, server: usize, report: &Report) {
         let place = |field| self.settings.report_fields.iter().position(|f| *f == field);
-        let told = place(ReportField::InFlight).or_else(|| place(ReportField::Queue));
+        let told = place(LoadReportField::InFlight).or_else(|| place(LoadReportField::Queue));
         // What no server can hold is no news: a negative load must not make it look empty.
         if let Some(&value) = told.and_then(|i| report.get(i)).filter(|v| (0.0..1e4).contains(*v)) {
             let s = &mut self.servers[server];
--- a/crates/balancer/src/decisions/retry_budget.rs
+++ b/crates/balancer/src/decisions/retry_budget.rs
@@ -10,22 +10,22 @@
 impl Limits {
     /// What the rules and the settings allow, with the budget of further attempts that all requests share.
     pub const STANDARD: Limits = Limits {
-        timeout: Span(u64::MAX),
-        attempt_timeout: Span(u64::MAX),
-        queue_timeout: Span(u64::MAX),
-        attempts: u32::MAX,
+        timeout: Micros(u64::MAX),
+        attempt_timeout: Micros(u64::MAX),
+        queue_timeout: Micros(u64::MAX),
+        max_attempts: u32::MAX,
         retry_on: RetryOn::ALL,
         same_zone: false,
         budgets: Vec::new(),
-        copies: Vec::new(),
-        bounds: Vec::new(),
+        hedge_budgets: Vec::new(),
+        concurrency_limits: Vec::new(),
     };
 }
 
 /// What pays where a route names no budget of its own.
-const COMMON: Budget = Budget { id: 0, ratio: RETRY_EARN, burst: RETRY_BURST, strict: false };
+const COMMON: RetryBudget = RetryBudget { id: 0, ratio: RETRY_EARN, burst: RETRY_BURST, strict: false };
 
-pub(super) fn budgets(limits: &Limits) -> &[Budget] {
+pub(super) fn budgets(limits: &Limits) -> &[RetryBudget] {
     if limits.budgets.is_empty() {
         &[COMMON]
     } else {
@@ -37,18 +37,18 @@
     /// A request earns its part of a further attempt. Many balancers that each save up a burst would all
     /// spend it in the same jam.
     pub(super) fn earn(&mut self, limits: &Limits) {
-        for budget in budgets(limits).iter().chain(&limits.copies) {
+        for budget in budgets(limits).iter().chain(&limits.hedge_budgets) {
             let burst = if self.blind { budget.burst.min(1.0) } else { budget.burst };
             let saved = (self.saved(budget) + budget.ratio).min(burst);
             self.save(budget, saved);
         }
     }
 
-    pub(super) fn saved(&self, budget: &Budget) -> f64 {
+    pub(super) fn saved(&self, budget: &RetryBudget) -> f64 {
         self.saved.get(budget.id as usize).copied().flatten().unwrap_or(budget.burst)
     }
 
-    pub(super) fn save(&mut self, budget: &Budget, saved: f64) {
+    pub(super) fn save(&mut self, budget: &RetryBudget, saved: f64) {
         let place = budget.id as usize;
         self.saved.resize(self.saved.len().max(place + 1), None);
         self.saved[place] = Some(saved);
--- a/crates/balancer/src/decisions/retry_safety.rs
+++ b/crates/balancer/src/decisions/retry_safety.rs
@@ -10,31 +10,33 @@
         let out = live.attempts.iter().any(|a| a.fate == Fate::Out);
         let first = live.attempts.iter().find(|a| a.fate != Fate::NeverRan);
         let limits = live.request.limits();
-        let full = live.attempts.len() >= self.settings.max_attempts.min(limits.attempts) as usize;
+        let full = live.attempts.len() >= self.settings.max_attempts.min(limits.max_attempts) as usize;
         let shut = full
             || live.bound
             || live.spent
             || now >= live.deadline
-            || (out && (live.request.coming || !self.settings.second_copies));
-        let send = match (first, class.effect) {
+            || (out && (live.request.streaming || !self.settings.hedging));
+        let send = match (first, class.retry_safety) {
             _ if shut => Reach::Nowhere,
-            (None, _) | (_, Effect::Idempotent) => Reach::Anywhere,
-            (Some(_), Effect::AtMostOnce) => Reach::Nowhere,
-            (Some(first), Effect::Deduplicated { window, .. }) if now > first.sent + window => Reach::Nowhere,
-            (Some(first), Effect::Deduplicated { group, .. }) => match group {
-                Group::All => Reach::Anywhere,
-                Group::Zone => Reach::Zone(first.zone),
-                Group::Cell => Reach::Cell(first.cell),
+            (None, _) | (_, RetrySafety::Idempotent) => Reach::Anywhere,
+            (Some(_), RetrySafety::AtMostOnce) => Reach::Nowhere,
+            (Some(first), RetrySafety::Deduplicated { window, .. }) if now > first.sent + window => {
+                Reach::Nowhere
+            }
+            (Some(first), RetrySafety::Deduplicated { scope: group, .. }) => match group {
+                DedupScope::All => Reach::Anywhere,
+                DedupScope::Zone => Reach::Zone(first.zone),
+                DedupScope::Group => Reach::Cell(first.cell),
             },
         };
         let send = match (send, live.attempts.first().filter(|_| limits.same_zone)) {
             (Reach::Anywhere, Some(first)) => Reach::Zone(first.zone),
             _ => send,
         };
-        let refuse = match (first, class.effect) {
-            (None, _) | (_, Effect::Idempotent) => true,
-            (Some(_), Effect::AtMostOnce) => false,
-            (Some(_), Effect::Deduplicated { group, .. }) => group == Group::All,
+        let refuse = match (first, class.retry_safety) {
+            (None, _) | (_, RetrySafety::Idempotent) => true,
+            (Some(_), RetrySafety::AtMostOnce) => false,
+            (Some(_), RetrySafety::Deduplicated { scope: group, .. }) => group == DedupScope::All,
         };
         Lawful { send, refuse: refuse && !live.bound }
     }
--- a/crates/balancer/src/decisions/selection.rs
+++ b/crates/balancer/src/decisions/selection.rs
@@ -24,8 +24,9 @@
     pub(super) fn place(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) -> bool {
         let Some(live) = self.live.get(&id) else { return true };
         let pick = self.pick_for(now, live);
-        let room = |b: &Bound| self.occupied.get(b.id as usize).is_none_or(|n| *n < b.in_flight);
-        if pick.reach == Reach::Nowhere || !live.request.limits().bounds.iter().all(room) {
+        let room =
+            |b: &ConcurrencyLimit| self.occupied.get(b.id as usize).is_none_or(|n| *n < b.max_in_flight);
+        if pick.reach == Reach::Nowhere || !live.request.limits().concurrency_limits.iter().all(room) {
             return false;
         }
         let candidates = self.candidates(now, &pick);
@@ -38,14 +39,14 @@
 
     pub(super) fn pick_for(&self, now: Time, live: &Live) -> Pick {
         let class = live.request.class.0;
-        let key = live.request.key.filter(|_| self.settings.warm_keys);
+        let key = live.request.key.filter(|_| self.settings.key_affinity);
         Pick {
             id: live.request.id,
             class,
             reach: self.lawful(live, now).send,
             work: self.work(live),
             heavy: (self.work(live) / self.usual(class)).clamp(1.0, 9.0).sqrt(),
-            safe: self.settings.classes[class].effect == Effect::Idempotent,
+            safe: self.settings.classes[class].retry_safety == RetrySafety::Idempotent,
             key,
             warm: key.and_then(|k| self.warm_keys.get(&k)).copied(),
             tried: live.attempts.iter().map(|a| a.server).collect(),
@@ -75,7 +76,7 @@
             Reach::Nowhere => false,
             Reach::Anywhere => true,
             Reach::Zone(zone) => s.listed.zone == zone,
-            Reach::Cell(cell) => s.listed.cell == cell,
+            Reach::Cell(cell) => s.listed.dedup_group == cell,
         };
         lawful
             && s.listed.status == Status::Serving
@@ -155,7 +156,7 @@
     /// A blind balancer compares the plain counts, and the coin is weighed by what each candidate can bear.
     /// As the last choice is among the candidates, the choices of all together settle in proportion to that.
     pub(super) fn lightest(&mut self, now: Time, candidates: &[usize], pick: &Pick) -> Option<usize> {
-        let away = (1.0 + 100.0 * AWAY * self.settings.prices.cross_zone).clamp(1.0, AWAY_MOST);
+        let away = (1.0 + 100.0 * AWAY * self.settings.costs.cross_zone).clamp(1.0, AWAY_MOST);
         let (blind, asks) = (self.blind, self.asks());
         let mut best = None;
         for &c in candidates {
@@ -189,7 +190,7 @@
         let news = s.reported_at.map_or(0.0, |at| (-now.since(at).ms() / NEWS_MS).exp());
         let waiting = news * (s.reported + f64::from(s.sent_since)) + (1.0 - news) * self.crowd;
         let doubt = if self.cut_off(s, now) || now < s.doubted_until { DOUBTED } else { 1.0 };
-        let kind = self.kinds.get(&s.listed.kind).map_or(self.median, |k| k.0);
+        let kind = self.kinds.get(&s.listed.machine_type).map_or(self.median, |k| k.0);
         let own = f64::from(s.samples).min(OWN_MOST) * (-now.since(s.ended).ms() / PACE_MS).exp();
         let pace = (kind * KIND_WORTH + s.pace * own) / (KIND_WORTH + own);
         doubt * size / (1.0 + waiting) / pace.max(0.01).powi(3)
--- a/crates/balancer/src/decisions/server_health.rs
+++ b/crates/balancer/src/decisions/server_health.rs
@@ -30,7 +30,7 @@
 const LEVEL_CUT: f64 = 0.6;
 const LEVEL_UP: f64 = 0.2;
 /// All balancers together try a doubted server, or the way to a zone, once in this time.
-const TRIAL_EACH: Span = Span(5_000);
+const TRIAL_EACH: Micros = Micros(5_000);
 
 impl Balancer {
     pub(super) fn learn(
@@ -38,10 +38,10 @@
         now: Time,
         flight: &Flight,
         outcome: Outcome,
-        elapsed: Span,
+        elapsed: Micros,
         out: &mut Vec<Action>,
     ) {
-        let aim = self.settings.classes[flight.class].aim.ms();
+        let aim = self.settings.classes[flight.class].latency_objective.ms();
         let least = 1.0 / f64::from(self.settings.balancers.max(1));
         let (median, own) = (self.median, self.servers[flight.server].in_flight);
         let used = match outcome {
@@ -89,7 +89,7 @@
             Outcome::ServerError | Outcome::ConnectionReset => s.failures += 1,
         }
         if used > 0.0 {
-            let (pace, n) = self.kinds.entry(s.listed.kind).or_insert((median, 1.0));
+            let (pace, n) = self.kinds.entry(s.listed.machine_type).or_insert((median, 1.0));
             *n = (*n + 1.0).min(KIND_MOST);
             *pace += (used - *pace) / *n;
             s.pace = if s.samples == 0 { used } else { s.pace + PACE_GAIN * (used - s.pace) };
@@ -106,7 +106,7 @@
             (s.ended, s.took) = (now, elapsed.ms());
             if outcome == Outcome::Rejected {
                 s.took = aim;
-                s.rest_until = now + Span::from_ms(aim * self.class_pace[flight.class]);
+                s.rest_until = now + Micros::from_ms(aim * self.class_pace[flight.class]);
             }
         }
         let failures = s.way(&self.zones).failures;
@@ -173,7 +173,7 @@
         for _ in 0..(paid as u32).min(TELL_MOST).min(self.settings.balancers - 1) {
             self.tell_bytes -= payload.len() as f64;
             let peer = PeerId(self.rng.u32(0..self.settings.balancers));
-            out.push(Action::Tell { to: Some(peer), payload: payload.clone() });
+            out.push(Action::SendHint { to: Some(peer), payload: payload.clone() });
         }
     }
 
@@ -189,8 +189,8 @@
     }
 
     /// How long a doubt lasts: the trials of all balancers together stay bounded, and never come all at once.
-    pub(super) fn life(&mut self, least: Span) -> Span {
-        let fleet = Span(TRIAL_EACH.0 * u64::from(self.settings.balancers));
+    pub(super) fn life(&mut self, least: Micros) -> Micros {
+        let fleet = Micros(TRIAL_EACH.0 * u64::from(self.settings.balancers));
         least.max(fleet) * (0.75 + 0.5 * self.rng.f64())
     }
 }
--- a/crates/balancer/src/decisions/slow_start.rs
+++ b/crates/balancer/src/decisions/slow_start.rs
@@ -10,12 +10,12 @@
 impl Balancer {
     /// The share of its capacity that a server surely has.
     pub(super) fn warmth(&self, s: &Server, now: Time) -> f64 {
-        let Some(started) = s.listed.started else { return 1.0 };
-        let (age, warm) = (now.since(started).ms(), self.settings.warm_after.ms());
+        let Some(started) = s.listed.started_at else { return 1.0 };
+        let (age, warm) = (now.since(started).ms(), self.settings.slow_start_window.ms());
         if age >= warm {
             return 1.0;
         }
-        let cold = self.settings.cold_share.min(1.0);
+        let cold = self.settings.initial_capacity.min(1.0);
         cold + (1.0 - cold) * age / warm
     }
 
@@ -33,11 +33,11 @@
 
     /// The usual answer time of a class in milliseconds.
     pub(super) fn usual(&self, class: usize) -> f64 {
-        (self.class_pace[class] * self.settings.classes[class].aim.ms()).max(0.001)
+        (self.class_pace[class] * self.settings.classes[class].latency_objective.ms()).max(0.001)
     }
 
     /// A guess at a request's work: the hint, else the usual answer time of its class.
     pub(super) fn work(&self, live: &Live) -> f64 {
-        live.request.cost_hint.map_or_else(|| self.usual(live.request.class.0), Span::ms)
+        live.request.cost_hint.map_or_else(|| self.usual(live.request.class.0), Micros::ms)
     }
 }
--- a/crates/balancer/src/decisions/timers.rs
+++ b/crates/balancer/src/decisions/timers.rs
@@ -16,7 +16,7 @@
 const ZONE_SILENT: usize = 3;
 
 impl Balancer {
-    pub(super) fn set_tick(&mut self, now: Time, after: Span, out: &mut Vec<Action>) {
+    pub(super) fn set_tick(&mut self, now: Time, after: Micros, out: &mut Vec<Action>) {
         self.tick_at = now + after;
         out.push(Action::SetTimer { at: self.tick_at, timer: TICK });
     }
@@ -27,7 +27,7 @@
         }
         if self.ask_at.is_some_and(|at| now >= at) {
             (self.ask_at, self.asked_at) = (None, now);
-            out.push(Action::Follow { active: true });
+            out.push(Action::Watch { active: true });
         }
         let judged = |s: &&Server| s.listed.status == Status::Serving && s.samples > 0;
         let paces = self.servers.iter().filter(judged).map(|s| s.pace);
@@ -45,7 +45,7 @@
         let mut waiting: BTreeMap<ZoneId, Vec<Away>> = BTreeMap::new();
         for (&key, f) in self.flights.iter().filter(|(_, f)| !f.coming) {
             let s = &self.servers[f.server];
-            let usual = self.settings.classes[f.class].aim * (2.0 * self.class_pace[f.class]);
+            let usual = self.settings.classes[f.class].latency_objective * (2.0 * self.class_pace[f.class]);
             if !s.way(&self.zones).heard_since(f.sent) && now.since(f.sent) > usual.max(HUSH) {
                 waiting.entry(s.listed.zone).or_default().push((key, f.server));
             }
@@ -59,7 +59,8 @@
     /// may be repeated and can still be answered in time is called back from it and sent elsewhere.
     pub(super) fn find_silent(&mut self, now: Time, out: &mut Vec<Action>) {
         let overdue = |(&key, flight): (&(RequestId, u32), &Flight)| {
-            let (server, aim) = (&self.servers[flight.server], self.settings.classes[flight.class].aim);
+            let (server, aim) =
+                (&self.servers[flight.server], self.settings.classes[flight.class].latency_objective);
             let least = if server.in_flight > 1 { OVERDUE_LEAST } else { OVERDUE_ALONE };
             let work = self.live.get(&key.0).map_or(0.0, |live| self.work(live));
             let pace = self.class_pace[flight.class].max(self.median).max(work / aim.ms());
@@ -78,7 +79,8 @@
         // Silence of a whole zone is a cut and no jam.
         let (servers, zones) = (&self.servers, &self.zones);
         let late = |f: &&mut Flight| {
-            let due = blind && !f.counted && !f.coming && now.since(f.sent) > classes[f.class].aim;
+            let due =
+                blind && !f.counted && !f.coming && now.since(f.sent) > classes[f.class].latency_objective;
             due && servers[f.server].way(zones).heard_since(f.sent)
         };
         let mut zones_late = Vec::new();
@@ -93,10 +95,11 @@
                 out.push(Action::CloseIdle { server: self.servers[server].listed.server });
             }
             let Some(live) = self.live.get(&id) else { continue };
-            let repeatable = self.settings.classes[live.request.class.0].effect != Effect::AtMostOnce;
+            let repeatable =
+                self.settings.classes[live.request.class.0].retry_safety != RetrySafety::AtMostOnce;
             let last = attempt as usize + 1 == live.attempts.len();
             let limits = live.request.limits();
-            let spare = live.attempts.len() < self.settings.max_attempts.min(limits.attempts) as usize
+            let spare = live.attempts.len() < self.settings.max_attempts.min(limits.max_attempts) as usize
                 && limits.retry_on.timeout
                 && self.affords(limits, false);
             if repeatable && self.settings.cancel && last && spare && !self.hopeless(now, live) {
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -7,18 +7,18 @@
 //! ```
 //! use bellcroft_balancer::*;
 //!
-//! let class = Class { aim: Span::from_ms(100.0), deadline: Span::from_ms(400.0), ..Class::default() };
+//! let class = Class { latency_objective: Micros::from_ms(100.0), deadline: Micros::from_ms(400.0), ..Class::default() };
 //! let settings = Settings { classes: vec![class], ..Settings::default() };
 //! let mut balancer = Balancer::new(settings, 7).expect("usable settings");
 //! let mut actions = Vec::new();
 //!
 //! // The agent hears which servers there are ...
 //! let now = Time::from_ms(1000.0);
-//! let servers = vec![Listed::serving(ServerId(0)), Listed::serving(ServerId(1))];
-//! balancer.handle(now, Event::List(ListUpdate::Complete(servers)), &mut actions);
+//! let servers = vec![Endpoint::serving(ServerId(0)), Endpoint::serving(ServerId(1))];
+//! balancer.handle(now, Event::Endpoints(EndpointUpdate::Snapshot(servers)), &mut actions);
 //!
 //! // ... and passes on a request: the balancer says where to send it.
-//! let request = Request::new(RequestId(1), ClassId(0), Span::from_ms(400.0));
+//! let request = Request::new(RequestId(1), ClassId(0), Micros::from_ms(400.0));
 //! balancer.handle(now, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { request: RequestId(1), .. })));
 //! ```
--- a/crates/balancer/src/records.rs
+++ b/crates/balancer/src/records.rs
@@ -10,7 +10,7 @@
     Nowhere,
     Anywhere,
     Zone(ZoneId),
-    Cell(CellId),
+    Cell(DedupGroupId),
 }
 
 /// A request whose candidates have been asked for their load.
@@ -76,7 +76,7 @@
 pub(crate) struct Attempt {
     pub(crate) server: usize,
     pub(crate) zone: ZoneId,
-    pub(crate) cell: CellId,
+    pub(crate) cell: DedupGroupId,
     pub(crate) sent: Time,
     pub(crate) fate: Fate,
 }
@@ -133,12 +133,12 @@
 
 pub(crate) struct Suspicion {
     pub(crate) next_trial: Time,
-    pub(crate) pause: Span,
+    pub(crate) pause: Micros,
     pub(crate) on_trial: bool,
 }
 
 pub(crate) struct Server {
-    pub(crate) listed: Listed,
+    pub(crate) listed: Endpoint,
     pub(crate) in_flight: u32,
     /// Answer time over its class's usual, leaning to the quick ones: how slow the machine itself is.
     pub(crate) stretch: f64,
@@ -167,7 +167,7 @@
 }
 
 impl Server {
-    pub(crate) fn new(listed: Listed, limit: f64, now: Time) -> Self {
+    pub(crate) fn new(listed: Endpoint, limit: f64, now: Time) -> Self {
         Server {
             listed,
             in_flight: 0,
@@ -199,7 +199,7 @@
 }
 
 /// A server that has left is remembered this long, for one that a list leaves out by mistake soon comes back.
-const KEPT: Span = Span(10_000_000);
+const KEPT: Micros = Micros(10_000_000);
 
 /// Signs that are kept for a host that does not ask for them.
 const TOLD_MOST: usize = 64;
@@ -238,7 +238,7 @@
     /// The same as it is now, slow ones and all.
     pub(crate) class_now: Vec<f64>,
     /// The wait that most requests of a class come with, that of a first try, and the votes for it.
-    pub(crate) usual_wait: Vec<(Span, u32)>,
+    pub(crate) usual_wait: Vec<(Micros, u32)>,
     /// Traffic of the last seconds by class and by tenant.
     pub(crate) asked: Vec<f64>,
     pub(crate) tenant_asked: Vec<f64>,
@@ -259,7 +259,7 @@
     pub(crate) took: Fading,
     pub(crate) held_then: Fading,
     /// Answer time as a share of the aim by kind of machine, and the answers that it rests on.
-    pub(crate) kinds: BTreeMap<KindId, (f64, f64)>,
+    pub(crate) kinds: BTreeMap<MachineTypeId, (f64, f64)>,
     /// What is believed of the way to each zone.
     pub(crate) zones: BTreeMap<ZoneId, Way>,
     /// Bytes that may be told to peers.
@@ -267,7 +267,7 @@
     /// What the whole fleet was said to have seen, and when.
     pub(crate) fleet: (Time, FleetState),
     /// What this balancer has seen, until its host asks.
-    pub(crate) told: Vec<Sign>,
+    pub(crate) told: Vec<Signal>,
     /// What the last reports said on average.
     pub(crate) crowd: f64,
     /// Further attempts saved up, by the budget's name; none has been touched yet.
@@ -276,7 +276,7 @@
     pub(crate) occupied: Vec<u32>,
     /// When which request may have a second copy.
     pub(crate) copies: BTreeSet<(Time, RequestId)>,
-    pub(crate) ask_pause: Span,
+    pub(crate) ask_pause: Micros,
     pub(crate) ask_at: Option<Time>,
     /// When it last began to watch the list.
     pub(crate) asked_at: Time,
@@ -307,7 +307,7 @@
             warm_keys: BTreeMap::new(),
             class_now: class_pace.clone(),
             class_pace,
-            usual_wait: vec![(Span::ZERO, 0); classes],
+            usual_wait: vec![(Micros::ZERO, 0); classes],
             asked: vec![0.0; classes],
             tenant_asked: vec![0.0; settings.tenants.len()],
             counted_at: Time(0),
@@ -329,7 +329,7 @@
             saved: Vec::new(),
             occupied: Vec::new(),
             copies: BTreeSet::new(),
-            ask_pause: Span::ZERO,
+            ask_pause: Micros::ZERO,
             ask_at: None,
             asked_at: Time(0),
             tick_at: Time(0),
@@ -344,12 +344,12 @@
 
     /// What it has seen of answers since this was last asked, where peers are there to be told; the latest of it, if that
     /// was long ago.
-    pub fn signs(&mut self) -> std::vec::Drain<'_, Sign> {
+    pub fn signals(&mut self) -> std::vec::Drain<'_, Signal> {
         self.told.drain(..)
     }
 
     /// Keeps what was seen for the host to share.
-    pub(crate) fn tell_sign(&mut self, sign: Sign) {
+    pub(crate) fn tell_sign(&mut self, sign: Signal) {
         if self.settings.peers {
             if self.told.len() >= TOLD_MOST {
                 self.told.remove(0);
@@ -359,7 +359,7 @@
     }
 
     /// Whether a request or an attempt of a class is not over.
-    pub fn refers_to(&self, class: ClassId) -> bool {
+    pub fn references_class(&self, class: ClassId) -> bool {
         self.live.values().any(|live| live.request.class == class)
             || self.flights.values().any(|flight| flight.class == class.0)
     }
@@ -371,7 +371,7 @@
     /// # Errors
     ///
     /// Settings that no balancer can work with; nothing has changed then.
-    pub fn retune(
+    pub fn reconfigure(
         &mut self,
         settings: Settings,
         changed: &[(usize, Option<usize>)],
@@ -380,19 +380,19 @@
         let most = self.settings.max_attempts;
         for live in self.live.values_mut().filter(|_| settings.max_attempts > most) {
             let mut limits = live.request.limits().clone();
-            limits.attempts = limits.attempts.min(most);
+            limits.max_attempts = limits.max_attempts.min(most);
             live.request.limits = Some(Arc::new(limits));
         }
         let blank = Balancer::blank(settings, 0);
         let classes = blank.settings.classes.len();
         self.class_pace.resize(classes, blank.class_pace[0]);
         self.class_now.resize(classes, blank.class_now[0]);
-        self.usual_wait.resize(classes, (Span::ZERO, 0));
+        self.usual_wait.resize(classes, (Micros::ZERO, 0));
         self.asked.resize(classes, 0.0);
         self.spared.resize(classes, false);
         self.tenant_asked.resize(blank.settings.tenants.len(), 0.0);
         for &(place, from) in changed {
-            let aim = |settings: &Settings, place: usize| settings.classes[place].aim.ms();
+            let aim = |settings: &Settings, place: usize| settings.classes[place].latency_objective.ms();
             // A pace is a share of the aim, and the work is the same.
             let like = from.filter(|from| *from < self.settings.classes.len());
             let pace = like.map_or((blank.class_pace[0], blank.class_now[0]), |from| {
@@ -400,7 +400,7 @@
                 (self.class_pace[from] * scale, self.class_now[from] * scale)
             });
             (self.class_pace[place], self.class_now[place]) = pace;
-            self.usual_wait[place] = (Span::ZERO, 0);
+            self.usual_wait[place] = (Micros::ZERO, 0);
             self.asked[place] = 0.0;
         }
         self.settings = blank.settings;
@@ -410,7 +410,7 @@
 
     /// Listed servers that get no request at present, or less than their share: those that drain, and those that are
     /// taken to be slow, failing, silent or cut off.
-    pub fn avoided(&self, now: Time) -> usize {
+    pub fn avoided_servers(&self, now: Time) -> usize {
         let out = |s: &Server| match (s.listed.status, self.blind) {
             (Status::Gone, _) => false,
             (Status::Draining, _) => true,
@@ -466,7 +466,7 @@
         }
         let named = || self.index.values().map(|&i| &self.servers[i].listed);
         let zones: BTreeSet<ZoneId> = named().map(|l| l.zone).collect();
-        let kinds: BTreeSet<KindId> = named().map(|l| l.kind).collect();
+        let kinds: BTreeSet<MachineTypeId> = named().map(|l| l.machine_type).collect();
         self.zones.retain(|zone, _| zones.contains(zone));
         self.kinds.retain(|kind, _| kinds.contains(kind));
     }
--- a/crates/balancer/tests/bad_input.rs
+++ b/crates/balancer/tests/bad_input.rs
@@ -5,8 +5,8 @@
 
 fn settings() -> Settings {
     Settings {
-        classes: vec![class(Effect::Idempotent)],
-        report_fields: vec![ReportField::InFlight],
+        classes: vec![class(RetrySafety::Idempotent)],
+        report_fields: vec![LoadReportField::InFlight],
         ..Settings::default()
     }
 }
@@ -20,10 +20,10 @@
         let (id, server) = testbed.ask(0);
         let server = server.expect("an idle fleet takes it");
         sent[server.0 as usize] += 1;
-        testbed.wait(Span::from_ms(20.0));
+        testbed.wait(Micros::from_ms(20.0));
         let said = if server.0 == 0 { report.clone() } else { vec![0.0] };
         testbed.answer_with(id, 0, Outcome::Success, 20.0, Some(said));
-        testbed.wait(Span::from_ms(10.0));
+        testbed.wait(Micros::from_ms(10.0));
     }
     testbed.assert_rules();
     sent
@@ -44,18 +44,18 @@
     let mut testbed = Rig::new(settings(), 3);
     testbed.list(fleet(4, 1, 1));
     let open: Vec<_> = (0..6).map(|_| testbed.ask(0).0).collect();
-    testbed.now = testbed.now + Span::from_ms(3_600_000.0);
+    testbed.now = testbed.now + Micros::from_ms(3_600_000.0);
     for id in open {
         testbed.answer(id, 0, Outcome::TimedOut, 800.0);
     }
-    testbed.wait(Span::from_ms(1000.0));
+    testbed.wait(Micros::from_ms(1000.0));
     let served = (0..40).filter(|_| {
         let (id, server) = testbed.ask(0);
-        testbed.wait(Span::from_ms(20.0));
+        testbed.wait(Micros::from_ms(20.0));
         if server.is_some() {
             testbed.answer(id, 0, Outcome::Success, 20.0);
         }
-        testbed.wait(Span::from_ms(200.0));
+        testbed.wait(Micros::from_ms(200.0));
         server.is_some()
     });
     assert!(served.count() > 30);
--- a/crates/balancer/tests/beliefs.rs
+++ b/crates/balancer/tests/beliefs.rs
@@ -10,9 +10,9 @@
 fn settings(balancers: u32) -> Settings {
     Settings {
         balancers,
-        classes: vec![class(Effect::Idempotent)],
-        report_source: ReportSource::Answers,
-        report_fields: vec![ReportField::InFlight],
+        classes: vec![class(RetrySafety::Idempotent)],
+        report_source: LoadReportSource::Answers,
+        report_fields: vec![LoadReportField::InFlight],
         ..Settings::default()
     }
 }
@@ -24,10 +24,10 @@
         let (id, sent) = testbed.ask(0);
         refusals += usize::from(refused(&testbed.actions, id));
         if sent.is_some() {
-            testbed.wait(Span::from_ms(took));
+            testbed.wait(Micros::from_ms(took));
             testbed.answer_with(id, 0, Outcome::Success, took, Some(vec![holds]));
         }
-        testbed.wait(Span::from_ms((every_ms - took).max(0.0)));
+        testbed.wait(Micros::from_ms((every_ms - took).max(0.0)));
     }
     refusals
 }
@@ -49,7 +49,7 @@
     testbed.list(fleet(50, 1, 1));
     let in_it = ask(&mut testbed, 200, 20.0, 2.0 * AIM_MS, 80.0);
     assert!(in_it > 50, "{in_it} of 200 refused in the jam");
-    testbed.wait(Span::from_ms(10_000.0));
+    testbed.wait(Micros::from_ms(10_000.0));
     assert_eq!(refusals_now(&mut testbed), 0);
     testbed.assert_rules();
 }
@@ -64,7 +64,7 @@
         assert_eq!(ask(&mut testbed, 300, 30.0, 20.0, holds), 0, "{holds} held, all is well");
         let in_it = ask(&mut testbed, 100, 20.0, 2.0 * AIM_MS, holds);
         assert!(in_it > 10, "{in_it} of 100 refused in a jam, {holds} held");
-        testbed.wait(Span::from_ms(1500.0));
+        testbed.wait(Micros::from_ms(1500.0));
         assert_eq!(ask(&mut testbed, 100, 30.0, 20.0, holds), 0, "{holds} held, all is well again");
     }
 }
@@ -83,7 +83,7 @@
     let mut testbed = Rig::new(settings(2000), 3);
     testbed.list(fleet(50, 1, 1));
     ask(&mut testbed, 1, 2.0 * AIM_MS, 2.0 * AIM_MS, 80.0);
-    testbed.wait(Span::from_ms(1000.0));
+    testbed.wait(Micros::from_ms(1000.0));
     assert_eq!(refusals_now(&mut testbed), 0, "a second later it is forgotten");
 }
 
@@ -99,18 +99,18 @@
         let Some(server) = to else { continue };
         sent[usize::from(turn >= 2000)] += u32::from(server == ServerId(0));
         let took = if server == ServerId(0) { 150.0 } else { 15.0 };
-        testbed.wait(Span::from_ms(1.0));
+        testbed.wait(Micros::from_ms(1.0));
         testbed.answer(id, 0, Outcome::Success, took);
     }
     assert!(sent[1] < 20, "a slow one is sent little while it is known: {sent:?}");
     let mut later = 0;
     for _ in 0..600 {
-        testbed.wait(Span::from_ms(60_000.0));
+        testbed.wait(Micros::from_ms(60_000.0));
         let (id, to) = testbed.ask(0);
         assert!(!refused(&testbed.actions, id));
         let Some(server) = to else { continue };
         later += u32::from(server == ServerId(0));
-        testbed.wait(Span::from_ms(15.0));
+        testbed.wait(Micros::from_ms(15.0));
         testbed.answer(id, 0, Outcome::Success, 15.0);
     }
     assert!(later >= 10, "it is as quick as the others now, and has its part again: {later} of 600");
@@ -131,7 +131,7 @@
             let cut = server.0 % 2 == 1;
             far += u32::from(cut);
             let (took, outcome) = if cut { (50.0, Outcome::ConnectFailed) } else { (20.0, Outcome::Success) };
-            testbed.wait(Span::from_ms(took));
+            testbed.wait(Micros::from_ms(took));
             let actions = testbed.answer(id, attempt, outcome, took).to_vec();
             closed.extend(actions.iter().filter_map(|a| match a {
                 Action::CloseIdle { server } if server.0 % 2 == 1 => Some(*server),
@@ -140,7 +140,7 @@
             attempt += 1;
             to = testbed.sent_to(id);
         }
-        testbed.wait(Span::from_ms(300.0));
+        testbed.wait(Micros::from_ms(300.0));
         std::mem::take(&mut far)
     };
     while ask(&mut testbed) == 0 {}
--- a/crates/balancer/tests/blind.rs
+++ b/crates/balancer/tests/blind.rs
@@ -8,7 +8,7 @@
 const AIM_MS: f64 = 200.0;
 
 fn settings() -> Settings {
-    Settings { balancers: 1000, classes: vec![class(Effect::Idempotent)], ..Settings::default() }
+    Settings { balancers: 1000, classes: vec![class(RetrySafety::Idempotent)], ..Settings::default() }
 }
 
 /// One request after another, each answered in `ms` by the servers that `works`; how often each was sent to.
@@ -19,12 +19,12 @@
         let mut attempt = 0;
         while let Some(server) = to {
             sent[server.0 as usize] += 1;
-            testbed.wait(Span::from_ms(ms));
+            testbed.wait(Micros::from_ms(ms));
             testbed.answer(id, attempt, ending(server), ms);
             attempt += 1;
             to = testbed.sent_to(id);
         }
-        testbed.wait(Span::from_ms(50.0));
+        testbed.wait(Micros::from_ms(50.0));
     }
     sent
 }
@@ -37,7 +37,7 @@
 #[test]
 fn load_goes_by_listed_size() {
     let mut testbed = Rig::new(Settings { weights: Weights::Size, ..settings() }, 1);
-    let sized = |l: Listed| Listed { weight: if l.server.0 < 10 { 3.0 } else { 1.0 }, ..l };
+    let sized = |l: Endpoint| Endpoint { weight: if l.server.0 < 10 { 3.0 } else { 1.0 }, ..l };
     testbed.list(fleet(20, 1, 1).into_iter().map(sized).collect());
     let sent = serve(&mut testbed, 20, 3000, 20.0, all_well);
     let (large, small) = (sent[..10].iter().sum::<u32>(), sent[10..].iter().sum::<u32>());
@@ -49,7 +49,8 @@
 #[test]
 fn load_goes_by_the_pace_of_a_kind() {
     let mut testbed = Rig::new(settings(), 2);
-    let lines = fleet(100, 1, 1).into_iter().map(|l| Listed { kind: KindId(l.server.0 % 2), ..l });
+    let lines =
+        fleet(100, 1, 1).into_iter().map(|l| Endpoint { machine_type: MachineTypeId(l.server.0 % 2), ..l });
     testbed.list(lines.collect());
     let mut sent = [0, 0];
     for _ in 0..600 {
@@ -57,7 +58,7 @@
         let kind = (to.expect("sent").0 % 2) as usize;
         sent[kind] += 1;
         let ms = [30.0, 90.0][kind];
-        testbed.wait(Span::from_ms(ms));
+        testbed.wait(Micros::from_ms(ms));
         testbed.answer(id, 0, Outcome::Success, ms);
     }
     assert!(sent[0] > 2 * sent[1], "the kind that is three times as fast was sent {sent:?}");
@@ -75,7 +76,7 @@
         let (id, to) = testbed.ask(0);
         let to = to.expect("sent");
         kept.insert(to);
-        testbed.wait(Span::from_ms(20.0));
+        testbed.wait(Micros::from_ms(20.0));
         let actions = testbed.answer(id, 0, Outcome::Success, 20.0).to_vec();
         // What was remembered before is let go of with its next answer, so at most a few are open.
         for action in actions {
@@ -99,7 +100,7 @@
     let mut testbed = Rig::new(settings(), 4);
     testbed.list(fleet(50, 1, 1));
     serve(&mut testbed, 50, 60, 2.0 * AIM_MS, |_| Outcome::TimedOut);
-    testbed.wait(Span::from_ms(1000.0));
+    testbed.wait(Micros::from_ms(1000.0));
     let refusals = (0..100).filter(|_| {
         let (id, _) = testbed.ask(0);
         refused(&testbed.actions, id)
@@ -124,10 +125,10 @@
     let mut teller = Rig::new(settings.clone(), 6);
     teller.list(fleet(10, 1, 1));
     let (id, to) = teller.ask(0);
-    teller.wait(Span::from_ms(790.0));
+    teller.wait(Micros::from_ms(790.0));
     let told = teller.answer(id, 0, Outcome::TimedOut, 790.0).to_vec();
     let tell = |a: &Action| match a {
-        Action::Tell { payload, .. } => Some(payload.clone()),
+        Action::SendHint { payload, .. } => Some(payload.clone()),
         _ => None,
     };
     let all: Vec<_> = told.iter().filter_map(tell).collect();
@@ -140,7 +141,7 @@
             let mut testbed = Rig::new(settings.clone(), seed);
             testbed.list(fleet(10, 1, 1));
             testbed.tell(Event::PeerMessage { from: PeerId(1), payload: all[0].clone() });
-            testbed.wait(Span::from_ms(wait_ms));
+            testbed.wait(Micros::from_ms(wait_ms));
             serve(&mut testbed, 10, 3, 20.0, all_well)[server]
         });
         picks.sum()
@@ -175,16 +176,16 @@
 
 fn asking() -> Settings {
     Settings {
-        probes: true,
-        report_source: ReportSource::Probes,
-        report_fields: vec![ReportField::Utilisation, ReportField::InFlight],
+        health_checks: true,
+        report_source: LoadReportSource::Probes,
+        report_fields: vec![LoadReportField::Utilisation, LoadReportField::InFlight],
         ..settings()
     }
 }
 
 fn probed(testbed: &Rig) -> Vec<ServerId> {
     let server = |a: &Action| match a {
-        Action::Probe { server } => Some(*server),
+        Action::HealthCheck { server } => Some(*server),
         _ => None,
     };
     testbed.actions.iter().filter_map(server).collect()
@@ -192,8 +193,8 @@
 
 fn report(testbed: &mut Rig, server: ServerId, held: f64) -> Option<ServerId> {
     let report = Some(vec![0.5, held]);
-    let elapsed = Span::from_ms(1.0);
-    let actions = testbed.tell(Event::Probed { server, outcome: Outcome::Success, elapsed, report });
+    let elapsed = Micros::from_ms(1.0);
+    let actions = testbed.tell(Event::HealthChecked { server, outcome: Outcome::Success, elapsed, report });
     actions.iter().find_map(|a| match a {
         Action::Send { server, .. } => Some(*server),
         _ => None,
@@ -225,20 +226,20 @@
     let (id, _) = testbed.ask(0);
     let candidates = probed(&testbed);
     report(&mut testbed, candidates[0], 3.0);
-    let actions = testbed.wait(Span::from_ms(0.06 * AIM_MS));
+    let actions = testbed.wait(Micros::from_ms(0.06 * AIM_MS));
     assert_eq!(common::sent_in(&actions, id), Some(candidates[0]));
     let (id, _) = testbed.ask(0);
-    let actions = testbed.wait(Span::from_ms(0.06 * AIM_MS));
+    let actions = testbed.wait(Micros::from_ms(0.06 * AIM_MS));
     assert!(common::sent_in(&actions, id).is_some(), "with no report at all it is sent all the same");
 }
 
 #[test]
 fn dear_or_useless_probes_are_not_sent() {
-    let dear = Prices { probe: 0.01, ..Prices::default() };
+    let dear = Costs { probe: 0.01, ..Costs::default() };
     for settings in [
-        Settings { prices: dear, ..asking() },
-        Settings { report_fields: vec![ReportField::Utilisation], ..asking() },
-        Settings { probes: false, ..asking() },
+        Settings { costs: dear, ..asking() },
+        Settings { report_fields: vec![LoadReportField::Utilisation], ..asking() },
+        Settings { health_checks: false, ..asking() },
         Settings { balancers: 10, ..asking() },
     ] {
         let mut testbed = Rig::new(settings, 12);
@@ -254,7 +255,7 @@
     for settings in [settings(), asking()] {
         let mut testbed = Rig::new(settings, 13);
         let mut lines = fleet(10, 1, 1);
-        lines[9].started = Some(testbed.now);
+        lines[9].started_at = Some(testbed.now);
         testbed.list(lines);
         let (mut cold, mut all) = (0, 0);
         for _ in 0..400 {
@@ -266,7 +267,7 @@
             cold += u32::from(to.0 == 9);
             all += 1;
             testbed.answer(id, 0, Outcome::Success, 20.0);
-            testbed.wait(Span::from_ms(2.0));
+            testbed.wait(Micros::from_ms(2.0));
         }
         assert!(cold <= all / 20, "{cold} of {all} to one cold server of ten");
     }
--- a/crates/balancer/tests/cold_server_not_pushed_over.rs
+++ b/crates/balancer/tests/cold_server_not_pushed_over.rs
@@ -5,11 +5,11 @@
 
 fn settings() -> Settings {
     Settings {
-        classes: vec![class(Effect::Idempotent)],
-        cold_share: 0.2,
-        warm_after: Span::from_ms(10_000.0),
+        classes: vec![class(RetrySafety::Idempotent)],
+        initial_capacity: 0.2,
+        slow_start_window: Micros::from_ms(10_000.0),
         overload_factor: 2.5,
-        fall_after: Span::from_ms(1500.0),
+        fall_after: Micros::from_ms(1500.0),
         balancers: 3,
         ..Settings::default()
     }
@@ -19,15 +19,15 @@
 fn load(testbed: &mut Rig, per_s: f64, ms: f64, server: ServerId) -> (u32, u32) {
     let (mut there, mut all) = (0, 0);
     let mut out: Vec<(Time, RequestId, u32)> = Vec::new();
-    let end = testbed.now + Span::from_ms(ms);
+    let end = testbed.now + Micros::from_ms(ms);
     while testbed.now < end {
         let (id, sent) = testbed.ask(0);
         if let Some(sent) = sent {
             all += 1;
             there += u32::from(sent == server);
-            out.push((testbed.now + Span::from_ms(20.0), id, 0));
+            out.push((testbed.now + Micros::from_ms(20.0), id, 0));
         }
-        testbed.wait(Span::from_ms(1000.0 / per_s));
+        testbed.wait(Micros::from_ms(1000.0 / per_s));
         let now = testbed.now;
         let due: Vec<_> = out.iter().filter(|o| o.0 <= now).copied().collect();
         out.retain(|o| o.0 > now);
@@ -45,7 +45,7 @@
 fn a_cold_server_gets_its_share_of_a_warm_ones_load() {
     let mut testbed = Rig::new(settings(), 4);
     let mut lines = fleet(6, 1, 1);
-    lines[5].started = Some(testbed.now);
+    lines[5].started_at = Some(testbed.now);
     testbed.list(lines);
     let (cold, all) = load(&mut testbed, 200.0, 1500.0, ServerId(5));
     let warm = f64::from(all - cold) / 5.0;
@@ -61,11 +61,11 @@
 fn a_second_restart_while_warming_starts_over() {
     let mut testbed = Rig::new(settings(), 4);
     let mut lines = fleet(6, 1, 1);
-    lines[5].started = Some(testbed.now);
+    lines[5].started_at = Some(testbed.now);
     testbed.list(lines.clone());
     load(&mut testbed, 200.0, 8000.0, ServerId(5));
-    lines[5].started = Some(testbed.now);
-    testbed.tell(Event::List(ListUpdate::Changes(vec![lines[5].clone()])));
+    lines[5].started_at = Some(testbed.now);
+    testbed.tell(Event::Endpoints(EndpointUpdate::Delta(vec![lines[5].clone()])));
     let (cold, all) = load(&mut testbed, 200.0, 1000.0, ServerId(5));
     assert!(f64::from(cold) <= 0.5 * f64::from(all - cold) / 5.0, "{cold} of {all}");
     testbed.assert_rules();
@@ -76,7 +76,7 @@
     for n in [1, 4] {
         let mut testbed = Rig::new(settings(), 4);
         let start = testbed.now;
-        testbed.list(fleet(n, 1, 1).into_iter().map(|l| Listed { started: Some(start), ..l }).collect());
+        testbed.list(fleet(n, 1, 1).into_iter().map(|l| Endpoint { started_at: Some(start), ..l }).collect());
         let (_, all) = load(&mut testbed, 20.0, 1000.0, ServerId(0));
         assert!(all > 10, "{all} sent");
         testbed.assert_rules();
@@ -88,7 +88,7 @@
 fn an_all_cold_fleet_is_paced_by_its_answers() {
     let mut testbed = Rig::new(settings(), 4);
     let start = testbed.now;
-    testbed.list(fleet(4, 1, 1).into_iter().map(|l| Listed { started: Some(start), ..l }).collect());
+    testbed.list(fleet(4, 1, 1).into_iter().map(|l| Endpoint { started_at: Some(start), ..l }).collect());
     let mut sent = 0;
     for _ in 0..200 {
         sent += u32::from(testbed.ask(0).1.is_some());
@@ -103,9 +103,9 @@
     let mut balancer = Balancer::new(settings, 1).unwrap();
     let mut actions = Vec::new();
     balancer.start(Time(0), &mut actions);
-    balancer.handle(Time(1), Event::List(ListUpdate::Complete(fleet(2, 1, 1))), &mut actions);
+    balancer.handle(Time(1), Event::Endpoints(EndpointUpdate::Snapshot(fleet(2, 1, 1))), &mut actions);
     for i in 0..4 {
-        let request = Request::new(RequestId(i), ClassId(0), Span::from_ms(800.0));
+        let request = Request::new(RequestId(i), ClassId(0), Micros::from_ms(800.0));
         balancer.handle(Time(2), Event::Request(request), &mut actions);
     }
     assert_eq!(actions.iter().filter(|a| matches!(a, Action::Send { .. })).count(), 4);
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -5,13 +5,13 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Time past the client's deadline in which a final answer still counts.
-const GRACE: Span = Span(20_000);
+const GRACE: Micros = Micros(20_000);
 
 #[derive(Debug, Clone)]
 struct Try {
     at: Time,
     zone: ZoneId,
-    cell: CellId,
+    cell: DedupGroupId,
     ended: Option<Outcome>,
 }
 
@@ -35,7 +35,7 @@
 pub struct Observer {
     pub settings: Settings,
     requests: BTreeMap<RequestId, Seen>,
-    servers: BTreeMap<ServerId, Listed>,
+    servers: BTreeMap<ServerId, Endpoint>,
     leaving: BTreeMap<ServerId, Time>,
     sends: VecDeque<(Time, ServerId, f64)>,
     warm: BTreeSet<ServerId>,
@@ -72,7 +72,7 @@
                     over: false,
                     bound: false,
                     most: self.settings.max_attempts as usize,
-                    coming: r.coming,
+                    coming: r.streaming,
                     spent: false,
                 };
                 self.requests.entry(r.id).or_insert(seen);
@@ -85,12 +85,12 @@
                     seen.over |= *closed;
                 }
             }
-            Event::Whole { request, time_left } => {
+            Event::BodyComplete { request, time_left } => {
                 if let Some(seen) = self.requests.get_mut(request) {
                     (seen.deadline, seen.coming) = (now + *time_left, false);
                 }
             }
-            Event::Spent { request } => {
+            Event::AttemptsExhausted { request } => {
                 if let Some(seen) = self.requests.get_mut(request) {
                     seen.spent = true;
                 }
@@ -100,16 +100,16 @@
                     seen.bound = true;
                 }
             }
-            Event::ClientGone { request } => {
+            Event::ClientDisconnected { request } => {
                 if let Some(seen) = self.requests.get_mut(request) {
                     seen.over = true;
                 }
             }
-            Event::List(update) => {
+            Event::Endpoints(update) => {
                 let (lines, whole) = match update {
-                    ListUpdate::Changes(lines) => (lines, false),
-                    ListUpdate::Complete(lines) | ListUpdate::Saved(lines) => (lines, true),
-                    ListUpdate::Failed => return,
+                    EndpointUpdate::Delta(lines) => (lines, false),
+                    EndpointUpdate::Snapshot(lines) | EndpointUpdate::SavedSnapshot(lines) => (lines, true),
+                    EndpointUpdate::Failed => return,
                 };
                 let named: BTreeSet<ServerId> = lines.iter().map(|l| l.server).collect();
                 if whole {
@@ -119,7 +119,7 @@
                 }
                 for line in lines {
                     let before = self.servers.insert(line.server, line.clone());
-                    if before.is_some_and(|b| b.started != line.started) {
+                    if before.is_some_and(|b| b.started_at != line.started_at) {
                         // A new process: what the old one was sent weighs nothing on it.
                         self.sends.retain(|(_, s, _)| *s != line.server);
                     }
@@ -137,25 +137,25 @@
     }
 
     /// The servers a request that may have run must stay with; `None` if it may not go out at all.
-    fn place_for(&self, seen: &Seen, now: Time) -> Option<(Option<ZoneId>, Option<CellId>)> {
+    fn place_for(&self, seen: &Seen, now: Time) -> Option<(Option<ZoneId>, Option<DedupGroupId>)> {
         let ran = seen.tries.iter().find(|t| t.ended.is_none_or(|o| !o.never_ran()));
         let Some(ran) = ran else { return Some((None, None)) };
-        match self.settings.classes[seen.class].effect {
-            Effect::Idempotent => Some((None, None)),
-            Effect::AtMostOnce => None,
-            Effect::Deduplicated { window, .. } if now.since(ran.at) > window => None,
-            Effect::Deduplicated { group: Group::All, .. } => Some((None, None)),
-            Effect::Deduplicated { group: Group::Zone, .. } => Some((Some(ran.zone), None)),
-            Effect::Deduplicated { group: Group::Cell, .. } => Some((None, Some(ran.cell))),
+        match self.settings.classes[seen.class].retry_safety {
+            RetrySafety::Idempotent => Some((None, None)),
+            RetrySafety::AtMostOnce => None,
+            RetrySafety::Deduplicated { window, .. } if now.since(ran.at) > window => None,
+            RetrySafety::Deduplicated { scope: DedupScope::All, .. } => Some((None, None)),
+            RetrySafety::Deduplicated { scope: DedupScope::Zone, .. } => Some((Some(ran.zone), None)),
+            RetrySafety::Deduplicated { scope: DedupScope::Group, .. } => Some((None, Some(ran.cell))),
         }
     }
 
     fn may_refuse(&self, seen: &Seen) -> bool {
         let ran = seen.tries.iter().any(|t| t.ended.is_none_or(|o| !o.never_ran()));
-        match self.settings.classes[seen.class].effect {
-            Effect::Idempotent => true,
-            Effect::AtMostOnce => !ran,
-            Effect::Deduplicated { group, .. } => !ran || group == Group::All,
+        match self.settings.classes[seen.class].retry_safety {
+            RetrySafety::Idempotent => true,
+            RetrySafety::AtMostOnce => !ran,
+            RetrySafety::Deduplicated { scope: group, .. } => !ran || group == DedupScope::All,
         }
     }
 
@@ -186,7 +186,7 @@
                 if seen.tries.len() >= seen.most {
                     wrong.push("sent beyond the attempts allowed");
                 }
-                if out && !self.settings.second_copies {
+                if out && !self.settings.hedging {
                     wrong.push("two attempts at once");
                 }
                 if now > seen.deadline || *timeout_at > seen.deadline {
@@ -195,23 +195,24 @@
                 match self.place_for(seen, now) {
                     None => wrong.push("may have run and must not go out again"),
                     Some((zone, cell)) => {
-                        if zone.is_some_and(|z| z != line.zone) || cell.is_some_and(|c| c != line.cell) {
+                        if zone.is_some_and(|z| z != line.zone) || cell.is_some_and(|c| c != line.dedup_group)
+                        {
                             wrong.push("repeated outside the group that drops repeats");
                         }
                     }
                 }
-                if self.leaving.get(server).is_some_and(|at| now > *at + self.settings.drain_grace) {
+                if self.leaving.get(server).is_some_and(|at| now > *at + self.settings.drain_grace_period) {
                     wrong.push("sent to a draining or gone server");
                 }
                 for text in wrong {
                     self.fault(now, format!("{request:?}: {text}"));
                 }
-                let attempt = Try { at: now, zone: line.zone, cell: line.cell, ended: None };
+                let attempt = Try { at: now, zone: line.zone, cell: line.dedup_group, ended: None };
                 self.requests.get_mut(request).expect("looked up above").tries.push(attempt);
                 self.sends.push_back((now, *server, work));
                 self.cold(now, *server);
             }
-            Action::Refuse { request, .. } => {
+            Action::Shed { request, .. } => {
                 if self.requests.get(request).is_some_and(|seen| !self.may_refuse(seen)) {
                     self.fault(now, format!("{request:?}: refused though it may have run"));
                 }
@@ -243,10 +244,10 @@
         while self.sends.front().is_some_and(|(at, ..)| *at + window < now) {
             self.sends.pop_front();
         }
-        let warmth = |line: &Listed| {
-            line.started.map_or(1.0, |s| {
-                let grown = (now.since(s).ms() / self.settings.warm_after.ms()).min(1.0);
-                self.settings.cold_share + (1.0 - self.settings.cold_share) * grown
+        let warmth = |line: &Endpoint| {
+            line.started_at.map_or(1.0, |s| {
+                let grown = (now.since(s).ms() / self.settings.slow_start_window.ms()).min(1.0);
+                self.settings.initial_capacity + (1.0 - self.settings.initial_capacity) * grown
             })
         };
         let own = warmth(&self.servers[&server]);
@@ -331,7 +332,7 @@
     }
 
     /// Moves the clock on, firing timers as they come due; returns all actions on the way.
-    pub fn wait(&mut self, span: Span) -> Vec<Action> {
+    pub fn wait(&mut self, span: Micros) -> Vec<Action> {
         let end = self.now + span;
         let mut all = Vec::new();
         while let Some(&(at, timer)) = self.timers.iter().next().filter(|(at, _)| *at <= end) {
@@ -343,8 +344,8 @@
         all
     }
 
-    pub fn list(&mut self, lines: Vec<Listed>) {
-        self.tell(Event::List(ListUpdate::Complete(lines)));
+    pub fn list(&mut self, lines: Vec<Endpoint>) {
+        self.tell(Event::Endpoints(EndpointUpdate::Snapshot(lines)));
     }
 
     /// A new request of a class; the server it was sent to, if it was.
@@ -359,7 +360,7 @@
     /// A request of class 0 that has `ms` to be sent and is then answered well; the server it was sent to.
     pub fn ask_and_answer(&mut self, ms: f64) -> Option<ServerId> {
         let (id, sent) = self.ask(0);
-        let sent = sent.or(sent_in(&self.wait(Span::from_ms(ms)), id));
+        let sent = sent.or(sent_in(&self.wait(Micros::from_ms(ms)), id));
         if sent.is_some() {
             self.answer(id, 0, Outcome::Success, ms);
         }
@@ -387,7 +388,7 @@
             request,
             attempt: AttemptNo(attempt),
             outcome,
-            elapsed: Span::from_ms(ms),
+            elapsed: Micros::from_ms(ms),
             report,
             closed: outcome == Outcome::Success,
         })
@@ -408,7 +409,7 @@
 }
 
 pub fn refused(actions: &[Action], id: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { request, .. } if *request == id))
+    actions.iter().any(|a| matches!(a, Action::Shed { request, .. } if *request == id))
 }
 
 pub fn failed(actions: &[Action], id: RequestId) -> bool {
@@ -416,16 +417,25 @@
 }
 
 /// `n` warm servers, server `i` in zone `i % zones` and cell `i % cells`.
-pub fn fleet(n: u32, zones: u32, cells: u32) -> Vec<Listed> {
+pub fn fleet(n: u32, zones: u32, cells: u32) -> Vec<Endpoint> {
     (0..n)
-        .map(|i| Listed { zone: ZoneId(i % zones), cell: CellId(i % cells), ..Listed::serving(ServerId(i)) })
+        .map(|i| Endpoint {
+            zone: ZoneId(i % zones),
+            dedup_group: DedupGroupId(i % cells),
+            ..Endpoint::serving(ServerId(i))
+        })
         .collect()
 }
 
-pub fn class(effect: Effect) -> Class {
-    Class { effect, aim: Span::from_ms(200.0), deadline: Span::from_ms(800.0), ..Class::default() }
+pub fn class(effect: RetrySafety) -> Class {
+    Class {
+        retry_safety: effect,
+        latency_objective: Micros::from_ms(200.0),
+        deadline: Micros::from_ms(800.0),
+        ..Class::default()
+    }
 }
 
-pub fn keyed(group: Group, window_ms: f64) -> Effect {
-    Effect::Deduplicated { group, window: Span::from_ms(window_ms) }
+pub fn keyed(group: DedupScope, window_ms: f64) -> RetrySafety {
+    RetrySafety::Deduplicated { scope: group, window: Micros::from_ms(window_ms) }
 }
--- a/crates/balancer/tests/drain_window.rs
+++ b/crates/balancer/tests/drain_window.rs
@@ -3,17 +3,21 @@
 use bellcroft_balancer::*;
 
 /// The longest that a process may be held up between reading its clock and writing.
-const MAX_STALL: Span = Span(150_000);
+const MAX_STALL: Micros = Micros(150_000);
 
 /// How long after its decision an attempt may begin, by the grace period.
-fn start_time(grace: Span) -> Span {
-    let class = Class { aim: Span::from_ms(8_000.0), deadline: Span::from_ms(9_000.0), ..Class::default() };
-    let settings = Settings { classes: vec![class], drain_grace: grace, ..Settings::default() };
+fn start_time(grace: Micros) -> Micros {
+    let class = Class {
+        latency_objective: Micros::from_ms(8_000.0),
+        deadline: Micros::from_ms(9_000.0),
+        ..Class::default()
+    };
+    let settings = Settings { classes: vec![class], drain_grace_period: grace, ..Settings::default() };
     let mut balancer = Balancer::new(settings, 7).expect("usable settings");
     let (now, mut actions) = (Time::from_ms(1_000.0), Vec::new());
-    let servers = vec![Listed::serving(ServerId(0)), Listed::serving(ServerId(1))];
-    balancer.handle(now, Event::List(ListUpdate::Complete(servers)), &mut actions);
-    let request = Request::new(RequestId(1), ClassId(0), Span::from_ms(9_000.0));
+    let servers = vec![Endpoint::serving(ServerId(0)), Endpoint::serving(ServerId(1))];
+    balancer.handle(now, Event::Endpoints(EndpointUpdate::Snapshot(servers)), &mut actions);
+    let request = Request::new(RequestId(1), ClassId(0), Micros::from_ms(9_000.0));
     balancer.handle(now, Event::Request(request), &mut actions);
     let sent = actions.iter().find_map(|action| match action {
         Action::Send { write_by, .. } => Some(write_by.since(now)),
@@ -25,7 +29,7 @@
 #[test]
 fn the_grace_period_covers_a_hold_up_between_the_clock_and_the_write() {
     for ms in [200.0, 250.0, 500.0, 1_000.0, 2_000.0] {
-        let grace = Span::from_ms(ms);
+        let grace = Micros::from_ms(ms);
         let latest = start_time(grace).ms() + MAX_STALL.ms();
         assert!(latest <= grace.ms(), "{ms} ms: an attempt may begin {latest} ms after its server drains");
     }
@@ -35,6 +39,6 @@
 #[test]
 fn a_short_grace_period_leaves_time_to_connect() {
     for (ms, expected) in [(160.0, 50.0), (100.0, 50.0), (40.0, 40.0)] {
-        assert_eq!(start_time(Span::from_ms(ms)).ms(), expected, "{ms} ms");
+        assert_eq!(start_time(Micros::from_ms(ms)).ms(), expected, "{ms} ms");
     }
 }
--- a/crates/balancer/tests/limits.rs
+++ b/crates/balancer/tests/limits.rs
@@ -9,23 +9,23 @@
     Settings {
         classes: vec![
             Class {
-                deadline: Span::from_ms(5000.0),
-                aim: Span::from_ms(2000.0),
-                ..class(Effect::Idempotent)
+                deadline: Micros::from_ms(5000.0),
+                latency_objective: Micros::from_ms(2000.0),
+                ..class(RetrySafety::Idempotent)
             },
             Class {
-                deadline: Span::from_ms(5000.0),
-                aim: Span::from_ms(2000.0),
-                ..class(Effect::AtMostOnce)
+                deadline: Micros::from_ms(5000.0),
+                latency_objective: Micros::from_ms(2000.0),
+                ..class(RetrySafety::AtMostOnce)
             },
             Class {
-                deadline: Span::from_ms(5000.0),
-                aim: Span::from_ms(2000.0),
-                ..class(keyed(Group::Zone, 3000.0))
+                deadline: Micros::from_ms(5000.0),
+                latency_objective: Micros::from_ms(2000.0),
+                ..class(keyed(DedupScope::Zone, 3000.0))
             },
         ],
         max_attempts: 5,
-        second_copies: true,
+        hedging: true,
         ..Settings::default()
     }
 }
@@ -54,7 +54,7 @@
         let left = self.testbed.observer.settings.classes[class].deadline;
         let request = Request {
             limits: Some(limits.clone()),
-            second_copy_after: copy.map(Span::from_ms),
+            hedge_after: copy.map(Micros::from_ms),
             ..Request::new(id, ClassId(class), left)
         };
         self.testbed.tell(Event::Request(request));
@@ -73,8 +73,8 @@
     Arc::new(limits)
 }
 
-fn budget(id: u32, ratio: f64, burst: f64) -> Budget {
-    Budget { id, ratio, burst, strict: true }
+fn budget(id: u32, ratio: f64, burst: f64) -> RetryBudget {
+    RetryBudget { id, ratio, burst, strict: true }
 }
 
 /// Bit by bit: a request that carries the standard limits is treated as one that carries none.
@@ -93,7 +93,7 @@
                 let mut actions = match random.u8(0..4) {
                     0 | 1 => {
                         let class = ClassId(random.usize(0..3));
-                        let left = Span::from_ms(f64::from(random.u32(1..3000)));
+                        let left = Micros::from_ms(f64::from(random.u32(1..3000)));
                         let request = Request::new(RequestId(step), class, left);
                         testbed.tell(Event::Request(Request { limits: limits.clone(), ..request })).to_vec()
                     }
@@ -109,7 +109,7 @@
                         ];
                         testbed.answer(id, attempt, outcomes[random.usize(0..outcomes.len())], 40.0).to_vec()
                     }
-                    _ => testbed.wait(Span::from_ms(f64::from(random.u32(1..60)))),
+                    _ => testbed.wait(Micros::from_ms(f64::from(random.u32(1..60)))),
                 };
                 for action in &actions {
                     if let Action::Send { request, .. } = action {
@@ -131,7 +131,7 @@
 fn attempts_are_bounded_by_the_route() {
     for most in 1..4 {
         let mut world = World::new(6);
-        let limits = limits(|l| l.attempts = most);
+        let limits = limits(|l| l.max_attempts = most);
         let (id, sent) = world.ask(0, &limits, None);
         assert!(sent.is_some());
         let mut attempts = 1;
@@ -188,7 +188,8 @@
 #[test]
 fn an_attempt_and_a_request_end_by_the_route_s_time_outs() {
     let mut world = World::new(3);
-    let limits = limits(|l| (l.timeout, l.attempt_timeout) = (Span::from_ms(900.0), Span::from_ms(400.0)));
+    let limits =
+        limits(|l| (l.timeout, l.attempt_timeout) = (Micros::from_ms(900.0), Micros::from_ms(400.0)));
     let begin = world.testbed.now;
     let (id, _) = world.ask(0, &limits, None);
     let times = |actions: &[Action]| {
@@ -198,15 +199,15 @@
         })
     };
     assert_eq!(times(&world.testbed.actions).map(|t| t.0), Some(400.0));
-    world.testbed.wait(Span::from_ms(400.0));
+    world.testbed.wait(Micros::from_ms(400.0));
     world.testbed.answer(id, 0, Outcome::TimedOut, 400.0);
     assert_eq!(times(&world.testbed.actions).map(|t| t.0), Some(800.0));
-    world.testbed.wait(Span::from_ms(400.0));
+    world.testbed.wait(Micros::from_ms(400.0));
     world.testbed.answer(id, 1, Outcome::TimedOut, 400.0);
     // The third attempt, if there is one, has what the request has left.
     if let Some((until, _)) = times(&world.testbed.actions) {
         assert_eq!(until, 900.0);
-        world.testbed.wait(Span::from_ms(100.0));
+        world.testbed.wait(Micros::from_ms(100.0));
         world.testbed.answer(id, 2, Outcome::TimedOut, 100.0);
     }
     assert!(refused(&world.testbed.actions, id), "it has its answer at once");
@@ -218,9 +219,9 @@
 #[test]
 fn a_first_byte_has_its_latest_time() {
     let patient = |aim_ms: f64| Class {
-        aim: Span::from_ms(aim_ms),
-        deadline: Span::from_ms(30_000.0),
-        ..class(keyed(Group::All, 3000.0))
+        latency_objective: Micros::from_ms(aim_ms),
+        deadline: Micros::from_ms(30_000.0),
+        ..class(keyed(DedupScope::All, 3000.0))
     };
     // In milliseconds after its request came.
     let write_by = |testbed: &Rig, came: Time| {
@@ -230,8 +231,8 @@
         })
     };
     let ask = |aim_ms: f64, grace_ms: f64| {
-        let (classes, drain_grace) = (vec![patient(aim_ms)], Span::from_ms(grace_ms));
-        let settings = Settings { classes, drain_grace, ..Settings::default() };
+        let (classes, drain_grace) = (vec![patient(aim_ms)], Micros::from_ms(grace_ms));
+        let settings = Settings { classes, drain_grace_period: drain_grace, ..Settings::default() };
         let mut testbed = Rig::new(settings, 3);
         testbed.list(fleet(4, 1, 1));
         let (came, (id, _)) = (testbed.now, testbed.ask(0));
@@ -249,11 +250,11 @@
     assert_eq!(write_by(&testbed, came), Some(50.0), "no connection is given less");
     let (mut testbed, id, came) = ask(20_000.0, 10_000.0);
     assert_eq!(write_by(&testbed, came), Some(5000.0));
-    testbed.wait(Span::from_ms(1000.0));
+    testbed.wait(Micros::from_ms(1000.0));
     testbed.answer(id, 0, Outcome::ConnectionReset, 1000.0);
     assert_eq!(write_by(&testbed, came), Some(3000.0), "the end of the window, and not of the quarter");
     let (mut testbed, id, came) = ask(20_000.0, 10_000.0);
-    testbed.wait(Span::from_ms(1000.0));
+    testbed.wait(Micros::from_ms(1000.0));
     testbed.answer(id, 0, Outcome::ConnectFailed, 1000.0);
     // What never ran opens no window.
     assert_eq!(write_by(&testbed, came), Some(1000.0 + 4750.0));
@@ -262,19 +263,19 @@
 #[test]
 fn what_is_held_back_too_long_is_given_up() {
     let mut world = World::new(0);
-    let (short, _) = world.ask(0, &limits(|l| l.queue_timeout = Span::from_ms(100.0)), None);
+    let (short, _) = world.ask(0, &limits(|l| l.queue_timeout = Micros::from_ms(100.0)), None);
     let (long, _) = world.ask(0, &Arc::new(Limits::STANDARD), None);
-    assert!(world.testbed.wait(Span::from_ms(90.0)).iter().all(|a| !matches!(a, Action::Refuse { .. })));
-    let actions = world.testbed.wait(Span::from_ms(30.0));
+    assert!(world.testbed.wait(Micros::from_ms(90.0)).iter().all(|a| !matches!(a, Action::Shed { .. })));
+    let actions = world.testbed.wait(Micros::from_ms(30.0));
     assert!(refused(&actions, short) && !refused(&actions, long));
 }
 
 #[test]
 fn bounds_hold_for_all_that_share_them() {
     let mut world = World::new(4);
-    let bound = Bound { id: 7, in_flight: 2, held: 1 };
-    let one = limits(|l| l.bounds.push(bound));
-    let two = limits(|l| (l.bounds, l.attempts) = (vec![bound], 2));
+    let bound = ConcurrencyLimit { id: 7, max_in_flight: 2, max_queued: 1 };
+    let one = limits(|l| l.concurrency_limits.push(bound));
+    let two = limits(|l| (l.concurrency_limits, l.max_attempts) = (vec![bound], 2));
     let (a, sent) = world.ask(0, &one, None);
     assert!(sent.is_some());
     assert!(world.ask(2, &two, None).1.is_some());
@@ -318,7 +319,7 @@
         for action in actions {
             if let Action::Send { request, .. } = action {
                 let n = attempts.entry(*request).or_insert(0);
-                out.push_back((now + Span::from_ms(150.0), *request, *n));
+                out.push_back((now + Micros::from_ms(150.0), *request, *n));
                 if *n > 0 {
                     extra.push(now);
                 }
@@ -327,7 +328,7 @@
         }
     };
     for step in 0..8000_u32 {
-        let actions = world.testbed.wait(Span::from_ms(1.0));
+        let actions = world.testbed.wait(Micros::from_ms(1.0));
         take(world.testbed.now, &actions, &mut out, &mut extra);
         if step % 5 == 0 {
             world.ask(0, limits, copy);
@@ -345,7 +346,7 @@
         }
     }
     world.testbed.assert_rules();
-    let window = Span::from_ms(1000.0);
+    let window = Micros::from_ms(1000.0);
     let within = |times: &[Time], from: Time| {
         times.iter().filter(|at| **at >= from && at.since(from) < window).count()
     };
@@ -372,10 +373,10 @@
 fn a_second_copy_goes_elsewhere_and_the_loser_is_called_back() {
     let mut world = World::new(4);
     let (id, first) = world.ask(0, &Arc::new(Limits::STANDARD), Some(50.0));
-    assert!(sent_in(&world.testbed.wait(Span::from_ms(49.0)), id).is_none(), "not yet");
-    let second = sent_in(&world.testbed.wait(Span::from_ms(2.0)), id);
+    assert!(sent_in(&world.testbed.wait(Micros::from_ms(49.0)), id).is_none(), "not yet");
+    let second = sent_in(&world.testbed.wait(Micros::from_ms(2.0)), id);
     assert!(second.is_some() && second != first, "{first:?} {second:?}");
-    assert!(sent_in(&world.testbed.wait(Span::from_ms(200.0)), id).is_none(), "one copy");
+    assert!(sent_in(&world.testbed.wait(Micros::from_ms(200.0)), id).is_none(), "one copy");
     world.testbed.answer(id, 1, Outcome::Success, 20.0);
     let cancel = Action::Cancel { request: id, attempt: AttemptNo(0) };
     assert!(world.testbed.actions.contains(&cancel), "{:?}", world.testbed.actions);
@@ -388,20 +389,20 @@
     // Unsafe to repeat; keyed within a zone goes out in that zone only.
     let mut world = World::new(6);
     let (id, _) = world.ask(1, &Arc::new(Limits::STANDARD), Some(50.0));
-    assert!(sent_in(&world.testbed.wait(Span::from_ms(300.0)), id).is_none());
+    assert!(sent_in(&world.testbed.wait(Micros::from_ms(300.0)), id).is_none());
     let (id, first) = world.ask(2, &Arc::new(Limits::STANDARD), Some(50.0));
-    let copy = sent_in(&world.testbed.wait(Span::from_ms(60.0)), id).expect("a copy");
+    let copy = sent_in(&world.testbed.wait(Micros::from_ms(60.0)), id).expect("a copy");
     assert_eq!(first.map(|s| s.0 % 2), Some(copy.0 % 2));
     // A lone server, which has the first already.
     let mut world = World::new(1);
     let (id, _) = world.ask(0, &Arc::new(Limits::STANDARD), Some(50.0));
-    assert!(sent_in(&world.testbed.wait(Span::from_ms(60.0)), id).is_none());
+    assert!(sent_in(&world.testbed.wait(Micros::from_ms(60.0)), id).is_none());
     // Its share is used up.
     let mut world = World::new(6);
-    let share = limits(|l| l.copies.push(Budget { id: 5, ratio: 0.0, burst: 1.0, strict: true }));
+    let share = limits(|l| l.hedge_budgets.push(RetryBudget { id: 5, ratio: 0.0, burst: 1.0, strict: true }));
     let copies = (0..4).filter(|_| {
         let (id, _) = world.ask(0, &share, Some(50.0));
-        let copied = sent_in(&world.testbed.wait(Span::from_ms(60.0)), id).is_some();
+        let copied = sent_in(&world.testbed.wait(Micros::from_ms(60.0)), id).is_some();
         for attempt in 0..1 + u32::from(copied) {
             world.testbed.answer(id, attempt, Outcome::Success, 60.0);
         }
@@ -411,8 +412,9 @@
     // Something is held back: a copy would be one more in the queue.
     let mut world = World::new(6);
     let (id, _) = world.ask(0, &Arc::new(Limits::STANDARD), Some(50.0));
-    let full = limits(|l| l.bounds.push(Bound { id: 9, in_flight: 1, held: 10 }));
+    let full =
+        limits(|l| l.concurrency_limits.push(ConcurrencyLimit { id: 9, max_in_flight: 1, max_queued: 10 }));
     assert!(world.ask(0, &full, None).1.is_some());
     assert!(world.ask(0, &full, None).1.is_none());
-    assert!(sent_in(&world.testbed.wait(Span::from_ms(60.0)), id).is_none());
+    assert!(sent_in(&world.testbed.wait(Micros::from_ms(60.0)), id).is_none());
 }
--- a/crates/balancer/tests/memory_does_not_grow.rs
+++ b/crates/balancer/tests/memory_does_not_grow.rs
@@ -12,17 +12,17 @@
 #[test]
 fn many_requests_leave_nothing_behind() {
     let settings =
-        Settings { classes: vec![class(Effect::Idempotent)], warm_keys: true, ..Settings::default() };
+        Settings { classes: vec![class(RetrySafety::Idempotent)], key_affinity: true, ..Settings::default() };
     let mut balancer = Balancer::new(settings, 1).unwrap();
     let mut actions = Vec::new();
     let mut now = Time::from_ms(1000.0);
     balancer.start(now, &mut actions);
-    balancer.handle(now, Event::List(ListUpdate::Complete(fleet(6, 2, 2))), &mut actions);
+    balancer.handle(now, Event::Endpoints(EndpointUpdate::Snapshot(fleet(6, 2, 2))), &mut actions);
     let mut serve = |from: u64, count: u64| {
         for id in from..from + count {
-            now = now + Span::from_ms(5.0);
+            now = now + Micros::from_ms(5.0);
             actions.clear();
-            let mut request = Request::new(RequestId(id), ClassId(0), Span::from_ms(800.0));
+            let mut request = Request::new(RequestId(id), ClassId(0), Micros::from_ms(800.0));
             request.key = Some(KeyId(id));
             balancer.handle(now, Event::Request(request), &mut actions);
             assert!(actions.iter().any(|a| matches!(a, Action::Send { .. })), "request {id} was not sent");
@@ -30,7 +30,7 @@
                 request: RequestId(id),
                 attempt: AttemptNo(0),
                 outcome: Outcome::Success,
-                elapsed: Span::from_ms(20.0),
+                elapsed: Micros::from_ms(20.0),
                 report: None,
                 closed: true,
             };
--- a/crates/balancer/tests/no_doubled_effect.rs
+++ b/crates/balancer/tests/no_doubled_effect.rs
@@ -17,47 +17,44 @@
 #[test]
 fn what_may_follow_a_first_attempt() {
     let effects = [
-        Effect::Idempotent,
-        Effect::AtMostOnce,
-        keyed(Group::All, 100.0),
-        keyed(Group::Zone, 100.0),
-        keyed(Group::Cell, 100.0),
+        RetrySafety::Idempotent,
+        RetrySafety::AtMostOnce,
+        keyed(DedupScope::All, 100.0),
+        keyed(DedupScope::Zone, 100.0),
+        keyed(DedupScope::Group, 100.0),
     ];
     for copies in [false, true] {
         for effect in effects {
             for outcome in OUTCOMES {
                 for ms in [5.0, 120.0] {
-                    let settings = Settings {
-                        classes: vec![class(effect)],
-                        second_copies: copies,
-                        ..Settings::default()
-                    };
+                    let settings =
+                        Settings { classes: vec![class(effect)], hedging: copies, ..Settings::default() };
                     let mut testbed = Rig::new(settings, 3);
                     testbed.list(fleet(12, 3, 4));
                     let (id, first) = testbed.ask(0);
                     let first = first.expect("an idle fleet takes a request").0;
-                    testbed.wait(Span::from_ms(ms));
+                    testbed.wait(Micros::from_ms(ms));
                     testbed.answer(id, 0, outcome, ms);
                     let (next, actions) = (testbed.sent_to(id), testbed.actions.clone());
                     let case = format!("{effect:?} {outcome:?} after {ms} ms, copies {copies}");
                     let proven = outcome.never_ran();
                     let inside = ms < 100.0;
                     match effect {
-                        Effect::Idempotent => assert!(next.is_some(), "{case}"),
-                        Effect::AtMostOnce => {
+                        RetrySafety::Idempotent => assert!(next.is_some(), "{case}"),
+                        RetrySafety::AtMostOnce => {
                             assert_eq!(next.is_some(), proven, "{case}");
                             assert_eq!(failed(&actions, id), !proven, "{case}");
                         }
-                        Effect::Deduplicated { group, .. } => {
+                        RetrySafety::Deduplicated { scope: group, .. } => {
                             assert_eq!(next.is_some(), proven || inside, "{case}");
                             let next = next.map_or(first, |s| s.0);
                             match group {
                                 _ if proven => {}
-                                Group::All => assert_eq!(refused(&actions, id), !inside, "{case}"),
-                                Group::Zone => assert_eq!(next % 3, first % 3, "{case}"),
-                                Group::Cell => assert_eq!(next % 4, first % 4, "{case}"),
+                                DedupScope::All => assert_eq!(refused(&actions, id), !inside, "{case}"),
+                                DedupScope::Zone => assert_eq!(next % 3, first % 3, "{case}"),
+                                DedupScope::Group => assert_eq!(next % 4, first % 4, "{case}"),
                             }
-                            if !proven && !inside && group != Group::All {
+                            if !proven && !inside && group != DedupScope::All {
                                 assert!(failed(&actions, id), "{case}");
                             }
                         }
@@ -72,8 +69,11 @@
 /// The window and the group are those of the first attempt that may have run, not of the first or the last.
 #[test]
 fn the_group_is_that_of_the_first_attempt_that_may_have_run() {
-    let settings =
-        Settings { classes: vec![class(keyed(Group::Zone, 400.0))], max_attempts: 6, ..Settings::default() };
+    let settings = Settings {
+        classes: vec![class(keyed(DedupScope::Zone, 400.0))],
+        max_attempts: 6,
+        ..Settings::default()
+    };
     for seed in 0..40 {
         let mut testbed = Rig::new(settings.clone(), seed);
         testbed.list(fleet(9, 3, 3));
@@ -90,7 +90,7 @@
 /// A proven non-run after one that may have run does not lift the ban.
 #[test]
 fn a_later_proof_does_not_clear_an_earlier_attempt() {
-    let settings = Settings { classes: vec![class(keyed(Group::Cell, 5000.0))], ..Settings::default() };
+    let settings = Settings { classes: vec![class(keyed(DedupScope::Group, 5000.0))], ..Settings::default() };
     let mut testbed = Rig::new(settings, 9);
     testbed.list(fleet(8, 2, 4));
     let (id, first) = testbed.ask(0);
--- a/crates/balancer/tests/observer_sees_breaches.rs
+++ b/crates/balancer/tests/observer_sees_breaches.rs
@@ -3,22 +3,22 @@
 use bellcroft_balancer::*;
 use common::*;
 
-fn watch(effect: Effect) -> (Observer, Time) {
+fn watch(effect: RetrySafety) -> (Observer, Time) {
     let settings = Settings {
         classes: vec![class(effect)],
-        cold_share: 0.2,
-        warm_after: Span::from_ms(10_000.0),
+        initial_capacity: 0.2,
+        slow_start_window: Micros::from_ms(10_000.0),
         ..Settings::default()
     };
     let now = Time::from_ms(1000.0);
     let mut observer = Observer::new(&settings);
-    observer.event(now, &Event::List(ListUpdate::Complete(fleet(4, 2, 4))));
-    observer.event(now, &Event::Request(Request::new(RequestId(1), ClassId(0), Span::from_ms(800.0))));
+    observer.event(now, &Event::Endpoints(EndpointUpdate::Snapshot(fleet(4, 2, 4))));
+    observer.event(now, &Event::Request(Request::new(RequestId(1), ClassId(0), Micros::from_ms(800.0))));
     (observer, now)
 }
 
 fn send(server: u32, now: Time) -> Action {
-    let timeout_at = now + Span::from_ms(1.0);
+    let timeout_at = now + Micros::from_ms(1.0);
     Action::Send {
         request: RequestId(1),
         attempt: AttemptNo(0),
@@ -33,7 +33,7 @@
         request: RequestId(1),
         attempt: AttemptNo(attempt),
         outcome,
-        elapsed: Span::from_ms(1.0),
+        elapsed: Micros::from_ms(1.0),
         report: None,
         closed: false,
     }
@@ -45,31 +45,31 @@
 
 #[test]
 fn lost_late_double_and_posthumous() {
-    let (mut o, now) = watch(Effect::Idempotent);
-    assert_eq!(o.lost(now + Span::from_ms(900.0)), 1);
-    o.action(now, &Action::Refuse { request: RequestId(1), retry_after: None });
+    let (mut o, now) = watch(RetrySafety::Idempotent);
+    assert_eq!(o.lost(now + Micros::from_ms(900.0)), 1);
+    o.action(now, &Action::Shed { request: RequestId(1), retry_after: None });
     assert!(o.faults.is_empty());
     o.action(now, &send(0, now));
     objects(&o, "sent after its end");
     o.action(now, &Action::Fail { request: RequestId(1) });
     objects(&o, "ended twice");
-    let (mut o, now) = watch(Effect::Idempotent);
-    o.action(now + Span::from_ms(850.0), &Action::Fail { request: RequestId(1) });
+    let (mut o, now) = watch(RetrySafety::Idempotent);
+    o.action(now + Micros::from_ms(850.0), &Action::Fail { request: RequestId(1) });
     objects(&o, "ended too late");
 }
 
 #[test]
 fn doubled_effects() {
-    let (mut o, now) = watch(Effect::AtMostOnce);
+    let (mut o, now) = watch(RetrySafety::AtMostOnce);
     o.action(now, &send(0, now));
     o.action(now, &send(1, now));
     objects(&o, "two attempts at once");
     o.event(now, &ended(Outcome::ServerError, 0));
     objects(&o, "must not go out again");
-    o.action(now, &Action::Refuse { request: RequestId(1), retry_after: None });
+    o.action(now, &Action::Shed { request: RequestId(1), retry_after: None });
     objects(&o, "refused though it may have run");
 
-    let (mut o, now) = watch(keyed(Group::Zone, 100.0));
+    let (mut o, now) = watch(keyed(DedupScope::Zone, 100.0));
     o.action(now, &send(0, now));
     o.event(now, &ended(Outcome::TimedOut, 0));
     o.action(now, &send(2, now));
@@ -77,7 +77,7 @@
     o.event(now, &ended(Outcome::TimedOut, 1));
     o.action(now, &send(1, now));
     objects(&o, "outside the group");
-    let late = now + Span::from_ms(150.0);
+    let late = now + Micros::from_ms(150.0);
     o.event(late, &ended(Outcome::TimedOut, 2));
     o.action(late, &send(0, late));
     objects(&o, "must not go out again");
@@ -85,12 +85,12 @@
 
 #[test]
 fn drains_and_cold_servers() {
-    let (mut o, now) = watch(Effect::Idempotent);
-    let line = Listed { status: Status::Draining, ..Listed::serving(ServerId(0)) };
-    o.event(now, &Event::List(ListUpdate::Changes(vec![line])));
-    let later = now + Span::from_ms(1100.0);
-    o.event(later, &Event::Request(Request::new(RequestId(2), ClassId(0), Span::from_ms(800.0))));
-    let timeout_at = later + Span::from_ms(1.0);
+    let (mut o, now) = watch(RetrySafety::Idempotent);
+    let line = Endpoint { status: Status::Draining, ..Endpoint::serving(ServerId(0)) };
+    o.event(now, &Event::Endpoints(EndpointUpdate::Delta(vec![line])));
+    let later = now + Micros::from_ms(1100.0);
+    o.event(later, &Event::Request(Request::new(RequestId(2), ClassId(0), Micros::from_ms(800.0))));
+    let timeout_at = later + Micros::from_ms(1.0);
     o.action(
         later,
         &Action::Send {
@@ -103,12 +103,12 @@
     );
     objects(&o, "draining or gone");
 
-    let (mut o, now) = watch(Effect::Idempotent);
-    let line = Listed { started: Some(now), ..Listed::serving(ServerId(0)) };
-    o.event(now, &Event::List(ListUpdate::Changes(vec![line])));
+    let (mut o, now) = watch(RetrySafety::Idempotent);
+    let line = Endpoint { started_at: Some(now), ..Endpoint::serving(ServerId(0)) };
+    o.event(now, &Event::Endpoints(EndpointUpdate::Delta(vec![line])));
     let later = now + settings_window();
     for (id, now) in (2..13).map(|id| (id, if id == 2 { now } else { later })) {
-        o.event(now, &Event::Request(Request::new(RequestId(id), ClassId(0), Span::from_ms(800.0))));
+        o.event(now, &Event::Request(Request::new(RequestId(id), ClassId(0), Micros::from_ms(800.0))));
         o.action(
             now,
             &Action::Send {
@@ -124,6 +124,6 @@
 }
 
 /// A whole window: the observer judges only once the fleet has been as it is for so long.
-fn settings_window() -> Span {
+fn settings_window() -> Micros {
     Settings::default().fall_after
 }
--- a/crates/balancer/tests/one_final_answer.rs
+++ b/crates/balancer/tests/one_final_answer.rs
@@ -4,7 +4,10 @@
 use common::*;
 
 fn plain() -> Settings {
-    Settings { classes: vec![class(Effect::Idempotent), class(Effect::AtMostOnce)], ..Settings::default() }
+    Settings {
+        classes: vec![class(RetrySafety::Idempotent), class(RetrySafety::AtMostOnce)],
+        ..Settings::default()
+    }
 }
 
 #[test]
@@ -13,7 +16,7 @@
     let (id, sent) = testbed.ask(0);
     assert_eq!(sent, None);
     assert!(!refused(&testbed.actions, id), "it waits for a server first");
-    let actions = testbed.wait(Span::from_ms(800.0));
+    let actions = testbed.wait(Micros::from_ms(800.0));
     assert!(refused(&actions, id));
     testbed.assert_rules();
 }
@@ -35,7 +38,7 @@
         let mut testbed = Rig::new(plain(), 1);
         testbed.list(fleet(servers, 1, 1));
         let id = RequestId(77);
-        testbed.tell(Event::Request(Request::new(id, ClassId(0), Span::ZERO)));
+        testbed.tell(Event::Request(Request::new(id, ClassId(0), Micros::ZERO)));
         assert!(refused(&testbed.actions, id));
         testbed.assert_rules();
     }
@@ -46,7 +49,7 @@
     let mut testbed = Rig::new(plain(), 1);
     testbed.list(fleet(3, 1, 1));
     let (id, _) = testbed.ask(1);
-    testbed.wait(Span::from_ms(800.0));
+    testbed.wait(Micros::from_ms(800.0));
     testbed.answer(id, 0, Outcome::TimedOut, 800.0);
     assert!(failed(&testbed.actions, id));
     testbed.assert_rules();
@@ -61,13 +64,13 @@
     for _ in 0..2 {
         assert!(testbed.answer(id, 0, Outcome::TimedOut, 20.0).is_empty());
         assert!(testbed.answer(id, 9, Outcome::Success, 20.0).is_empty());
-        assert!(testbed.tell(Event::ClientGone { request: id }).is_empty());
+        assert!(testbed.tell(Event::ClientDisconnected { request: id }).is_empty());
         assert!(testbed.answer(RequestId(999), 0, Outcome::ServerError, 1.0).is_empty());
         assert!(testbed.tell(Event::FirstByte { request: id, attempt: AttemptNo(0) }).is_empty());
-        let probe = Event::Probed {
+        let probe = Event::HealthChecked {
             server: ServerId(99),
             outcome: Outcome::Success,
-            elapsed: Span::ZERO,
+            elapsed: Micros::ZERO,
             report: Some(vec![1.0]),
         };
         assert!(testbed.tell(probe).is_empty());
@@ -82,7 +85,7 @@
     let mut testbed = Rig::new(plain(), 1);
     testbed.list(fleet(3, 1, 1));
     let (id, _) = testbed.ask(0);
-    testbed.tell(Event::ClientGone { request: id });
+    testbed.tell(Event::ClientDisconnected { request: id });
     assert!(testbed.answer(id, 0, Outcome::ServerError, 5.0).is_empty());
     testbed.assert_rules();
 }
@@ -112,9 +115,9 @@
     let (first, _) = testbed.ask(0);
     let mut all = Vec::new();
     for _ in 0..200 {
-        testbed.now = testbed.now + Span::from_ms(5.0);
+        testbed.now = testbed.now + Micros::from_ms(5.0);
         testbed.ask(0);
-        all.extend(testbed.wait(Span::ZERO));
+        all.extend(testbed.wait(Micros::ZERO));
     }
     assert!(refused(&all, first));
     assert_eq!(testbed.observer.lost(testbed.now), 0);
--- a/crates/balancer/tests/overload.rs
+++ b/crates/balancer/tests/overload.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 fn settings() -> Settings {
-    Settings { classes: vec![class(Effect::Idempotent)], max_attempts: 6, ..Settings::default() }
+    Settings { classes: vec![class(RetrySafety::Idempotent)], max_attempts: 6, ..Settings::default() }
 }
 
 /// Fills a fleet of one server until requests are held; the requests sent and those held.
@@ -13,7 +13,7 @@
     testbed.list(fleet(1, 1, 1));
     let asked: Vec<_> = (0..count)
         .map(|_| {
-            testbed.wait(Span::from_ms(1.0));
+            testbed.wait(Micros::from_ms(1.0));
             testbed.ask(0)
         })
         .collect();
@@ -38,15 +38,15 @@
     let (_, held) = fill(&mut testbed, 12);
     let start = testbed.now;
     let mut refusals = 0;
-    while testbed.now.since(start) < Span::from_ms(200.0) {
+    while testbed.now.since(start) < Micros::from_ms(200.0) {
         refusals +=
-            testbed.wait(Span::from_ms(10.0)).iter().filter(|a| matches!(a, Action::Refuse { .. })).count();
+            testbed.wait(Micros::from_ms(10.0)).iter().filter(|a| matches!(a, Action::Shed { .. })).count();
         if refusals == held.len() {
             break;
         }
     }
     assert_eq!(refusals, held.len());
-    assert!(testbed.now.since(start) < Span::from_ms(200.0), "in time for the client's next try");
+    assert!(testbed.now.since(start) < Micros::from_ms(200.0), "in time for the client's next try");
 }
 
 #[test]
@@ -62,7 +62,7 @@
             }
         };
         let now = out.len();
-        testbed.wait(Span::from_ms(ms));
+        testbed.wait(Micros::from_ms(ms));
         let mut late = None;
         for id in out {
             late = late.or(sent_in(testbed.answer(id, 0, Outcome::Success, ms), held));
@@ -70,7 +70,7 @@
         if late.is_some() {
             testbed.answer(held, 0, Outcome::Success, ms);
         }
-        testbed.wait(Span::from_ms(250.0));
+        testbed.wait(Micros::from_ms(250.0));
         now
     };
     let first = round(20.0);
@@ -95,7 +95,7 @@
     for _ in 0..200 {
         testbed.ask(0);
         let mut todo = testbed.actions.clone();
-        todo.extend(testbed.wait(Span::from_ms(5.0)));
+        todo.extend(testbed.wait(Micros::from_ms(5.0)));
         while let Some(action) = todo.pop() {
             if let Action::Send { request, .. } = action {
                 sends += 1;
@@ -105,7 +105,7 @@
             }
         }
     }
-    testbed.wait(Span::from_ms(300.0));
+    testbed.wait(Micros::from_ms(300.0));
     assert!(sends < 120, "{sends} attempts for 200 requests to full servers");
     testbed.assert_rules();
 }
@@ -120,7 +120,7 @@
         let mut sends = 0;
         for _ in 0..300 {
             let (id, sent) = testbed.ask(0);
-            testbed.wait(Span::from_ms(250.0));
+            testbed.wait(Micros::from_ms(250.0));
             if sent.is_some() {
                 sends += 1;
                 testbed.answer(id, 0, Outcome::Success, 250.0);
@@ -138,7 +138,7 @@
     let mut testbed = Rig::new(settings(), 1);
     testbed.list(fleet(9, 1, 1));
     let mut ask = |id: u64, left: f64| {
-        let request = Request::new(RequestId(1000 + id), ClassId(0), Span::from_ms(left));
+        let request = Request::new(RequestId(1000 + id), ClassId(0), Micros::from_ms(left));
         testbed.tell(Event::Request(request)).iter().any(|a| matches!(a, Action::Send { .. }))
     };
     for id in 0..10 {
@@ -159,7 +159,7 @@
         entry.0 += 1;
         let mut actions = testbed.tell(Event::Request(request.clone())).to_vec();
         out.push((Time(u64::MAX), request));
-        actions.extend(testbed.wait(Span::from_ms(2.0)));
+        actions.extend(testbed.wait(Micros::from_ms(2.0)));
         let due: Vec<_> = out.iter().filter(|o| o.0 <= testbed.now).map(|o| o.1.id).collect();
         for id in due {
             actions.extend_from_slice(testbed.answer(id, 0, Outcome::Success, 40.0));
@@ -169,7 +169,7 @@
         for action in actions {
             if let Action::Send { request, .. } = action {
                 if let Some(o) = out.iter_mut().find(|o| o.1.id == request) {
-                    o.0 = testbed.now + Span::from_ms(40.0);
+                    o.0 = testbed.now + Micros::from_ms(40.0);
                 }
             }
         }
@@ -183,12 +183,15 @@
 
 #[test]
 fn under_pressure_the_class_worth_most_is_spared_and_none_is_starved() {
-    let worth = |worth| Class { worth, ..class(Effect::Idempotent) };
-    let goal = Goal { whole: 0.7, worst_window: 0.0, worst_class: 0.3, worst_tenant: 0.0 };
-    let settings =
-        Settings { classes: vec![worth(1.0), worth(3.0), worth(10.0)], goal, ..Settings::default() };
+    let worth = |worth| Class { priority_weight: worth, ..class(RetrySafety::Idempotent) };
+    let goal = Objective { whole: 0.7, worst_window: 0.0, worst_class: 0.3, worst_tenant: 0.0 };
+    let settings = Settings {
+        classes: vec![worth(1.0), worth(3.0), worth(10.0)],
+        objective: goal,
+        ..Settings::default()
+    };
     let tally = pressed(settings, |i| {
-        Request::new(RequestId(u64::from(i)), ClassId((i % 3) as usize), Span::from_ms(800.0))
+        Request::new(RequestId(u64::from(i)), ClassId((i % 3) as usize), Micros::from_ms(800.0))
     });
     let served: Vec<f64> = tally.values().map(share).collect();
     assert!(served[2] > served[0] + 0.1 && served[2] > served[1] + 0.1, "{served:?}");
@@ -200,13 +203,13 @@
     let tenant = |fraction| Tenant { fraction, allowance_per_s: 100.0 };
     let settings = Settings {
         tenants: vec![tenant(0.3), tenant(0.7)],
-        over_share_worth: 0.1,
-        classes: vec![class(Effect::Idempotent)],
+        over_quota_weight: 0.1,
+        classes: vec![class(RetrySafety::Idempotent)],
         ..Settings::default()
     };
     let tally = pressed(settings, |i| Request {
         tenant: Some(TenantId(usize::from(i % 5 == 0))),
-        ..Request::new(RequestId(u64::from(i)), ClassId(0), Span::from_ms(800.0))
+        ..Request::new(RequestId(u64::from(i)), ClassId(0), Micros::from_ms(800.0))
     });
     let served: Vec<f64> = tally.values().map(share).collect();
     assert!(served[1] > served[0] + 0.05, "the one within its share: {served:?}");
@@ -225,14 +228,14 @@
         std::iter::from_fn(|| sent(testbed)).collect()
     };
     let answer = |testbed: &mut Rig, ids: &[RequestId], ms: f64| {
-        testbed.wait(Span::from_ms(ms));
+        testbed.wait(Micros::from_ms(ms));
         ids.iter().for_each(|&id| {
             testbed.answer(id, 0, Outcome::Success, ms);
         });
     };
     let crowd = burst(&mut testbed);
     answer(&mut testbed, &crowd, 250.0);
-    testbed.wait(Span::from_ms(250.0));
+    testbed.wait(Micros::from_ms(250.0));
     let after = burst(&mut testbed);
     assert!(after.len() * 2 < crowd.len(), "{} sent, {} before", after.len(), crowd.len());
     answer(&mut testbed, &after, 20.0);
@@ -250,12 +253,12 @@
     testbed.list(fleet(2, 1, 1));
     for _ in 0..30 {
         testbed.ask_and_answer(190.0);
-        testbed.wait(Span::from_ms(2000.0));
+        testbed.wait(Micros::from_ms(2000.0));
     }
     let mut used = BTreeSet::new();
     for _ in 0..150 {
         used.extend(testbed.ask_and_answer(5.0));
-        testbed.wait(Span::from_ms(45.0));
+        testbed.wait(Micros::from_ms(45.0));
     }
     assert_eq!(used.len(), 2, "both in use again within 8 s");
 }
