--- a/crates/balancer/tests/random_walk.rs
+++ b/crates/balancer/tests/random_walk.rs
@@ -8,22 +8,22 @@
     Settings {
         balancers: 1 + (pick % 7) as u32,
         classes: vec![
-            class(Effect::Idempotent),
-            class(Effect::AtMostOnce),
-            class(keyed(Group::All, 300.0)),
-            class(keyed(Group::Zone, 200.0)),
-            class(keyed(Group::Cell, 600.0)),
-            Class { late_worth: 0.3, stream: true, ..class(Effect::Idempotent) },
+            class(RetrySafety::Idempotent),
+            class(RetrySafety::AtMostOnce),
+            class(keyed(DedupScope::All, 300.0)),
+            class(keyed(DedupScope::Zone, 200.0)),
+            class(keyed(DedupScope::Group, 600.0)),
+            Class { late_weight: 0.3, stream: true, ..class(RetrySafety::Idempotent) },
         ],
-        second_copies: pick % 2 == 0,
+        hedging: pick % 2 == 0,
         cancel: pick % 3 != 0,
         retry_after: pick % 5 == 0,
-        probes: pick % 4 == 0,
-        report_source: if pick % 3 == 0 { ReportSource::None } else { ReportSource::Answers },
-        report_fields: vec![ReportField::InFlight, ReportField::ServiceTime],
+        health_checks: pick % 4 == 0,
+        report_source: if pick % 3 == 0 { LoadReportSource::None } else { LoadReportSource::Answers },
+        report_fields: vec![LoadReportField::InFlight, LoadReportField::ServiceTime],
         discovery: if pick % 2 == 1 { Discovery::OnRequest } else { Discovery::Pushed },
-        cold_share: 0.2,
-        warm_after: Span::from_ms(4000.0),
+        initial_capacity: 0.2,
+        slow_start_window: Micros::from_ms(4000.0),
         ..Settings::default()
     }
 }
@@ -47,7 +47,7 @@
     let mut out: Vec<Out> = Vec::new();
     let mut attempts: BTreeMap<RequestId, u32> = BTreeMap::new();
     let mut said = Vec::new();
-    testbed.tell(Event::List(ListUpdate::Saved(lines.clone())));
+    testbed.tell(Event::Endpoints(EndpointUpdate::SavedSnapshot(lines.clone())));
     for step in 0..steps {
         let mut actions = Vec::new();
         match rng.u32(0..100) {
@@ -56,9 +56,9 @@
                 let left = classes[class].deadline * (rng.f64() * 1.2).min(1.0);
                 let mut request = Request::new(RequestId(u64::from(step)), ClassId(class), left);
                 request.key = rng.bool().then(|| KeyId(rng.u64(0..5)));
-                request.cost_hint = rng.bool().then(|| Span::from_ms(rng.f64() * 80.0));
+                request.cost_hint = rng.bool().then(|| Micros::from_ms(rng.f64() * 80.0));
                 if rng.u32(0..6) == 0 && !classes[class].stream {
-                    (request.coming, request.time_left) = (true, Span::from_ms(60_000.0));
+                    (request.streaming, request.time_left) = (true, Micros::from_ms(60_000.0));
                     coming.push(request.id);
                 }
                 actions.extend_from_slice(testbed.tell(Event::Request(request)));
@@ -95,46 +95,46 @@
             }
             84 if !coming.is_empty() => {
                 let request = coming.swap_remove(rng.usize(0..coming.len()));
-                let time_left = Span::from_ms(800.0 * rng.f64());
+                let time_left = Micros::from_ms(800.0 * rng.f64());
                 for o in out.iter_mut().filter(|o| o.request == request) {
                     (o.deadline, o.sent) = (testbed.now + time_left, testbed.now);
                 }
-                actions.extend_from_slice(testbed.tell(Event::Whole { request, time_left }));
+                actions.extend_from_slice(testbed.tell(Event::BodyComplete { request, time_left }));
             }
             85 if !coming.is_empty() => {
                 let request = coming[rng.usize(0..coming.len())];
-                actions.extend_from_slice(testbed.tell(Event::Spent { request }));
+                actions.extend_from_slice(testbed.tell(Event::AttemptsExhausted { request }));
             }
             86 if rng.u32(0..4) == 0 => {
                 // New settings: a class more that begins as another one, and another number of attempts.
                 let from = rng.usize(0..classes.len());
-                let deadline = Span::from_ms(200.0 + rng.f64() * 900.0);
+                let deadline = Micros::from_ms(200.0 + rng.f64() * 900.0);
                 classes.push(Class { deadline, ..classes[from].clone() });
                 settings.classes = classes.clone();
                 settings.max_attempts = rng.u32(1..5);
                 let changed = [(classes.len() - 1, Some(from))];
-                testbed.balancer.retune(settings.clone(), &changed).expect("usable settings");
+                testbed.balancer.reconfigure(settings.clone(), &changed).expect("usable settings");
                 testbed.observer.settings = settings.clone();
             }
             84..=86 => {
                 let request = RequestId(u64::from(rng.u32(0..step + 1)));
-                actions.extend_from_slice(testbed.tell(Event::ClientGone { request }));
+                actions.extend_from_slice(testbed.tell(Event::ClientDisconnected { request }));
             }
             87..=90 => {
                 let i = rng.usize(0..lines.len());
                 lines[i].status =
                     [Status::Serving, Status::Serving, Status::Draining, Status::Gone][rng.usize(0..4)];
                 if rng.bool() && lines[i].status == Status::Serving {
-                    lines[i].started = Some(testbed.now);
+                    lines[i].started_at = Some(testbed.now);
                 }
                 let update = match rng.u32(0..6) {
-                    0 => ListUpdate::Failed,
-                    1 => ListUpdate::Complete(lines.clone()),
-                    _ => ListUpdate::Changes(vec![lines[i].clone()]),
+                    0 => EndpointUpdate::Failed,
+                    1 => EndpointUpdate::Snapshot(lines.clone()),
+                    _ => EndpointUpdate::Delta(vec![lines[i].clone()]),
                 };
-                actions.extend_from_slice(testbed.tell(Event::List(update)));
+                actions.extend_from_slice(testbed.tell(Event::Endpoints(update)));
             }
-            _ => actions = testbed.wait(Span::from_ms(rng.f64() * 15.0)),
+            _ => actions = testbed.wait(Micros::from_ms(rng.f64() * 15.0)),
         }
         // What has run past its deadline comes back as the caller's network would bring it.
         while let Some(i) = out.iter().position(|o| testbed.now >= o.deadline && !o.streaming) {
@@ -198,7 +198,7 @@
     let step = |testbed: &mut Rig, i: u32| {
         let (id, sent) = testbed.ask((i % 3) as usize);
         let mut actions = testbed.actions.clone();
-        actions.extend(testbed.wait(Span::from_ms(3.0)));
+        actions.extend(testbed.wait(Micros::from_ms(3.0)));
         if sent.is_some() && i % 4 != 0 {
             actions.extend_from_slice(testbed.answer(id, 0, Outcome::Success, 3.0));
         }
--- a/crates/balancer/tests/settings.rs
+++ b/crates/balancer/tests/settings.rs
@@ -12,22 +12,29 @@
     };
     assert_eq!(with(|s| s.classes.clear()), Some(SettingsError::NoClasses));
     assert_eq!(with(|s| s.max_attempts = 0), Some(SettingsError::NoAttempts));
-    assert_eq!(with(|s| s.classes[0].aim = Span::ZERO), Some(SettingsError::ZeroSpan { setting: "aim" }));
     assert_eq!(
-        with(|s| s.classes[0].deadline = Span::ZERO),
-        Some(SettingsError::ZeroSpan { setting: "deadline" })
+        with(|s| s.classes[0].latency_objective = Micros::ZERO),
+        Some(SettingsError::ZeroDuration { setting: "aim" })
     );
-    let keyed =
-        with(|s| s.classes[0].effect = Effect::Deduplicated { group: Group::All, window: Span::ZERO });
-    assert_eq!(keyed, Some(SettingsError::ZeroSpan { setting: "dedup window" }));
+    assert_eq!(
+        with(|s| s.classes[0].deadline = Micros::ZERO),
+        Some(SettingsError::ZeroDuration { setting: "deadline" })
+    );
+    let keyed = with(|s| {
+        s.classes[0].retry_safety = RetrySafety::Deduplicated { scope: DedupScope::All, window: Micros::ZERO }
+    });
+    assert_eq!(keyed, Some(SettingsError::ZeroDuration { setting: "dedup window" }));
     for fraction in [1.5, -0.1, f64::NAN] {
         let tenants = vec![Tenant { fraction, ..Tenant::default() }];
         let wrong = Balancer::new(Settings { tenants, ..Settings::default() }, 1).err();
         assert!(matches!(wrong, Some(SettingsError::BadShare { .. })), "{fraction}");
     }
-    assert!(matches!(with(|s| s.cold_share = f64::NAN), Some(SettingsError::BadNumber { .. })));
+    assert!(matches!(with(|s| s.initial_capacity = f64::NAN), Some(SettingsError::BadNumber { .. })));
     assert!(matches!(with(|s| s.overload_factor = -1.0), Some(SettingsError::BadNumber { .. })));
-    assert!(matches!(with(|s| s.classes[0].worth = f64::INFINITY), Some(SettingsError::BadNumber { .. })));
+    assert!(matches!(
+        with(|s| s.classes[0].priority_weight = f64::INFINITY),
+        Some(SettingsError::BadNumber { .. })
+    ));
     assert_eq!(with(|_| ()), None);
 }
 
@@ -35,10 +42,10 @@
 #[test]
 fn the_plain_path_needs_nothing_but_a_class() {
     let settings = Settings {
-        classes: vec![class(Effect::Idempotent)],
+        classes: vec![class(RetrySafety::Idempotent)],
         cancel: false,
-        goal: Goal { whole: 0.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 },
-        warm_after: Span::ZERO,
+        objective: Objective { whole: 0.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 },
+        slow_start_window: Micros::ZERO,
         ..Settings::default()
     };
     let mut testbed = Rig::new(settings, 1);
@@ -46,7 +53,7 @@
     for _ in 0..100 {
         let (id, sent) = testbed.ask(0);
         assert!(sent.is_some());
-        testbed.wait(Span::from_ms(10.0));
+        testbed.wait(Micros::from_ms(10.0));
         testbed.answer_with(id, 0, Outcome::Success, 10.0, Some(vec![f64::NAN, -1.0, 1e300]));
     }
     testbed.assert_rules();
@@ -56,7 +63,7 @@
 fn a_request_of_an_unknown_class_is_refused() {
     let mut testbed = Rig::new(Settings::default(), 1);
     testbed.list(fleet(3, 1, 1));
-    let request = Request::new(RequestId(5), ClassId(9), Span::from_ms(100.0));
+    let request = Request::new(RequestId(5), ClassId(9), Micros::from_ms(100.0));
     let mut actions = Vec::new();
     testbed.balancer.handle(testbed.now, Event::Request(request), &mut actions);
     assert!(refused(&actions, RequestId(5)));
--- a/crates/balancer/tests/slow_start/mod.rs
+++ b/crates/balancer/tests/slow_start/mod.rs
@@ -7,17 +7,17 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// One way between a balancer and a server.
-const NETWORK_DELAY: Span = Span(400);
+const NETWORK_DELAY: Micros = Micros(400);
 /// A handshake costs a server this share of a mean request; each attempt is taken to need one.
 const HANDSHAKE_WORK: f64 = 0.1;
 /// How long a server that restarts is down.
-const DOWN_TIME: Span = Span(600_000);
+const DOWN_TIME: Micros = Micros(600_000);
 /// A rolling restart takes one server each time.
-const ROLLING_STEP: Span = Span(500_000);
+const ROLLING_STEP: Micros = Micros(500_000);
 /// A refused client comes back once, after this.
-const CLIENT_BACKOFF: Span = Span(30_000);
+const CLIENT_BACKOFF: Micros = Micros(30_000);
 /// Time before the first start, in which the balancers meet their servers.
-const RUN_IN: Span = Span(3_000_000);
+const RUN_IN: Micros = Micros(3_000_000);
 
 /// What happens to the fleet in a scenario.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -56,7 +56,7 @@
     pub settings: Settings,
     pub servers: u32,
     pub cores: u32,
-    pub mean_work: Span,
+    pub mean_work: Micros,
     /// Requests a core that a server keeps waiting; it turns away what comes beyond.
     pub queue_per_core: u32,
     /// Load outside the burst as a share of the warm fleet's capacity.
@@ -64,7 +64,7 @@
     /// The load is this multiple of itself while servers start.
     pub burst: f64,
     /// Lists come to the balancers within this of each other.
-    pub list_spread: Span,
+    pub list_spread: Micros,
     pub kind: StartKind,
     pub seed: u64,
 }
@@ -74,22 +74,27 @@
     pub fn draw(processes: u32, kind: StartKind, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed((seed * 7 + kind as u64) << 10 | u64::from(processes));
         let range = |rng: &mut fastrand::Rng, low: f64, high: f64| low + (high - low) * rng.f64();
-        let mean_work = Span::from_ms(range(&mut rng, 20.0, 100.0));
+        let mean_work = Micros::from_ms(range(&mut rng, 20.0, 100.0));
         let aim = mean_work * range(&mut rng, 4.0, 8.0);
-        let class = |effect| Class { effect, aim, deadline: aim * 2.0, ..Class::default() };
+        let class = |effect| Class {
+            retry_safety: effect,
+            latency_objective: aim,
+            deadline: aim * 2.0,
+            ..Class::default()
+        };
         let reports = rng.bool();
         let settings = Settings {
             balancers: processes,
-            classes: vec![class(Effect::Idempotent), class(Effect::AtMostOnce)],
-            cold_share: range(&mut rng, 0.12, 0.5),
-            warm_after: Span::from_ms(range(&mut rng, 3500.0, 12_000.0)),
+            classes: vec![class(RetrySafety::Idempotent), class(RetrySafety::AtMostOnce)],
+            initial_capacity: range(&mut rng, 0.12, 0.5),
+            slow_start_window: Micros::from_ms(range(&mut rng, 3500.0, 12_000.0)),
             overload_factor: [2.5, 3.0, 4.0][rng.usize(0..3)],
-            fall_after: Span::from_ms([1500.0, 2000.0, 3000.0][rng.usize(0..3)]),
+            fall_after: Micros::from_ms([1500.0, 2000.0, 3000.0][rng.usize(0..3)]),
             max_attempts: 6,
-            second_copies: true,
-            report_source: if reports { ReportSource::Answers } else { ReportSource::None },
-            report_fields: if reports { vec![ReportField::Queue] } else { Vec::new() },
-            period: Span::from_ms(5.0),
+            hedging: true,
+            report_source: if reports { LoadReportSource::Answers } else { LoadReportSource::None },
+            report_fields: if reports { vec![LoadReportField::Queue] } else { Vec::new() },
+            event_interval: Micros::from_ms(5.0),
             ..Settings::default()
         };
         Scenario {
@@ -100,7 +105,11 @@
             queue_per_core: rng.u32(4..24),
             utilisation: range(&mut rng, 0.25, 1.0),
             burst: 1.5,
-            list_spread: if rng.bool() { Span::ZERO } else { Span::from_ms(range(&mut rng, 50.0, 2000.0)) },
+            list_spread: if rng.bool() {
+                Micros::ZERO
+            } else {
+                Micros::from_ms(range(&mut rng, 50.0, 2000.0))
+            },
             kind,
             seed,
         }
@@ -111,14 +120,18 @@
     pub fn draw_small_servers(processes: u32, kind: StartKind, seed: u64) -> Self {
         let drawn = Scenario::draw(processes, kind, seed);
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mean_work = Span::from_ms(60.0 + 40.0 * rng.f64());
+        let mean_work = Micros::from_ms(60.0 + 40.0 * rng.f64());
         let aim = mean_work * (4.0 + 4.0 * rng.f64());
-        let classes = drawn.settings.classes.iter().map(|c| Class { aim, deadline: aim * 2.0, ..c.clone() });
+        let classes = drawn.settings.classes.iter().map(|c| Class {
+            latency_objective: aim,
+            deadline: aim * 2.0,
+            ..c.clone()
+        });
         let settings = Settings {
             classes: classes.collect(),
-            cold_share: 0.1 + 0.05 * rng.f64(),
+            initial_capacity: 0.1 + 0.05 * rng.f64(),
             overload_factor: 2.5,
-            fall_after: Span::from_ms(1500.0),
+            fall_after: Micros::from_ms(1500.0),
             ..drawn.settings
         };
         let servers = if rng.bool() { processes + rng.u32(1..10) } else { drawn.servers };
@@ -131,13 +144,13 @@
     }
 
     /// The part of its capacity that a server of this age has.
-    fn warmth(&self, age: Span) -> f64 {
-        let grown = (age.ms() / self.settings.warm_after.ms()).min(1.0);
-        self.settings.cold_share + (1.0 - self.settings.cold_share) * grown
+    fn warmth(&self, age: Micros) -> f64 {
+        let grown = (age.ms() / self.settings.slow_start_window.ms()).min(1.0);
+        self.settings.initial_capacity + (1.0 - self.settings.initial_capacity) * grown
     }
 
     /// The work above which a cold server of this age falls.
-    fn bound(&self, age: Span) -> f64 {
+    fn bound(&self, age: Micros) -> f64 {
         let window = self.settings.fall_after.ms() / 1e3;
         let allowed = self.settings.overload_factor * self.warmth(age) * self.capacity_per_s() * window;
         allowed + 2.0 * allowed.sqrt() + 2.0
@@ -153,7 +166,7 @@
     /// Requests of mean work in that window.
     pub work: f64,
     /// Age of the server at the end of that window.
-    pub age: Span,
+    pub age: Micros,
 }
 
 /// What came out of a scenario.
@@ -172,7 +185,7 @@
 }
 
 struct Server {
-    listed: Listed,
+    listed: Endpoint,
     /// Runs since then; `None` while it is down.
     up_since: Option<Time>,
     /// The list says that it has started; else it is old and warm.
@@ -184,7 +197,7 @@
 }
 
 impl Server {
-    fn new(listed: Listed, cores: u32) -> Self {
+    fn new(listed: Endpoint, cores: u32) -> Self {
         Server {
             listed,
             up_since: Some(Time(0)),
@@ -201,8 +214,8 @@
         self.waiting.clear();
         self.window.clear();
         (self.up_since, self.cold, self.peak) =
-            (Some(now), true, Some(Peak { ratio: 0.0, work: 0.0, age: Span::ZERO }));
-        self.listed.started = Some(now);
+            (Some(now), true, Some(Peak { ratio: 0.0, work: 0.0, age: Micros::ZERO }));
+        self.listed.started_at = Some(now);
         self.listed.status = Status::Serving;
     }
 }
@@ -219,7 +232,7 @@
 
 #[derive(Clone, Copy)]
 struct Try {
-    work: Span,
+    work: Micros,
     class: usize,
     again: bool,
 }
@@ -239,11 +252,11 @@
     NextRequest(usize),
     ClientReturns(usize, Try),
     Timer(usize, u32, TimerId),
-    Reaches { attempt: Attempt, server: usize, sent: Time, work: Span },
+    Reaches { attempt: Attempt, server: usize, sent: Time, work: Micros },
     Ends { attempt: Attempt, outcome: Outcome, sent: Time, report: Option<f64> },
     Down(usize),
     Up(usize),
-    Listed(usize, Listed),
+    Listed(usize, Endpoint),
     Begin,
     RestartProcesses,
 }
@@ -279,7 +292,7 @@
             scenario,
         };
         for id in 0..fleet.scenario.servers {
-            let listed = Listed { zone: ZoneId(id % 3), ..Listed::serving(ServerId(id)) };
+            let listed = Endpoint { zone: ZoneId(id % 3), ..Endpoint::serving(ServerId(id)) };
             fleet.servers.push(Server::new(listed, fleet.scenario.cores));
         }
         for index in 0..fleet.scenario.settings.balancers as usize {
@@ -290,8 +303,8 @@
             fleet.at(gap, Happening::NextRequest(index));
         }
         fleet.at(RUN_IN, Happening::Begin);
-        let rolling = Span(ROLLING_STEP.0 * u64::from(fleet.scenario.servers));
-        let end = start + RUN_IN + DOWN_TIME + rolling + fleet.scenario.settings.warm_after;
+        let rolling = Micros(ROLLING_STEP.0 * u64::from(fleet.scenario.servers));
+        let end = start + RUN_IN + DOWN_TIME + rolling + fleet.scenario.settings.slow_start_window;
         while let Some(((at, _), happening)) = fleet.queue.pop_first() {
             if at > end {
                 break;
@@ -305,7 +318,7 @@
         fleet.observed
     }
 
-    fn at(&mut self, after: Span, happening: Happening) {
+    fn at(&mut self, after: Micros, happening: Happening) {
         self.sequence += 1;
         self.queue.insert((self.now + after, self.sequence), happening);
     }
@@ -321,27 +334,27 @@
     fn start_process(&mut self, index: usize) {
         let now = self.now;
         let running = |s: &&Server| s.up_since.is_some();
-        let lines: Vec<Listed> = self.servers.iter().filter(running).map(|s| s.listed.clone()).collect();
+        let lines: Vec<Endpoint> = self.servers.iter().filter(running).map(|s| s.listed.clone()).collect();
         let process = &mut self.processes[index];
-        process.told = lines.iter().map(|l| (l.server, l.started)).collect();
+        process.told = lines.iter().map(|l| (l.server, l.started_at)).collect();
         let mut actions = Vec::new();
         process.balancer.start(now, &mut actions);
-        process.balancer.handle(now, Event::List(ListUpdate::Complete(lines)), &mut actions);
+        process.balancer.handle(now, Event::Endpoints(EndpointUpdate::Snapshot(lines)), &mut actions);
         self.act(index, actions);
     }
 
     /// The time to the next request of a process.
-    fn gap(&mut self, index: usize) -> Span {
+    fn gap(&mut self, index: usize) -> Micros {
         let all: f64 = (0..self.scenario.settings.balancers as usize).map(traffic_share).sum();
         let fleet =
             f64::from(self.scenario.servers) * self.scenario.capacity_per_s() * self.scenario.utilisation;
         let burst = if self.now < self.burst_until { self.scenario.burst } else { 1.0 };
         let rate = fleet * burst * traffic_share(index) / all;
-        Span::from_ms(-(1.0 - self.rng.f64()).ln() * 1e3 / rate)
+        Micros::from_ms(-(1.0 - self.rng.f64()).ln() * 1e3 / rate)
     }
 
     /// Skewed as real work is: one request in ten is four times the mean of the others.
-    fn draw_work(&mut self) -> Span {
+    fn draw_work(&mut self) -> Micros {
         let heavy = if self.rng.u32(0..10) == 0 { 4.0 } else { 1.0 };
         self.scenario.mean_work * (heavy * (0.4 + 1.2 * self.rng.f64()) / 1.3)
     }
@@ -367,8 +380,8 @@
             Happening::Down(server) => self.servers[server].up_since = None,
             Happening::Up(server) => self.come_up(server),
             Happening::Listed(index, listed) => {
-                self.processes[index].told.insert(listed.server, listed.started);
-                self.tell(index, Event::List(ListUpdate::Changes(vec![listed])));
+                self.processes[index].told.insert(listed.server, listed.started_at);
+                self.tell(index, Event::Endpoints(EndpointUpdate::Delta(vec![listed])));
             }
             Happening::Begin => self.begin(),
             Happening::RestartProcesses => self.restart_processes(),
@@ -408,9 +421,9 @@
                 Action::Cancel { request, attempt } => {
                     let attempt: Attempt = (index, generation, request, attempt.0);
                     let (outcome, sent, report) = (Outcome::Cancelled, self.now, None);
-                    self.at(Span::ZERO, Happening::Ends { attempt, outcome, sent, report });
+                    self.at(Micros::ZERO, Happening::Ends { attempt, outcome, sent, report });
                 }
-                Action::Refuse { request, .. } => {
+                Action::Shed { request, .. } => {
                     let refused = self.processes[index].tries.remove(&request).expect("it was taken");
                     if !refused.again && self.rng.u32(0..10) < 7 {
                         let again = Try { again: true, ..refused };
@@ -422,7 +435,7 @@
         }
     }
 
-    fn reach(&mut self, attempt: Attempt, server: usize, sent: Time, work: Span) {
+    fn reach(&mut self, attempt: Attempt, server: usize, sent: Time, work: Micros) {
         let now = self.now;
         let Some(up_since) = self.servers[server].up_since else {
             let (outcome, report) = (Outcome::ConnectFailed, None);
@@ -448,20 +461,20 @@
             s.waiting.push_back(begins);
         }
         self.at(
-            Span(done.0 + NETWORK_DELAY.0),
+            Micros(done.0 + NETWORK_DELAY.0),
             Happening::Ends { attempt, outcome: Outcome::Success, sent, report },
         );
     }
 
     /// Counts what reaches a cold server, and holds the window that ends now against the bound.
-    fn count(&mut self, attempt: Attempt, server: usize, work: Span) {
+    fn count(&mut self, attempt: Attempt, server: usize, work: Micros) {
         let (now, fall_after) = (self.now, self.scenario.settings.fall_after);
         let s = &mut self.servers[server];
         let Some(age) = s.up_since.filter(|_| s.cold).map(|since| now.since(since)) else { return };
-        if age >= self.scenario.settings.warm_after {
+        if age >= self.scenario.settings.slow_start_window {
             return;
         }
-        let told = self.processes[attempt.0].told.get(&s.listed.server) == Some(&s.listed.started);
+        let told = self.processes[attempt.0].told.get(&s.listed.server) == Some(&s.listed.started_at);
         let work = work.ms() / self.scenario.mean_work.ms() + HANDSHAKE_WORK;
         s.window.push_back(Arrival { at: now, work, told });
         while s.window.front().is_some_and(|a| a.at + fall_after <= now) {
@@ -484,7 +497,7 @@
         }
         let closed = outcome == Outcome::Success && process.tries.remove(&request).is_some();
         self.observed.served += u32::from(closed);
-        let report = report.filter(|_| self.scenario.settings.report_source == ReportSource::Answers);
+        let report = report.filter(|_| self.scenario.settings.report_source == LoadReportSource::Answers);
         let (attempt, elapsed) = (AttemptNo(number), self.now.since(sent));
         let report = report.map(|queue| vec![queue]);
         self.tell(index, Event::Outcome { request, attempt, outcome, elapsed, report, closed });
@@ -496,7 +509,7 @@
         let spread = self.scenario.list_spread.0;
         for index in 0..self.processes.len() {
             let listed = self.servers[server].listed.clone();
-            let delay = Span(if spread == 0 { 0 } else { self.rng.u64(0..spread) });
+            let delay = Micros(if spread == 0 { 0 } else { self.rng.u64(0..spread) });
             self.at(delay, Happening::Listed(index, listed));
         }
     }
@@ -519,19 +532,19 @@
         };
         for server in 0..restarting as usize {
             let step =
-                if kind == StartKind::RollingRestart { ROLLING_STEP * server as f64 } else { Span::ZERO };
+                if kind == StartKind::RollingRestart { ROLLING_STEP * server as f64 } else { Micros::ZERO };
             self.at(step, Happening::Down(server));
-            self.at(Span(step.0 + DOWN_TIME.0), Happening::Up(server));
+            self.at(Micros(step.0 + DOWN_TIME.0), Happening::Up(server));
         }
         if kind == StartKind::ServersJoin {
             for id in all..all + all / 3 {
-                let listed = Listed { zone: ZoneId(id % 3), ..Listed::serving(ServerId(id)) };
+                let listed = Endpoint { zone: ZoneId(id % 3), ..Endpoint::serving(ServerId(id)) };
                 self.servers.push(Server { up_since: None, ..Server::new(listed, self.scenario.cores) });
                 self.at(DOWN_TIME, Happening::Up(id as usize));
             }
         }
         if matches!(kind, StartKind::EveryServerAndProcess | StartKind::OneServerEveryProcess) {
-            self.at(Span(DOWN_TIME.0 + 1), Happening::RestartProcesses);
+            self.at(Micros(DOWN_TIME.0 + 1), Happening::RestartProcesses);
         }
     }
 
--- a/crates/balancer/tests/unit/records.rs
+++ b/crates/balancer/tests/unit/records.rs
@@ -2,14 +2,14 @@
 
 use super::*;
 
-fn listed(id: u32, status: Status) -> Listed {
-    let (zone, kind) = (ZoneId(id), KindId(id));
-    Listed { status, zone, kind, ..Listed::serving(ServerId(id)) }
+fn listed(id: u32, status: Status) -> Endpoint {
+    let (zone, kind) = (ZoneId(id), MachineTypeId(id));
+    Endpoint { status, zone, machine_type: kind, ..Endpoint::serving(ServerId(id)) }
 }
 
 fn request(balancer: &mut Balancer, now: Time, id: u64) -> ServerId {
     let mut out = Vec::new();
-    let mut request = Request::new(RequestId(id), ClassId(0), Span::from_ms(900.0));
+    let mut request = Request::new(RequestId(id), ClassId(0), Micros::from_ms(900.0));
     request.key = Some(KeyId(id));
     balancer.handle(now, Event::Request(request), &mut out);
     let sent =
@@ -18,28 +18,28 @@
 }
 
 fn answer(balancer: &mut Balancer, now: Time, id: u64, closed: bool) {
-    let (request, attempt, elapsed) = (RequestId(id), AttemptNo(0), Span::from_ms(20.0));
+    let (request, attempt, elapsed) = (RequestId(id), AttemptNo(0), Micros::from_ms(20.0));
     let outcome = Outcome::Success;
     let event = Event::Outcome { request, attempt, outcome, elapsed, report: None, closed };
     balancer.handle(now, event, &mut Vec::new());
 }
 
-fn changes(balancer: &mut Balancer, now: Time, lines: Vec<Listed>) {
-    balancer.handle(now, Event::List(ListUpdate::Changes(lines)), &mut Vec::new());
+fn changes(balancer: &mut Balancer, now: Time, lines: Vec<Endpoint>) {
+    balancer.handle(now, Event::Endpoints(EndpointUpdate::Delta(lines)), &mut Vec::new());
 }
 
 /// A fleet whose servers are replaced for good, under ever new ids, zones and kinds.
 #[test]
 fn servers_that_have_left_leave_nothing_behind() {
-    let settings = Settings { warm_keys: true, ..Settings::default() };
+    let settings = Settings { key_affinity: true, ..Settings::default() };
     let mut balancer = Balancer::new(settings, 1).expect("settings");
     let mut now = Time::from_ms(1000.0);
     changes(&mut balancer, now, vec![listed(0, Status::Serving)]);
     for id in 1..5000 {
-        now = now + Span::from_ms(1000.0);
+        now = now + Micros::from_ms(1000.0);
         changes(&mut balancer, now, vec![listed(id, Status::Serving), listed(id - 1, Status::Gone)]);
         assert_eq!(request(&mut balancer, now, id.into()), ServerId(id));
-        answer(&mut balancer, now + Span::from_ms(20.0), id.into(), true);
+        answer(&mut balancer, now + Micros::from_ms(20.0), id.into(), true);
     }
     let sizes = [
         balancer.servers.len(),
@@ -63,7 +63,7 @@
     assert_eq!(request(&mut balancer, now, 7), ServerId(0));
     changes(&mut balancer, now, vec![listed(0, Status::Gone)]);
     for id in 1..30 {
-        now = now + Span::from_ms(5000.0);
+        now = now + Micros::from_ms(5000.0);
         changes(&mut balancer, now, vec![listed(id, Status::Serving), listed(id - 1, Status::Gone)]);
     }
     assert!(balancer.index.contains_key(&ServerId(0)), "an attempt is out there");
--- a/crates/experiments/src/members/mod.rs
+++ b/crates/experiments/src/members/mod.rs
@@ -2,7 +2,7 @@
 
 mod plain;
 
-use bellcroft_balancer::{Span, Time};
+use bellcroft_balancer::{Micros, Time};
 use bellcroft_membership::{Change, Config, Membership, State};
 use bellcroft_simulation::fleet::{address, Link, Net, Peer, ORIGIN};
 use plain::Plain;
@@ -74,8 +74,8 @@
     pub off: Option<f64>,
 }
 
-fn seconds(s: f64) -> Span {
-    Span::from_ms(s * 1e3)
+fn seconds(s: f64) -> Micros {
+    Micros::from_ms(s * 1e3)
 }
 
 fn quantile(sorted: &[f64], q: f64) -> f64 {
--- a/crates/experiments/src/members/plain.rs
+++ b/crates/experiments/src/members/plain.rs
@@ -1,6 +1,6 @@
 //! The registry's SWIM as a peer of the played fleet: the baseline that the project's own is measured beside.
 
-use bellcroft_balancer::{Span, Time};
+use bellcroft_balancer::{Micros, Time};
 use bellcroft_membership::{Change, Id, Output, State};
 use bellcroft_simulation::fleet::{address, Peer};
 use foca::{Config, Foca, Identity, Notification, PostcardCodec, Runtime, Timer};
@@ -100,7 +100,7 @@
             out.push(Output::Send(address(to.0 as usize), bytes));
         }
         for (after, timer) in wanted.timers {
-            let at = now + Span(after.as_micros() as u64);
+            let at = now + Micros(after.as_micros() as u64);
             self.next += 1;
             self.timers.insert((at, self.next));
             self.waiting.insert(self.next, timer);
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -1,7 +1,7 @@
 //! What an instance's membership goes by.
 
 use crate::member::{Duty, Id};
-use bellcroft_balancer::Span;
+use bellcroft_balancer::Micros;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -24,7 +24,7 @@
     /// What it is for.
     pub duty: Duty,
     /// From one probe to the next.
-    pub probe_every: Span,
+    pub probe_every: Micros,
     /// A probe has failed that was not answered for so many periods.
     pub patience: f64,
     /// A suspicion lasts at least this many periods for each power of ten of the fleet's size ...
@@ -34,9 +34,9 @@
     /// Members that are held at most; where there are more, they are a sample.
     pub view_most: usize,
     /// Numbers of the fleet's size are believed for this long after they were last seen.
-    pub believe_for: Span,
+    pub believe_for: Micros,
     /// Members that are not in the roster are forgotten this long after their end.
-    pub forget_after: Span,
+    pub forget_after: Micros,
     /// Local health awareness; only comparisons switch it off.
     pub self_doubt: bool,
 }
@@ -53,24 +53,24 @@
             seeds: Vec::new(),
             site: 0,
             duty: Duty::Agent,
-            probe_every: Span::from_ms(500.0),
+            probe_every: Micros::from_ms(500.0),
             patience: 3.0,
             suspicion_least: 3.0,
             suspicion_most: 3.0,
             view_most: 256,
-            believe_for: Span::from_ms(60_000.0),
-            forget_after: Span::from_ms(600_000.0),
+            believe_for: Micros::from_ms(60_000.0),
+            forget_after: Micros::from_ms(600_000.0),
             self_doubt: true,
         }
     }
 
     /// Without an event for this long, the process itself has stood still.
-    pub fn stall(&self) -> Span {
-        (self.probe_every * 2.0).max(Span::from_ms(1000.0))
+    pub fn stall(&self) -> Micros {
+        (self.probe_every * 2.0).max(Micros::from_ms(1000.0))
     }
 
     /// Whoever has just started, or woken, speaks of nobody for this long.
-    pub fn settle(&self) -> Span {
+    pub fn settle(&self) -> Micros {
         self.probe_every * 6.0
     }
 
@@ -82,7 +82,7 @@
     /// An upper bound of the time after which a member that is killed is dead to all others of a fleet of this size, with
     /// healthy links: it is probed within two periods, the probe fails, the suspicion runs out, and the word is passed
     /// on, which takes a period a doubling.
-    pub fn detects_within(&self, members: u32) -> Span {
+    pub fn detects_within(&self, members: u32) -> Micros {
         let size = f64::from(members.max(2));
         let suspicion = self.suspicion_least * size.log10().max(1.0) * self.suspicion_most;
         self.probe_every * (2.0 + self.patience + suspicion + size.log2().ceil() + self.patience)
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -7,13 +7,13 @@
 //! instance holds a little of what very many have seen.
 
 use crate::member::Id;
-use bellcroft_balancer::{FleetState, Span, Time};
+use bellcroft_balancer::{FleetState, Micros, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
 /// From one hand-over to the next while answers are slow or requests are refused, and while all is well.
-const EVERY_BUSY: Span = Span(50_000);
-const EVERY_QUIET: Span = Span(200_000);
+const EVERY_BUSY: Micros = Micros(50_000);
+const EVERY_QUIET: Micros = Micros(200_000);
 /// Answers that take this share of their aims are slow.
 const BUSY: f64 = 0.35;
 /// And this share of requests is more than a stray refusal.
@@ -85,11 +85,11 @@
         let [weight, square, took, full, asked, refused] = self.0;
         let share = |sum: f64, of: f64| if of > 0.0 { sum / of } else { 0.0 };
         FleetState {
-            sure: share(weight * weight, square).min(SURE_MOST),
-            took: share(took, weight),
-            full: share(full, weight),
+            weight: share(weight * weight, square).min(SURE_MOST),
+            latency: share(took, weight),
+            load: share(full, weight),
             // A refusal may come when its request has faded a little.
-            refused: share(refused, asked).min(1.0),
+            shed: share(refused, asked).min(1.0),
         }
     }
 }
@@ -237,13 +237,13 @@
         let mut all = Sums::default();
         self.sites.values().for_each(|sums| all.add(sums));
         let state = all.state();
-        FleetState { sure: state.sure * self.left(now), ..state }
+        FleetState { weight: state.weight * self.left(now), ..state }
     }
 
     /// How long to wait for the next hand-over.
-    pub fn every(&self, now: Time) -> Span {
+    pub fn every(&self, now: Time) -> Micros {
         let state = self.fleet(now);
-        if state.took.max(state.full) > BUSY || state.refused > REFUSED {
+        if state.latency.max(state.load) > BUSY || state.shed > REFUSED {
             EVERY_BUSY
         } else {
             EVERY_QUIET
--- a/crates/membership/src/hearsay.rs
+++ b/crates/membership/src/hearsay.rs
@@ -1,16 +1,16 @@
 //! How far a peer's word on a server goes.
 
 use crate::member::Id;
-use bellcroft_balancer::{Span, Time};
+use bellcroft_balancer::{Micros, Time};
 use std::collections::BTreeMap;
 
 /// Hints that one peer may give at once, and the time that one more takes.
 const HINTS_MOST: f64 = 8.0;
-const HINT_EVERY: Span = Span(500_000);
+const HINT_EVERY: Micros = Micros(500_000);
 /// A witness's word stands this long, and a server that is doubted by hearsay counts as such as long.
-const STANDS_FOR: Span = Span(5_000_000);
+const STANDS_FOR: Micros = Micros(5_000_000);
 /// One that a lone word makes doubted, this long.
-const LONE_FOR: Span = Span(2_000_000);
+const LONE_FOR: Micros = Micros(2_000_000);
 /// Peers that must say the same of a server: what one alone finds silent may be that one's link.
 const WITNESSES: usize = 2;
 /// Witnesses of one server that are remembered.
@@ -56,7 +56,7 @@
     /// Weighs a hint of a peer; so many servers are listed.
     pub fn hear(&mut self, now: Time, from: Id, payload: &[u8], servers: usize) -> Heard {
         if self.peers.len() >= PEERS_MOST {
-            let full = Span((HINT_EVERY.0 as f64 * HINTS_MOST) as u64);
+            let full = Micros((HINT_EVERY.0 as f64 * HINTS_MOST) as u64);
             self.peers.retain(|_, (at, _)| now.since(*at) < full);
         }
         let (at, left) = self.peers.entry(from).or_insert((now, HINTS_MOST));
--- a/crates/membership/src/rumours.rs
+++ b/crates/membership/src/rumours.rs
@@ -2,7 +2,7 @@
 
 use crate::member::{Id, State, Version};
 use crate::wire::Rumour;
-use bellcroft_balancer::{Span, Time};
+use bellcroft_balancer::{Micros, Time};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 /// Rumours that wait at most; the one that was passed on most gives way.
@@ -10,7 +10,7 @@
 /// Members whose last word is remembered, so that nothing that has run its course is taken for news.
 const PASSED_MOST: usize = 16_384;
 /// An accusation is not passed on longer: behind a healed cut it would meet those who know better.
-const ACCUSED_FOR: Span = Span(10_000_000);
+const ACCUSED_FOR: Micros = Micros(10_000_000);
 
 #[derive(Debug, Clone)]
 struct Waiting {
--- a/crates/membership/src/stance.rs
+++ b/crates/membership/src/stance.rs
@@ -1,6 +1,6 @@
 //! What an instance holds of itself among the others, and by how many it reckons.
 
-use bellcroft_balancer::{Span, Time};
+use bellcroft_balancer::{Micros, Time};
 use std::collections::VecDeque;
 
 /// What an instance states of itself, by how many of the known roster are there. `docs/design/membership.md` has the
@@ -64,14 +64,14 @@
 #[derive(Debug, Clone)]
 pub struct Fleet {
     roster: u32,
-    keep: Span,
+    keep: Micros,
     /// Sizes that may be the largest yet, falling, each with when it was last seen.
     sizes: VecDeque<(Time, u32)>,
 }
 
 impl Fleet {
     /// By a roster of this many.
-    pub fn new(roster: u32, keep: Span) -> Self {
+    pub fn new(roster: u32, keep: Micros) -> Self {
         Fleet { roster: roster.max(1), keep, sizes: VecDeque::new() }
     }
 
--- a/crates/membership/src/suspicion.rs
+++ b/crates/membership/src/suspicion.rs
@@ -1,7 +1,7 @@
 //! How long an accused member has to refute.
 
 use crate::member::Id;
-use bellcroft_balancer::{Span, Time};
+use bellcroft_balancer::{Micros, Time};
 
 /// Others that may shorten a suspicion.
 const SHARED_MOST: usize = 3;
@@ -11,8 +11,8 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Suspicion {
     start: Time,
-    least: Span,
-    most: Span,
+    least: Micros,
+    most: Micros,
     by: Vec<Id>,
     /// A probe from here has failed since.
     pub failed: bool,
@@ -23,7 +23,7 @@
 }
 
 impl Suspicion {
-    pub fn new(start: Time, (least, most): (Span, Span), by: Id) -> Self {
+    pub fn new(start: Time, (least, most): (Micros, Micros), by: Id) -> Self {
         Suspicion {
             start,
             least,
@@ -48,13 +48,13 @@
     pub fn until(&self) -> Time {
         let others = (self.by.len() - 1) as f64;
         let part = (others + 1.0).ln() / (SHARED_MOST as f64 + 1.0).ln();
-        let span = Span(self.most.0 - ((self.most.0 - self.least.0) as f64 * part.min(1.0)) as u64);
+        let span = Micros(self.most.0 - ((self.most.0 - self.least.0) as f64 * part.min(1.0)) as u64);
         // Who calls it dead has waited already.
         self.start + if self.called_dead { self.least.min(span) } else { span }
     }
 
     /// The process stood still for so long: nobody could be heard meanwhile.
-    pub fn put_off(&mut self, slept: Span) {
+    pub fn put_off(&mut self, slept: Micros) {
         self.start = self.start + slept;
     }
 }
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -10,7 +10,7 @@
 use crate::view::View;
 use crate::wire::{decode, encode, Datagram, Kind, Rumour, HINT_MOST};
 use crate::words::{defend, weigh, Worth};
-use bellcroft_balancer::{FleetState, Span, Time};
+use bellcroft_balancer::{FleetState, Micros, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
@@ -72,7 +72,7 @@
         roster: u32,
     },
     /// This process had stood still for so long, and has just noticed.
-    Woke(Span),
+    Woke(Micros),
     /// Another process speaks under this one's number.
     Twin,
     /// A number is spoken for from an address that is not its own.
@@ -613,7 +613,7 @@
     }
 
     /// How long a suspicion lasts at least and at most.
-    fn suspicion_times(&self) -> (Span, Span) {
+    fn suspicion_times(&self) -> (Micros, Micros) {
         let scale = self.view.size().0.max(2.0).log10().max(1.0);
         let least = self.config.probe_every * (self.config.suspicion_least * scale * self.factor());
         (least, least * self.config.suspicion_most)
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Fleets for the tests, and an observer that knows what membership promises and nothing of how it is kept.
 #![allow(dead_code)]
 
-use bellcroft_balancer::{Span, Time};
+use bellcroft_balancer::{Micros, Time};
 use bellcroft_membership::{Change, Config, Id, Membership, Stance, State};
 use bellcroft_simulation::fleet::{address, Link, Net};
 use std::collections::BTreeMap;
@@ -11,8 +11,8 @@
 /// Wall clocks begin here, in Unix milliseconds.
 pub const WALL: u64 = 1_790_000_000_000;
 
-pub fn seconds(s: f64) -> Span {
-    Span::from_ms(s * 1e3)
+pub fn seconds(s: f64) -> Micros {
+    Micros::from_ms(s * 1e3)
 }
 
 pub fn config(number: usize, members: usize) -> Config {
@@ -49,7 +49,7 @@
 }
 
 /// The bound that the operators' page states for a killed member, on healthy links.
-pub fn bound(members: usize) -> Span {
+pub fn bound(members: usize) -> Micros {
     config(0, members).detects_within(members as u32)
 }
 
--- a/crates/membership/tests/digest.rs
+++ b/crates/membership/tests/digest.rs
@@ -2,12 +2,12 @@
 
 mod common;
 
-use bellcroft_balancer::{FleetState, Span, Time};
+use bellcroft_balancer::{FleetState, Micros, Time};
 use bellcroft_membership::{Digest, Id, Membership, Part, Taken, DATAGRAM_MOST, SITES_MOST};
 use bellcroft_simulation::fleet::Link;
 use common::*;
 
-const PERIOD: Span = Span(50_000);
+const PERIOD: Micros = Micros(50_000);
 
 /// What is done to a half on its way from one to another: how often it comes.
 type Way<'a> = &'a dyn Fn(&mut fastrand::Rng, usize) -> usize;
@@ -47,22 +47,22 @@
 }
 
 fn off(states: &[FleetState], truth: f64) -> f64 {
-    states.iter().map(|state| (state.took - truth).abs()).fold(0.0, f64::max)
+    states.iter().map(|state| (state.latency - truth).abs()).fold(0.0, f64::max)
 }
 
 #[test]
 fn what_many_have_seen_comes_to_each_and_counts_for_as_many() {
     for seed in 0..20 {
         let states = share(200, 12, seed, halves, &|_, _| 1);
-        let mean = states.iter().map(|state| state.took).sum::<f64>() / 200.0;
+        let mean = states.iter().map(|state| state.latency).sum::<f64>() / 200.0;
         assert!((mean - 0.4).abs() < 0.01, "seed {seed}: {mean}");
         assert!(off(&states, 0.4) < 0.3, "seed {seed}: {}", off(&states, 0.4));
-        let spread = states.iter().map(|state| (state.took - 0.4).powi(2)).sum::<f64>() / 200.0;
+        let spread = states.iter().map(|state| (state.latency - 0.4).powi(2)).sum::<f64>() / 200.0;
         // One that goes by its own answers alone is 0.2 off.
         assert!(spread.sqrt() < 0.1, "seed {seed}: {}", spread.sqrt());
-        assert!(states.iter().all(|state| (state.full - state.took / 2.0).abs() < 1e-3));
+        assert!(states.iter().all(|state| (state.load - state.latency / 2.0).abs() < 1e-3));
         // Its own answers alone would count for four.
-        let sure = states.iter().map(|state| state.sure).sum::<f64>() / 200.0;
+        let sure = states.iter().map(|state| state.weight).sum::<f64>() / 200.0;
         assert!(sure > 8.0, "seed {seed}: {sure}");
     }
 }
@@ -70,17 +70,17 @@
 #[test]
 fn one_that_sees_nothing_itself_knows_what_the_others_see() {
     let states = share(50, 12, 7, |number| (number > 0).then_some(0.5), &|_, _| 1);
-    assert!((states[0].took - 0.5).abs() < 1e-3 && states[0].sure > 4.0, "{:?}", states[0]);
+    assert!((states[0].latency - 0.5).abs() < 1e-3 && states[0].weight > 4.0, "{:?}", states[0]);
 }
 
 #[test]
 fn lost_and_doubled_halves_leave_the_mean_as_it_is() {
     for seed in 0..20 {
         let lossy = share(200, 12, seed, halves, &|rng, _| usize::from(rng.f64() > 0.3));
-        let mean = lossy.iter().map(|state| state.took).sum::<f64>() / 200.0;
+        let mean = lossy.iter().map(|state| state.latency).sum::<f64>() / 200.0;
         assert!((mean - 0.4).abs() < 0.015, "seed {seed}: {mean}");
         let doubled = share(200, 12, seed, halves, &|rng, _| 1 + usize::from(rng.f64() < 0.2));
-        let mean = doubled.iter().map(|state| state.took).sum::<f64>() / 200.0;
+        let mean = doubled.iter().map(|state| state.latency).sum::<f64>() / 200.0;
         assert!((mean - 0.4).abs() < 0.015, "seed {seed}: {mean}");
     }
 }
@@ -112,7 +112,8 @@
         }
     }
     assert!(cut > 50 && refused > 5 * cut, "{cut} cut, {refused} refused");
-    let mean = digests[1..].iter().map(|digest| digest.fleet(now).took).sum::<f64>() / (members - 1) as f64;
+    let mean =
+        digests[1..].iter().map(|digest| digest.fleet(now).latency).sum::<f64>() / (members - 1) as f64;
     let bound = 0.2 + 2.0 / (2.0 + members as f64 / 5.0);
     assert!((0.2..bound).contains(&mean), "{mean} of at most {bound}");
 }
@@ -138,7 +139,7 @@
     let mut digest = Digest::default();
     assert_eq!(digest.take(now, Id(1), &[well; SITES_MOST + 1], 10), Taken::Refused);
     assert_eq!(digest.take(now, Id(2), &[well], 10), Taken::Whole);
-    assert_eq!(digest.sites().map(|(site, seen)| (site, seen.took)).collect::<Vec<_>>(), [(1, 0.5)]);
+    assert_eq!(digest.sites().map(|(site, seen)| (site, seen.latency)).collect::<Vec<_>>(), [(1, 0.5)]);
     assert_eq!(Part::read(&[0xff; 40]), None);
 }
 
@@ -152,14 +153,14 @@
             digest.refused(now, 3);
         }
         digest.saw(now, 4, 0.3, 0.1);
-        now = now + Span(10_000);
+        now = now + Micros(10_000);
     }
     let state = digest.fleet(now);
-    assert!((state.refused - 0.25).abs() < 0.05 && (state.took - 0.3).abs() < 1e-6, "{state:?}");
+    assert!((state.shed - 0.25).abs() < 0.05 && (state.latency - 0.3).abs() < 1e-6, "{state:?}");
     let sites: Vec<u8> = digest.sites().map(|(site, _)| site).collect();
     assert_eq!(sites, [3, 4]);
     let later = now + seconds(2.0);
-    assert!(digest.fleet(later).sure < 0.01, "{:?}", digest.fleet(later));
+    assert!(digest.fleet(later).weight < 0.01, "{:?}", digest.fleet(later));
     assert!(!digest.holds(later) && digest.give(later).is_empty());
 }
 
@@ -189,7 +190,7 @@
     assert!(off(&states(&fleet), 0.7) < 0.2, "{}", off(&states(&fleet), 0.7));
     fleet.link = Box::new(|from, to| Link { cut: from % 2 != to % 2, ..Link::default() });
     see(&mut fleet, 100, [0.5, 0.9]);
-    let apart: Vec<f64> = states(&fleet).iter().map(|state| state.took).collect();
+    let apart: Vec<f64> = states(&fleet).iter().map(|state| state.latency).collect();
     assert!(apart.iter().enumerate().all(|(n, took)| (took - [0.5, 0.9][n % 2]).abs() < 0.01), "{apart:?}");
     // As soon as they hear each other again.
     fleet.link = Box::new(|_, _| Link::default());
--- a/crates/membership/tests/faults.rs
+++ b/crates/membership/tests/faults.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use bellcroft_balancer::Span;
+use bellcroft_balancer::Micros;
 use bellcroft_membership::{Change, Membership, Stance, State};
 use bellcroft_simulation::fleet::{address, Link, Net};
 use common::*;
@@ -161,7 +161,7 @@
 #[test]
 fn slow_lossy_doubling_reordering_and_spoiling_links_make_nobody_dead() {
     let base = Link::default();
-    let ms = Span::from_ms;
+    let ms = Micros::from_ms;
     let cases = [
         ("300 ms one way", Link { delay: ms(300.0), ..base }),
         ("20% lost", Link { loss: 0.2, ..base }),
--- a/crates/membership/tests/lies.rs
+++ b/crates/membership/tests/lies.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use bellcroft_balancer::{Span, Time};
+use bellcroft_balancer::{Micros, Time};
 use bellcroft_membership::{
     decode, encode, Change, Datagram, Duty, Heard, Hearsay, Id, Kind, Membership, Output, Rumour, Stance,
     State, Version, DATAGRAM_MOST, HINT_MOST,
@@ -394,7 +394,7 @@
                     fleet.link = Box::new(move |_, _| Link {
                         loss,
                         doubled,
-                        jitter: Span::from_ms(150.0),
+                        jitter: Micros::from_ms(150.0),
                         ..Link::default()
                     });
                 }
--- a/crates/operator-config/src/routes.rs
+++ b/crates/operator-config/src/routes.rs
@@ -2,7 +2,7 @@
 
 use crate::agent::name;
 use crate::reader::Section;
-use bellcroft_balancer::{RetryOn, Span};
+use bellcroft_balancer::{Micros, RetryOn};
 use bellcroft_routes::{BudgetSpec, Lines, Match, PoolSpec, RouteSpec, SecondCopy, Spec, Within};
 use std::time::Duration;
 
@@ -24,12 +24,12 @@
     Lines { section: section.begins(), keys: section.lines() }
 }
 
-fn time(section: &Section, key: &'static str) -> Option<Span> {
+fn time(section: &Section, key: &'static str) -> Option<Micros> {
     section.time(key, LEAST..=MOST).map(span)
 }
 
-fn span(time: Duration) -> Span {
-    Span(time.as_micros() as u64)
+fn span(time: Duration) -> Micros {
+    Micros(time.as_micros() as u64)
 }
 
 fn count(section: &Section, key: &'static str) -> Option<u32> {
--- a/crates/operator-config/tests/routes.rs
+++ b/crates/operator-config/tests/routes.rs
@@ -1,6 +1,6 @@
 //! Routes as operators write them: bad files, each with its message, and files out of a grammar.
 
-use bellcroft_balancer::{Class, Effect, Group, Settings, Span, Tenant};
+use bellcroft_balancer::{Class, DedupScope, Micros, RetrySafety, Settings, Tenant};
 use bellcroft_operator_config::AgentFile;
 use bellcroft_routes::{check, Platform, Table};
 use std::path::PathBuf;
@@ -11,23 +11,23 @@
 /// Deadlines of 10 s, repeats dropped for 7.5 s everywhere (`log`) or for 1 s in a zone (`assign`).
 fn settings() -> Settings {
     let class = |effect| Class {
-        effect,
-        aim: Span::from_ms(500.0),
-        deadline: Span::from_ms(10_000.0),
+        retry_safety: effect,
+        latency_objective: Micros::from_ms(500.0),
+        deadline: Micros::from_ms(10_000.0),
         ..Class::default()
     };
-    let keyed = |group, ms| Effect::Deduplicated { group, window: Span::from_ms(ms) };
+    let keyed = |group, ms| RetrySafety::Deduplicated { scope: group, window: Micros::from_ms(ms) };
     Settings {
         classes: vec![
-            class(Effect::Idempotent),
-            class(keyed(Group::All, 7500.0)),
-            class(keyed(Group::Zone, 1000.0)),
-            class(Effect::AtMostOnce),
+            class(RetrySafety::Idempotent),
+            class(keyed(DedupScope::All, 7500.0)),
+            class(keyed(DedupScope::Zone, 1000.0)),
+            class(RetrySafety::AtMostOnce),
         ],
         tenants: vec![Tenant { fraction: 1.0, allowance_per_s: 100.0 }],
         max_attempts: 4,
-        second_copies: true,
-        drain_grace: Span::from_ms(2000.0),
+        hedging: true,
+        drain_grace_period: Micros::from_ms(2000.0),
         ..Settings::default()
     }
 }
@@ -44,7 +44,7 @@
     let settings = settings();
     let classes = CLASSES.map(str::to_owned);
     let tenants = ["acme".to_owned()];
-    let connect_timeout = Span::from_ms(2500.0);
+    let connect_timeout = Micros::from_ms(2500.0);
     let platform = Platform { settings: &settings, classes: &classes, tenants: &tenants, connect_timeout };
     match read {
         Err(faults) => {
@@ -103,24 +103,24 @@
 #[test]
 fn the_example_files_are_good() {
     let class = |effect, deadline| Class {
-        effect,
-        aim: Span::from_ms(250.0),
-        deadline: Span::from_ms(deadline),
+        retry_safety: effect,
+        latency_objective: Micros::from_ms(250.0),
+        deadline: Micros::from_ms(deadline),
         ..Class::default()
     };
-    let keyed = |group, ms| Effect::Deduplicated { group, window: Span::from_ms(ms) };
+    let keyed = |group, ms| RetrySafety::Deduplicated { scope: group, window: Micros::from_ms(ms) };
     let settings = Settings {
         classes: vec![
-            class(Effect::Idempotent, 1500.0),
-            class(keyed(Group::All, 7500.0), 2500.0),
-            class(keyed(Group::Zone, 1000.0), 2500.0),
+            class(RetrySafety::Idempotent, 1500.0),
+            class(keyed(DedupScope::All, 7500.0), 2500.0),
+            class(keyed(DedupScope::Zone, 1000.0), 2500.0),
         ],
-        second_copies: true,
-        drain_grace: Span::from_ms(2000.0),
+        hedging: true,
+        drain_grace_period: Micros::from_ms(2000.0),
         ..Settings::default()
     };
     let classes = ["read-schedule", "log-session", "assign-session"].map(str::to_owned);
-    let connect_timeout = Span::from_ms(500.0);
+    let connect_timeout = Micros::from_ms(500.0);
     let platform = Platform { settings: &settings, classes: &classes, tenants: &[], connect_timeout };
     for name in ["routes-budgets.toml", "routes-copies.toml"] {
         let file = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../deploy/examples").join(name);
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -192,19 +192,19 @@
     pub tenants: Vec<String>,
     /// The zones, by [`ZoneId`].
     pub zones: Vec<String>,
-    /// The kinds of machine, by [`KindId`].
+    /// The kinds of machine, by [`MachineTypeId`].
     pub kinds: Vec<String>,
     /// The fields of a load report, in the order of [`Settings::report_fields`].
     pub report_fields: Vec<String>,
     /// A connection that is still not made after this has failed.
-    pub connect_timeout: Span,
+    pub connect_timeout: Micros,
     /// A server closes a connection that has stood idle for this long.
-    pub keepalive: Span,
+    pub keepalive: Micros,
 }
 
 /// The names and limits that only real sockets need.
 pub fn names(params: &Params) -> Names {
-    let span = |ms: Option<f64>, other: f64| Span::from_ms(ms.unwrap_or(other));
+    let span = |ms: Option<f64>, other: f64| Micros::from_ms(ms.unwrap_or(other));
     Names {
         classes: params.classes.iter().map(|c| c.name.clone()).collect(),
         tenants: params.parties.iter().map(|p| p.name.clone()).collect(),
@@ -219,17 +219,17 @@
 /// The settings in the library's terms; what is absent keeps the library's default.
 pub fn settings(params: &Params) -> Settings {
     let standard = Settings::default();
-    let span = |ms: Option<f64>, other: Span| ms.map_or(other, Span::from_ms);
+    let span = |ms: Option<f64>, other: Micros| ms.map_or(other, Micros::from_ms);
     let rules = &params.rules;
     let classes = params.classes.iter().map(class).collect();
     let field = |name: &String| match name.as_str() {
-        "inflight" => ReportField::InFlight,
-        "queue" => ReportField::Queue,
-        "util" => ReportField::Utilisation,
-        "latency_ms" => ReportField::ServiceTime,
-        "qps" => ReportField::Rate,
-        "eps" => ReportField::Errors,
-        _ => ReportField::Other,
+        "inflight" => LoadReportField::InFlight,
+        "queue" => LoadReportField::Queue,
+        "util" => LoadReportField::Utilisation,
+        "latency_ms" => LoadReportField::ServiceTime,
+        "qps" => LoadReportField::Rate,
+        "eps" => LoadReportField::Errors,
+        _ => LoadReportField::Other,
     };
     Settings {
         balancers: params.balancers.unwrap_or(standard.balancers),
@@ -240,15 +240,15 @@
             .iter()
             .map(|p| Tenant { fraction: p.fraction, allowance_per_s: p.allowance_per_s })
             .collect(),
-        over_share_worth: params.over_share_worth.unwrap_or(standard.over_share_worth),
-        worth_by_work: params.worth_by == Some(WorthBy::Work),
-        goal: Goal {
+        over_quota_weight: params.over_share_worth.unwrap_or(standard.over_quota_weight),
+        weight_by_work: params.worth_by == Some(WorthBy::Work),
+        objective: Objective {
             whole: params.goal.whole,
             worst_window: params.goal.worst_window,
             worst_class: params.goal.worst_class,
             worst_tenant: params.goal.worst_tenant,
         },
-        prices: Prices {
+        costs: Costs {
             cross_zone: params.penalties.cross_zone,
             probe: params.penalties.probe,
             handshake: params.penalties.handshake,
@@ -260,11 +260,11 @@
             Some(DiscoveryWord::OnRequest) => Discovery::OnRequest,
             Some(DiscoveryWord::Pushed) | None => Discovery::Pushed,
         },
-        ask_within: span(rules.ask_within_ms, standard.ask_within),
+        poll_interval: span(rules.ask_within_ms, standard.poll_interval),
         report_source: match params.feedback.source {
-            Source::Piggyback => ReportSource::Answers,
-            Source::Pull => ReportSource::Probes,
-            Source::Silent => ReportSource::None,
+            Source::Piggyback => LoadReportSource::Answers,
+            Source::Pull => LoadReportSource::Probes,
+            Source::Silent => LoadReportSource::None,
         },
         report_fields: params.feedback.fields.iter().map(field).collect(),
         weights: match params.weights {
@@ -272,44 +272,44 @@
             Some(WeightsWord::Live) => Weights::Live,
             Some(WeightsWord::Silent) | None => Weights::None,
         },
-        warm_keys: params.family_info.warm_keys,
+        key_affinity: params.family_info.warm_keys,
         max_attempts: params.limits.max_attempts.unwrap_or(standard.max_attempts),
-        second_copies: params.limits.second_copies,
+        hedging: params.limits.second_copies,
         cancel: params.limits.cancel,
-        probes: params.limits.probes,
+        health_checks: params.limits.probes,
         peers: params.limits.peers,
         retry_after: params.limits.retry_after,
-        max_retry_after: Span::from_ms(params.limits.max_retry_after_ms),
-        drain_grace: span(rules.stop_sending_within_ms, standard.drain_grace),
-        cold_share: rules.cold_share.unwrap_or(standard.cold_share),
-        warm_after: span(rules.warm_after_ms, standard.warm_after),
+        max_retry_after: Micros::from_ms(params.limits.max_retry_after_ms),
+        drain_grace_period: span(rules.stop_sending_within_ms, standard.drain_grace_period),
+        initial_capacity: rules.cold_share.unwrap_or(standard.initial_capacity),
+        slow_start_window: span(rules.warm_after_ms, standard.slow_start_window),
         overload_factor: rules.overload_factor.unwrap_or(standard.overload_factor),
         fall_after: span(rules.fall_ms, standard.fall_after),
-        period: span(params.period_ms, standard.period),
+        event_interval: span(params.period_ms, standard.event_interval),
     }
 }
 
 fn class(params: &ClassParams) -> Class {
     let effect = match params.effect {
-        EffectWord::Idempotent => Effect::Idempotent,
-        EffectWord::AtMostOnce => Effect::AtMostOnce,
-        EffectWord::Deduplicated => Effect::Deduplicated {
-            group: match params.group {
-                Some(GroupWord::All) => Group::All,
-                Some(GroupWord::Zone) => Group::Zone,
+        EffectWord::Idempotent => RetrySafety::Idempotent,
+        EffectWord::AtMostOnce => RetrySafety::AtMostOnce,
+        EffectWord::Deduplicated => RetrySafety::Deduplicated {
+            scope: match params.group {
+                Some(GroupWord::All) => DedupScope::All,
+                Some(GroupWord::Zone) => DedupScope::Zone,
                 // Without a stated group the narrowest one is the safe reading.
-                Some(GroupWord::Cell) | None => Group::Cell,
+                Some(GroupWord::Cell) | None => DedupScope::Group,
             },
-            window: Span::from_ms(params.dedup_window_ms),
+            window: Micros::from_ms(params.dedup_window_ms),
         },
     };
     Class {
-        effect,
-        aim: Span::from_ms(params.aim_ms),
-        aim_stretch: params.aim_stretch.unwrap_or(0.0),
-        deadline: Span::from_ms(params.deadline_ms),
-        worth: params.points,
-        late_worth: params.late_worth,
+        retry_safety: effect,
+        latency_objective: Micros::from_ms(params.aim_ms),
+        objective_stretch: params.aim_stretch.unwrap_or(0.0),
+        deadline: Micros::from_ms(params.deadline_ms),
+        priority_weight: params.points,
+        late_weight: params.late_worth,
         stream: params.stream,
     }
 }
--- a/crates/routes/src/check.rs
+++ b/crates/routes/src/check.rs
@@ -4,7 +4,7 @@
 use crate::spec::{Match, PoolSpec, RouteSpec, SecondCopy, Spec, Within};
 use crate::table::Index;
 use crate::words;
-use bellcroft_balancer::{Class, Effect, Group, Settings, Span};
+use bellcroft_balancer::{Class, DedupScope, Micros, RetrySafety, Settings};
 use std::collections::HashMap;
 use std::fmt;
 
@@ -18,7 +18,7 @@
     /// The tenants' names.
     pub tenants: &'a [String],
     /// How long a connection may take.
-    pub connect_timeout: Span,
+    pub connect_timeout: Micros,
 }
 
 /// What cannot stand in a file, and why.
@@ -166,7 +166,7 @@
     }
 
     /// Times that take no effect are mistakes: whoever wrote them thinks that they do.
-    fn times(&mut self, route: &RouteSpec, longest: Span) {
+    fn times(&mut self, route: &RouteSpec, longest: Micros) {
         let timeout = route.timeout.unwrap_or(longest);
         let attempt = route.attempt_timeout.unwrap_or(timeout);
         let platform = self.platform.connect_timeout;
@@ -191,7 +191,7 @@
         }
     }
 
-    fn copies(&mut self, route: &RouteSpec, longest: Span) {
+    fn copies(&mut self, route: &RouteSpec, longest: Micros) {
         let key = "second_copy_after";
         if route.second_copy_after == SecondCopy::Never {
             if route.second_copies_most.is_some() {
@@ -200,7 +200,7 @@
             }
             return;
         }
-        if !self.platform.settings.second_copies {
+        if !self.platform.settings.hedging {
             let why = "the platform allows no second copies; second_copy_after = \"never\"".to_owned();
             self.route(route, key, why);
         }
@@ -226,9 +226,9 @@
         let class = &self.platform.settings.classes[class];
         let repeats = route.retry_on.is_none_or(|on| on.after_it_may_have_run());
         let copies = route.second_copy_after != SecondCopy::Never;
-        match class.effect {
-            Effect::Idempotent => {}
-            Effect::AtMostOnce => {
+        match class.retry_safety {
+            RetrySafety::Idempotent => {}
+            RetrySafety::AtMostOnce => {
                 if self.checks.effect && copies {
                     let why =
                         format!("{name} must not run twice (rule 2), and a second copy would; \"never\"");
@@ -243,7 +243,7 @@
                     self.route(route, "retry_on", why);
                 }
             }
-            Effect::Deduplicated { group, window } => {
+            RetrySafety::Deduplicated { scope: group, window } => {
                 if self.checks.group && (repeats || copies) {
                     self.group(route, name, group);
                 }
@@ -254,13 +254,13 @@
         }
     }
 
-    fn group(&mut self, route: &RouteSpec, name: &str, group: Group) {
+    fn group(&mut self, route: &RouteSpec, name: &str, group: DedupScope) {
         let reach = match (group, route.retry_within) {
-            (Group::Zone, Some(Within::Any)) => "servers of one zone",
-            (Group::Cell, Some(Within::Any | Within::Zone)) => "servers of one cell",
+            (DedupScope::Zone, Some(Within::Any)) => "servers of one zone",
+            (DedupScope::Group, Some(Within::Any | Within::Zone)) => "servers of one cell",
             _ => return,
         };
-        let right = if group == Group::Zone { "retry_within = \"zone\"" } else { "no retry_within" };
+        let right = if group == DedupScope::Zone { "retry_within = \"zone\"" } else { "no retry_within" };
         let why = format!(
             "only {reach} drop repeats of {name} together (rule 2), and a repeat may go further; {right}, or \
              retry_on = [\"connect\", \"rejected\"] without second copies"
@@ -268,7 +268,7 @@
         self.route(route, "retry_within", why);
     }
 
-    fn window(&mut self, route: &RouteSpec, name: &str, class: &Class, window: Span) {
+    fn window(&mut self, route: &RouteSpec, name: &str, class: &Class, window: Micros) {
         let life = Life::of(route, class, self.platform);
         let Some(arrives) = life.last_repeat().filter(|arrives| *arrives > window) else { return };
         let n = life.steps.len();
@@ -284,8 +284,8 @@
         if let Some(attempt) = life.attempt_within(window) {
             right.push(format!("attempt_timeout = {}", words(attempt)));
         }
-        let deadline = round_down(window.less(WAY).less(STEP));
-        if deadline > Span::ZERO {
+        let deadline = round_down(window.saturating_sub(WAY).saturating_sub(STEP));
+        if deadline > Micros::ZERO {
             right.push(format!("timeout = {}", words(deadline)));
         }
         let held = match life.queue {
@@ -306,9 +306,9 @@
     /// A server may be told to drain right after it was chosen: what leaves when its connection is up must still come
     /// within the grace.
     fn drain(&mut self, route: &RouteSpec) {
-        let grace = self.platform.settings.drain_grace;
+        let grace = self.platform.settings.drain_grace_period;
         let Some(connect) = route.connect_timeout else { return };
-        let arrives = Span(connect.0 + STEP.0 + WAY.0);
+        let arrives = Micros(connect.0 + STEP.0 + WAY.0);
         if arrives > grace {
             let why = format!(
                 "connect_timeout = {} lets a request reach a server {} after that began to drain, and the grace is {} \
@@ -316,7 +316,7 @@
                 words(connect),
                 words(arrives),
                 words(grace),
-                words(round_down(grace.less(STEP).less(WAY)))
+                words(round_down(grace.saturating_sub(STEP).saturating_sub(WAY)))
             );
             self.route(route, "connect_timeout", why);
         }
--- a/crates/routes/src/explain.rs
+++ b/crates/routes/src/explain.rs
@@ -4,7 +4,7 @@
 use crate::life::Life;
 use crate::spec::{RouteSpec, SecondCopy, Spec};
 use crate::words;
-use bellcroft_balancer::{Effect, Group};
+use bellcroft_balancer::{DedupScope, RetrySafety};
 use std::fmt::Write;
 
 /// Each route's worst life, for each class that it can be of: when each attempt can be decided and arrive at the
@@ -23,14 +23,14 @@
     let name = &platform.classes[class];
     let class = &platform.settings.classes[class];
     let life = Life::of(route, class, platform);
-    let (what, window) = match class.effect {
-        Effect::Idempotent => ("safe to repeat".to_owned(), None),
-        Effect::AtMostOnce => ("must not run twice".to_owned(), None),
-        Effect::Deduplicated { group, window } => {
+    let (what, window) = match class.retry_safety {
+        RetrySafety::Idempotent => ("safe to repeat".to_owned(), None),
+        RetrySafety::AtMostOnce => ("must not run twice".to_owned(), None),
+        RetrySafety::Deduplicated { scope: group, window } => {
             let who = match group {
-                Group::All => "all servers",
-                Group::Zone => "servers of one zone",
-                Group::Cell => "servers of one cell",
+                DedupScope::All => "all servers",
+                DedupScope::Zone => "servers of one zone",
+                DedupScope::Group => "servers of one cell",
             };
             (format!("{who} drop repeats for {}", words(window)), Some(window))
         }
@@ -65,7 +65,11 @@
     }
     if let (Some(window), Some(arrives)) = (window, life.last_repeat()) {
         let _ = match arrives <= window {
-            true => writeln!(text, "  {} to spare before repeats would run", words(window.less(arrives))),
+            true => writeln!(
+                text,
+                "  {} to spare before repeats would run",
+                words(window.saturating_sub(arrives))
+            ),
             false => writeln!(text, "  the module sends no repeat after {}", words(window)),
         };
     }
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -24,7 +24,7 @@
 pub use table::{Ids, Route, Table};
 
 /// A time in the words of the files: `7.5s`, `250ms`.
-pub(crate) fn words(span: bellcroft_balancer::Span) -> String {
+pub(crate) fn words(span: bellcroft_balancer::Micros) -> String {
     let ms = span.ms();
     if ms >= 1000.0 {
         format!("{}s", (ms / 10.0).round() / 100.0)
--- a/crates/routes/src/life.rs
+++ b/crates/routes/src/life.rs
@@ -2,25 +2,25 @@
 
 use crate::check::Platform;
 use crate::spec::RouteSpec;
-use bellcroft_balancer::{Class, Span};
+use bellcroft_balancer::{Class, Micros};
 
 /// What a timer and the tasks behind it may come late by, at each step of a request. The platform itself allows 50 ms
 /// in all.
-pub const STEP: Span = Span(20_000);
+pub const STEP: Micros = Micros(20_000);
 /// What a request may take from the agent's socket to the server's, which judges repeats when they have come.
-pub const WAY: Span = Span(50_000);
+pub const WAY: Micros = Micros(50_000);
 
 /// A life. All times count from the decision to send the first attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Life {
     /// After this the client waits no more, and no byte leaves.
-    pub deadline: Span,
+    pub deadline: Micros,
     /// One attempt's time.
-    pub attempt: Span,
+    pub attempt: Micros,
     /// How long a connection may take within it.
-    pub connect: Span,
+    pub connect: Micros,
     /// How long a further attempt may be held back before it goes out; none where nothing but the deadline bounds it.
-    pub queue: Option<Span>,
+    pub queue: Option<Micros>,
     /// The attempts.
     pub steps: Vec<Step>,
 }
@@ -29,9 +29,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Step {
     /// The latest decision to send it; the earliest is at once, for an outcome that is no success may come at once.
-    pub latest: Span,
+    pub latest: Micros,
     /// The latest arrival of its first byte at the server.
-    pub arrives: Span,
+    pub arrives: Micros,
 }
 
 impl Life {
@@ -53,7 +53,7 @@
 
     /// The latest decision of the `n`th attempt, and the latest arrival of its first byte: each one before it takes its
     /// whole time, ends late, and the next is held back as long as may be. Nothing leaves after the deadline.
-    pub fn latest(&self, n: u32) -> (Span, Span) {
+    pub fn latest(&self, n: u32) -> (Micros, Micros) {
         let before = f64::from(n.saturating_sub(1));
         let one = match self.queue {
             Some(queue) => add(add(self.attempt, STEP), queue),
@@ -65,34 +65,34 @@
     }
 
     /// The latest arrival of a repeat's first byte; none if there is no repeat.
-    pub fn last_repeat(&self) -> Option<Span> {
+    pub fn last_repeat(&self) -> Option<Micros> {
         self.steps.iter().skip(1).map(|step| step.arrives).max()
     }
 
     /// The most attempts whose bytes all arrive within `window`; 1 at least, for the first is no repeat.
-    pub fn attempts_within(&self, window: Span) -> u32 {
+    pub fn attempts_within(&self, window: Micros) -> u32 {
         let most = self.steps.len() as u32;
         (1..=most).rev().find(|n| *n == 1 || self.latest(*n).1 <= window).unwrap_or(1)
     }
 
     /// The longest attempt time-out, that can be written, with which all attempts' bytes arrive within `window`;
     /// none if there is no such.
-    pub fn attempt_within(&self, window: Span) -> Option<Span> {
+    pub fn attempt_within(&self, window: Micros) -> Option<Micros> {
         let repeats = self.steps.len().saturating_sub(1).max(1) as f64;
         let queue = self.queue?;
-        let room = window.less(WAY).less(STEP).less(self.connect);
-        let one = (room * (1.0 / repeats)).less(STEP).less(queue);
+        let room = window.saturating_sub(WAY).saturating_sub(STEP).saturating_sub(self.connect);
+        let one = (room * (1.0 / repeats)).saturating_sub(STEP).saturating_sub(queue);
         let whole = round_down(one);
-        (whole >= self.connect && whole > Span::ZERO).then_some(whole)
+        (whole >= self.connect && whole > Micros::ZERO).then_some(whole)
     }
 }
 
 /// A time that the files' words tell exactly, not above this one.
-pub(crate) fn round_down(span: Span) -> Span {
+pub(crate) fn round_down(span: Micros) -> Micros {
     let grain = if span.0 >= 1_000_000 { 10_000 } else { 1000 };
-    Span(span.0 / grain * grain)
+    Micros(span.0 / grain * grain)
 }
 
-pub(crate) fn add(a: Span, b: Span) -> Span {
-    Span(a.0.saturating_add(b.0))
+pub(crate) fn add(a: Micros, b: Micros) -> Micros {
+    Micros(a.0.saturating_add(b.0))
 }
--- a/crates/routes/src/recent.rs
+++ b/crates/routes/src/recent.rs
@@ -1,6 +1,6 @@
 //! Percentiles of a class's recent answers.
 
-use bellcroft_balancer::Span;
+use bellcroft_balancer::Micros;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 
@@ -14,15 +14,15 @@
 /// The times of a class's last answers.
 #[derive(Debug, Default)]
 pub struct Recent {
-    times: RefCell<VecDeque<Span>>,
+    times: RefCell<VecDeque<Micros>>,
     /// Answers since the order was made.
     since: Cell<u32>,
-    sorted: RefCell<Vec<Span>>,
+    sorted: RefCell<Vec<Micros>>,
 }
 
 impl Recent {
     /// An answer took this long.
-    pub fn add(&self, took: Span) {
+    pub fn add(&self, took: Micros) {
         let mut times = self.times.borrow_mut();
         if times.len() >= KEPT {
             times.pop_front();
@@ -32,7 +32,7 @@
     }
 
     /// The time that this percentile (0 to 100) of the answers stayed within; none before there are enough of them.
-    pub fn percentile(&self, percentile: f64) -> Option<Span> {
+    pub fn percentile(&self, percentile: f64) -> Option<Micros> {
         let times = self.times.borrow();
         if times.len() < LEAST {
             return None;
@@ -57,17 +57,17 @@
     fn percentiles_are_of_the_last_answers_and_none_before_there_are_enough() {
         let recent = Recent::default();
         for ms in 1..20 {
-            recent.add(Span::from_ms(f64::from(ms)));
+            recent.add(Micros::from_ms(f64::from(ms)));
             assert_eq!(recent.percentile(50.0), None);
         }
-        recent.add(Span::from_ms(20.0));
-        assert_eq!(recent.percentile(50.0), Some(Span::from_ms(10.0)));
-        assert_eq!(recent.percentile(95.0), Some(Span::from_ms(19.0)));
-        assert_eq!(recent.percentile(100.0), Some(Span::from_ms(20.0)));
-        assert_eq!(recent.percentile(0.0), Some(Span::from_ms(1.0)));
+        recent.add(Micros::from_ms(20.0));
+        assert_eq!(recent.percentile(50.0), Some(Micros::from_ms(10.0)));
+        assert_eq!(recent.percentile(95.0), Some(Micros::from_ms(19.0)));
+        assert_eq!(recent.percentile(100.0), Some(Micros::from_ms(20.0)));
+        assert_eq!(recent.percentile(0.0), Some(Micros::from_ms(1.0)));
         for _ in 0..KEPT {
-            recent.add(Span::from_ms(7.0));
+            recent.add(Micros::from_ms(7.0));
         }
-        assert_eq!(recent.percentile(1.0), Some(Span::from_ms(7.0)), "the old ones are forgotten");
+        assert_eq!(recent.percentile(1.0), Some(Micros::from_ms(7.0)), "the old ones are forgotten");
     }
 }
--- a/crates/routes/src/spec.rs
+++ b/crates/routes/src/spec.rs
@@ -1,6 +1,6 @@
 //! What an operator wrote, as it stands in the file.
 
-use bellcroft_balancer::{RetryOn, Span};
+use bellcroft_balancer::{Micros, RetryOn};
 use std::collections::BTreeMap;
 
 /// The lines of a section's keys, counted from 1.
@@ -55,7 +55,7 @@
     #[default]
     Never,
     /// This long after a send.
-    After(Span),
+    After(Micros),
     /// After this percentile (0 to 100) of the class's recent answer times.
     Percentile(f64),
 }
@@ -77,15 +77,15 @@
     /// What it matches.
     pub matches: Match,
     /// The client's time-out, as a cap.
-    pub timeout: Option<Span>,
+    pub timeout: Option<Micros>,
     /// From the decision to send an attempt to its end.
-    pub attempt_timeout: Option<Span>,
+    pub attempt_timeout: Option<Micros>,
     /// From the decision to send an attempt to an open connection.
-    pub connect_timeout: Option<Span>,
+    pub connect_timeout: Option<Micros>,
     /// From the request's hand-over to an open connection to the end of the answer's head.
-    pub first_byte_timeout: Option<Span>,
+    pub first_byte_timeout: Option<Micros>,
     /// How long a request may be held back at a time.
-    pub queue_timeout: Option<Span>,
+    pub queue_timeout: Option<Micros>,
     /// Attempts in all.
     pub attempts: Option<u32>,
     /// What another attempt may follow.
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -2,7 +2,7 @@
 
 use crate::check::{check, Platform, Refusal};
 use crate::spec::{BudgetSpec, Match, RouteSpec, SecondCopy, Spec, Within};
-use bellcroft_balancer::{Bound, Budget, Limits, RetryOn, Span};
+use bellcroft_balancer::{ConcurrencyLimit, Limits, Micros, RetryBudget, RetryOn};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
@@ -29,9 +29,9 @@
     /// What the decisions go by.
     pub limits: Arc<Limits>,
     /// From the decision to send an attempt to an open connection.
-    pub connect_timeout: Option<Span>,
+    pub connect_timeout: Option<Micros>,
     /// From the request's hand-over to an open connection to the end of the answer's head.
-    pub first_byte_timeout: Option<Span>,
+    pub first_byte_timeout: Option<Micros>,
     /// When a second copy goes out.
     pub second_copy_after: SecondCopy,
 }
@@ -94,7 +94,7 @@
         timeout: route.timeout.unwrap_or(standard.timeout),
         attempt_timeout: route.attempt_timeout.unwrap_or(standard.attempt_timeout),
         queue_timeout: route.queue_timeout.unwrap_or(standard.queue_timeout),
-        attempts: route.attempts.unwrap_or(standard.attempts),
+        max_attempts: route.attempts.unwrap_or(standard.max_attempts),
         retry_on: route.retry_on.unwrap_or(RetryOn::ALL),
         same_zone: route.retry_within == Some(Within::Zone),
         ..standard
@@ -117,7 +117,7 @@
     }
     for (owner, retries, copies, in_flight, held) in owners {
         if let Some(BudgetSpec { ratio, burst }) = retries {
-            limits.budgets.push(Budget {
+            limits.budgets.push(RetryBudget {
                 id: ids.of(format!("{owner} retries")),
                 ratio,
                 burst,
@@ -127,11 +127,15 @@
         if let Some(ratio) = copies {
             // One is saved up, or a share below a half could never begin.
             let id = ids.of(format!("{owner} copies"));
-            limits.copies.push(Budget { id, ratio, burst: 1.0, strict: true });
+            limits.hedge_budgets.push(RetryBudget { id, ratio, burst: 1.0, strict: true });
         }
         if in_flight.is_some() || held.is_some() {
             let (in_flight, held) = (in_flight.unwrap_or(u32::MAX), held.unwrap_or(u32::MAX));
-            limits.bounds.push(Bound { id: ids.of(format!("{owner} bounds")), in_flight, held });
+            limits.concurrency_limits.push(ConcurrencyLimit {
+                id: ids.of(format!("{owner} bounds")),
+                max_in_flight: in_flight,
+                max_queued: held,
+            });
         }
     }
     Route {
--- a/crates/routes/tests/walk.rs
+++ b/crates/routes/tests/walk.rs
@@ -24,23 +24,23 @@
 
 fn settings() -> Settings {
     let class = |effect| Class {
-        effect,
-        aim: Span::from_ms(2500.0),
-        deadline: Span::from_ms(DEADLINE),
-        late_worth: 1.0,
+        retry_safety: effect,
+        latency_objective: Micros::from_ms(2500.0),
+        deadline: Micros::from_ms(DEADLINE),
+        late_weight: 1.0,
         ..Class::default()
     };
-    let keyed = |group| Effect::Deduplicated { group, window: Span::from_ms(WINDOW) };
+    let keyed = |group| RetrySafety::Deduplicated { scope: group, window: Micros::from_ms(WINDOW) };
     Settings {
         classes: vec![
-            class(Effect::Idempotent),
-            class(keyed(Group::All)),
-            class(keyed(Group::Zone)),
-            class(Effect::AtMostOnce),
+            class(RetrySafety::Idempotent),
+            class(keyed(DedupScope::All)),
+            class(keyed(DedupScope::Zone)),
+            class(RetrySafety::AtMostOnce),
         ],
         max_attempts: 5,
-        second_copies: true,
-        drain_grace: Span::from_ms(GRACE),
+        hedging: true,
+        drain_grace_period: Micros::from_ms(GRACE),
         ..Settings::default()
     }
 }
@@ -51,14 +51,14 @@
 
 fn with_platform<T>(run: impl FnOnce(&Platform) -> T) -> T {
     let (settings, classes) = (settings(), names());
-    let connect_timeout = Span::from_ms(CONNECT);
+    let connect_timeout = Micros::from_ms(CONNECT);
     run(&Platform { settings: &settings, classes: &classes, tenants: &[], connect_timeout })
 }
 
 /// A route for one class, with times on both sides of what the rules bear.
 fn random_route(class: usize, random: &mut fastrand::Rng) -> RouteSpec {
     let time = |random: &mut fastrand::Rng, most: u64| {
-        (random.u8(0..3) > 0).then(|| Span(random.u64(10..most) * 1000))
+        (random.u8(0..3) > 0).then(|| Micros(random.u64(10..most) * 1000))
     };
     let mut flag = || random.bool();
     let retry_on =
@@ -74,7 +74,7 @@
         retry_on: random.bool().then_some(retry_on),
         retry_within: [None, None, Some(Within::Zone), Some(Within::Any)][random.usize(0..4)],
         second_copy_after: match random.u8(0..4) {
-            0 => SecondCopy::After(Span(random.u64(5..400) * 1000)),
+            0 => SecondCopy::After(Micros(random.u64(5..400) * 1000)),
             _ => SecondCopy::Never,
         },
         ..RouteSpec::default()
@@ -103,36 +103,36 @@
 }
 
 /// Plays one route for a while; the breaches that the observer saw, and how long after the first its latest repeat came.
-fn play(spec: &RouteSpec, class: usize, seed: u64, without: Without) -> (Vec<String>, Span) {
+fn play(spec: &RouteSpec, class: usize, seed: u64, without: Without) -> (Vec<String>, Micros) {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut ids = Ids::default();
     let spec = Spec { routes: vec![spec.clone()], pools: Vec::new() };
     let table = Table::unchecked(&spec, &mut ids);
     let route = table.lookup(&names()[class], None, "/").cloned().expect("it matches");
-    let connect = route.connect_timeout.unwrap_or(Span::from_ms(CONNECT));
+    let connect = route.connect_timeout.unwrap_or(Micros::from_ms(CONNECT));
     let mut balancer = Balancer::new(settings(), seed).expect("settings");
     let (mut now, mut actions) = (Time::from_ms(10_000.0), Vec::new());
     balancer.start(now, &mut actions);
-    let lines: Vec<Listed> =
-        (0..6).map(|i| Listed { zone: ZoneId(i % 2), ..Listed::serving(ServerId(i)) }).collect();
-    balancer.handle(now, Event::List(ListUpdate::Complete(lines.clone())), &mut actions);
+    let lines: Vec<Endpoint> =
+        (0..6).map(|i| Endpoint { zone: ZoneId(i % 2), ..Endpoint::serving(ServerId(i)) }).collect();
+    balancer.handle(now, Event::Endpoints(EndpointUpdate::Snapshot(lines.clone())), &mut actions);
     let mut stories: BTreeMap<u64, Story> = BTreeMap::new();
     let mut timers: BTreeSet<(Time, TimerId)> = BTreeSet::new();
     let mut draining: BTreeMap<ServerId, Time> = BTreeMap::new();
-    let (mut breaches, mut latest) = (Vec::new(), Span::ZERO);
+    let (mut breaches, mut latest) = (Vec::new(), Micros::ZERO);
     let mut next = 0;
     for step in 0..STEPS {
-        now = now + Span(1000);
+        now = now + Micros(1000);
         let mut events = Vec::new();
         if step % 40 == 0 && step < ASKING {
-            let time_left = Span::from_ms(DEADLINE);
+            let time_left = Micros::from_ms(DEADLINE);
             let second_copy_after = match route.second_copy_after {
                 SecondCopy::After(after) => Some(after),
                 _ => None,
             };
             let limits = Some(route.limits.clone());
             let request = Request::new(RequestId(next), ClassId(class), time_left);
-            events.push(Event::Request(Request { limits, second_copy_after, ..request }));
+            events.push(Event::Request(Request { limits, hedge_after: second_copy_after, ..request }));
             let story = Story { class, flights: Vec::new(), closed: false, deadline: now + time_left };
             stories.insert(next, story);
             next += 1;
@@ -140,15 +140,15 @@
         // Half of the servers drain and come back.
         if step % 1500 == 100 {
             let from = random.u32(0..6);
-            let leaving: Vec<Listed> = (from..from + 3)
-                .map(|n| Listed { status: Status::Draining, ..lines[(n % 6) as usize].clone() })
+            let leaving: Vec<Endpoint> = (from..from + 3)
+                .map(|n| Endpoint { status: Status::Draining, ..lines[(n % 6) as usize].clone() })
                 .collect();
             draining.extend(leaving.iter().map(|line| (line.server, now)));
-            events.push(Event::List(ListUpdate::Changes(leaving)));
+            events.push(Event::Endpoints(EndpointUpdate::Delta(leaving)));
         }
         if step % 1500 == 1400 {
             draining.clear();
-            events.push(Event::List(ListUpdate::Changes(lines.clone())));
+            events.push(Event::Endpoints(EndpointUpdate::Delta(lines.clone())));
         }
         while let Some(&(at, timer)) = timers.first().filter(|(at, _)| *at <= now) {
             timers.remove(&(at, timer));
@@ -180,25 +180,26 @@
                     if story.closed {
                         breaches.push(format!("{id}: a byte after the answer"));
                     }
-                    if now > story.deadline + Span(1000) {
+                    if now > story.deadline + Micros(1000) {
                         breaches.push(format!("{id}: a byte after the deadline"));
                     }
-                    if draining.get(&flight.server).is_some_and(|at| now.since(*at) > Span::from_ms(GRACE)) {
+                    if draining.get(&flight.server).is_some_and(|at| now.since(*at) > Micros::from_ms(GRACE))
+                    {
                         breaches.push(format!("{id}: rule 3: a byte to a server that drains"));
                     }
                     if let Some((at, server)) = first {
-                        latest = Span(latest.0.max(now.since(at).0));
+                        latest = Micros(latest.0.max(now.since(at).0));
                         let same_zone = server.0 % 2 == flight.server.0 % 2;
-                        match settings().classes[story.class].effect {
-                            Effect::Idempotent => {}
-                            Effect::AtMostOnce => breaches.push(format!("{id}: rule 2: ran twice")),
-                            Effect::Deduplicated { window, .. } if now.since(at) > window => {
+                        match settings().classes[story.class].retry_safety {
+                            RetrySafety::Idempotent => {}
+                            RetrySafety::AtMostOnce => breaches.push(format!("{id}: rule 2: ran twice")),
+                            RetrySafety::Deduplicated { window, .. } if now.since(at) > window => {
                                 breaches.push(format!("{id}: rule 2: a repeat after {:?}", now.since(at)));
                             }
-                            Effect::Deduplicated { group: Group::Zone, .. } if !same_zone => {
+                            RetrySafety::Deduplicated { scope: DedupScope::Zone, .. } if !same_zone => {
                                 breaches.push(format!("{id}: rule 2: a repeat in another zone"));
                             }
-                            Effect::Deduplicated { .. } => {}
+                            RetrySafety::Deduplicated { .. } => {}
                         }
                     }
                     first = first.or(Some((now, flight.server)));
@@ -226,9 +227,9 @@
                     Action::Send { request, server, timeout_at, write_by, .. } => {
                         let Some(story) = stories.get_mut(&request.0) else { continue };
                         // Slow connections and slow answers are common here: the edges are what is looked for.
-                        let up = Span(random.u64(0..=connect.0));
-                        let up = if random.bool() { Span(1000) } else { up };
-                        let work = Span(random.u64(1000..3_000_000));
+                        let up = Micros(random.u64(0..=connect.0));
+                        let up = if random.bool() { Micros(1000) } else { up };
+                        let work = Micros(random.u64(1000..3_000_000));
                         let outcome = match random.u8(0..8) {
                             0 | 1 => Outcome::Success,
                             2 => Outcome::ServerError,
@@ -267,7 +268,7 @@
                         }
                     }
                     Action::SetTimer { at, timer } => drop(timers.insert((at, timer))),
-                    Action::Refuse { request, .. } | Action::Fail { request } => {
+                    Action::Shed { request, .. } | Action::Fail { request } => {
                         if let Some(story) = stories.get_mut(&request.0) {
                             if std::mem::replace(&mut story.closed, true) {
                                 breaches.push(format!("{}: two final answers", request.0));
@@ -282,7 +283,7 @@
             }
         }
         stories.retain(|_, s| !s.closed || s.flights.iter().any(|f| !f.over));
-        let lost = |s: &&Story| !s.closed && now > s.deadline + Span(60_000);
+        let lost = |s: &&Story| !s.closed && now > s.deadline + Micros(60_000);
         if let Some(story) = stories.values().find(lost) {
             breaches.push(format!("rule 1: no answer {:?} after its deadline", now.since(story.deadline)));
             return (breaches, latest);
@@ -308,7 +309,7 @@
         }
         played += 1;
         let (breaches, latest) = play(&route, class, seed, Without::default());
-        repeated += usize::from(latest > Span::ZERO);
+        repeated += usize::from(latest > Micros::ZERO);
         assert!(breaches.is_empty(), "{route:#?}\n{breaches:#?}");
     }
     assert!(played >= 1000 && repeated >= 300, "{played} played, {repeated} of them with a repeat");
@@ -368,9 +369,9 @@
             name: "r".into(),
             matches: Match { class: Some("read".into()), ..Match::default() },
             attempts: Some(attempts),
-            attempt_timeout: Some(Span::from_ms(attempt)),
-            connect_timeout: Some(Span::from_ms(100.0)),
-            queue_timeout: Some(Span::from_ms(queue)),
+            attempt_timeout: Some(Micros::from_ms(attempt)),
+            connect_timeout: Some(Micros::from_ms(100.0)),
+            queue_timeout: Some(Micros::from_ms(queue)),
             ..RouteSpec::default()
         };
         assert!(accepted(&route, Checks::ALL));
@@ -398,8 +399,8 @@
         for part in right.split(", or ") {
             let (key, value) = part.split_once(" = ").expect("a key and a value");
             let time = |text: &str| match text.strip_suffix("ms") {
-                Some(ms) => Span::from_ms(ms.parse().expect("a number")),
-                None => Span::from_ms(text.trim_end_matches('s').parse::<f64>().expect("a number") * 1e3),
+                Some(ms) => Micros::from_ms(ms.parse().expect("a number")),
+                None => Micros::from_ms(text.trim_end_matches('s').parse::<f64>().expect("a number") * 1e3),
             };
             let mut mended = route.clone();
             match key {
--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::random::{stream, Actor};
 use crate::scenario::{Arrivals, Scenario};
-use bellcroft_balancer::{Span, Time};
+use bellcroft_balancer::{Micros, Time};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1};
@@ -58,7 +58,7 @@
         if let Arrivals::Trace { times } = &scenario.arrivals {
             let at = *times.get(self.recorded)?;
             self.recorded += scenario.instances;
-            return (at < scenario.seconds).then(|| now.max(Time::default() + Span::from_ms(at * 1e3)));
+            return (at < scenario.seconds).then(|| now.max(Time::default() + Micros::from_ms(at * 1e3)));
         }
         let mut at = now.ms() / 1e3;
         loop {
@@ -73,7 +73,7 @@
             }
             let (rate, _) = scenario.arrivals.rate(at);
             if self.random.random::<f64>() * most <= rate {
-                return Some(Time::default() + Span::from_ms(at * 1e3));
+                return Some(Time::default() + Micros::from_ms(at * 1e3));
             }
         }
     }
--- a/crates/simulation/src/engine.rs
+++ b/crates/simulation/src/engine.rs
@@ -12,9 +12,9 @@
 use crate::server::{Cold, Job, Server, Taken};
 use crate::trace::{Step, Watch};
 use bellcroft_balancer::{
-    Action, AttemptNo, CellId, Class, ClassId, Effect, Event, Group, KeyId, KindId, ListUpdate, Listed,
-    Outcome as Ended, PeerId, ReportField, ReportSource, Request, RequestId, ServerId, Settings, Span,
-    Status, Tenant, TenantId, Time, TimerId, ZoneId,
+    Action, AttemptNo, Class, ClassId, DedupGroupId, DedupScope, Endpoint, EndpointUpdate, Event, KeyId,
+    LoadReportField, LoadReportSource, MachineTypeId, Micros, Outcome as Ended, PeerId, Request, RequestId,
+    RetrySafety, ServerId, Settings, Status, Tenant, TenantId, Time, TimerId, ZoneId,
 };
 use bellcroft_membership::Digest;
 use hdrhistogram::Histogram;
@@ -25,9 +25,9 @@
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
 /// A probe that has no answer by then has timed out.
-const PROBE_WAIT: Span = Span(250_000);
+const PROBE_WAIT: Micros = Micros(250_000);
 /// A cold server that fell over is back, as cold as before, after this.
-const BACK_AFTER: Span = Span(5_000_000);
+const BACK_AFTER: Micros = Micros(5_000_000);
 
 /// The oracle expects a request's own work to take this multiple of the mean; one that takes less is late less often, and
 /// one that takes more would be refused where it could be done.
@@ -104,7 +104,7 @@
 enum Final {
     Served,
     /// With the time to come back after, if it names one.
-    Refused(Option<Span>),
+    Refused(Option<Micros>),
     Failed,
 }
 
@@ -163,8 +163,8 @@
     means: Vec<f64>,
 }
 
-fn span(seconds: f64) -> Span {
-    Span::from_ms(seconds * 1e3)
+fn span(seconds: f64) -> Micros {
+    Micros::from_ms(seconds * 1e3)
 }
 
 /// The settings that a module of this scenario is given.
@@ -172,13 +172,13 @@
     let classes = scenario.classes.iter().map(|class| {
         let window = span(class.window);
         Class {
-            effect: match class.effect {
-                Repeat::Idempotent => Effect::Idempotent,
-                Repeat::Deduplicated => Effect::Deduplicated { group: Group::All, window },
-                Repeat::DeduplicatedByZone => Effect::Deduplicated { group: Group::Zone, window },
-                Repeat::AtMostOnce => Effect::AtMostOnce,
+            retry_safety: match class.effect {
+                Repeat::Idempotent => RetrySafety::Idempotent,
+                Repeat::Deduplicated => RetrySafety::Deduplicated { scope: DedupScope::All, window },
+                Repeat::DeduplicatedByZone => RetrySafety::Deduplicated { scope: DedupScope::Zone, window },
+                Repeat::AtMostOnce => RetrySafety::AtMostOnce,
             },
-            aim: span(class.aim),
+            latency_objective: span(class.aim),
             deadline: span(class.deadline),
             ..Class::default()
         }
@@ -196,12 +196,12 @@
         classes: classes.collect(),
         tenants: tenants.collect(),
         max_attempts: scenario.attempts,
-        probes: true,
+        health_checks: true,
         peers: scenario.peers,
         // Who can be told to come back later is told.
         retry_after: scenario.habits.retries > 0,
-        report_source: if reports { ReportSource::Answers } else { ReportSource::None },
-        report_fields: if reports { vec![ReportField::InFlight] } else { Vec::new() },
+        report_source: if reports { LoadReportSource::Answers } else { LoadReportSource::None },
+        report_fields: if reports { vec![LoadReportField::InFlight] } else { Vec::new() },
         ..Settings::default()
     }
 }
@@ -258,8 +258,8 @@
     scenario.check()?;
     let settings = settings(scenario);
     let cold = Cold {
-        share: settings.cold_share,
-        warm_after: settings.warm_after,
+        share: settings.initial_capacity,
+        warm_after: settings.slow_start_window,
         overload: settings.overload_factor,
         fall_after: settings.fall_after,
     };
@@ -316,7 +316,7 @@
         wants: HashMap::new(),
         next_request: 0,
         first_runs: HashMap::new(),
-        judge: Judge::new(settings.drain_grace),
+        judge: Judge::new(settings.drain_grace_period),
         times: scenario.classes.iter().map(|_| histogram()).collect(),
         all_times: histogram(),
         sums: vec![0.0; scenario.classes.len()],
@@ -333,7 +333,7 @@
     }
     // Past the last deadline nothing is owed; what servers still work on is nobody's.
     let longest = scenario.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
-    let end = Time::default() + span(scenario.seconds) + span(longest) + Span::from_ms(100.0);
+    let end = Time::default() + span(scenario.seconds) + span(longest) + Micros::from_ms(100.0);
     while let Some(Reverse((at, _, what))) = run.heap.pop() {
         if at > end {
             break;
@@ -381,7 +381,7 @@
     }
 
     /// The list as it stands.
-    fn lines(&self) -> Vec<Listed> {
+    fn lines(&self) -> Vec<Endpoint> {
         let status = |s: usize| if self.servers[s].draining { Status::Draining } else { Status::Serving };
         (0..self.servers.len()).filter(|s| self.servers[*s].up).map(|s| self.line(s, status(s))).collect()
     }
@@ -396,7 +396,7 @@
         self.instances[number].busy = false;
         self.begin_talk(number);
         let lines = self.lines();
-        self.tell(number, Event::List(ListUpdate::Complete(lines)));
+        self.tell(number, Event::Endpoints(EndpointUpdate::Snapshot(lines)));
     }
 
     fn begin(&mut self) {
@@ -413,15 +413,15 @@
         self.instances[number].clients.next(scenario, now)
     }
 
-    fn line(&self, server: usize, status: Status) -> Listed {
-        Listed {
+    fn line(&self, server: usize, status: Status) -> Endpoint {
+        Endpoint {
             server: ServerId(server as u32),
             zone: ZoneId(self.servers[server].zone),
-            kind: KindId(0),
-            cell: CellId(0),
+            machine_type: MachineTypeId(0),
+            dedup_group: DedupGroupId(0),
             status,
             weight: 1.0,
-            started: self.servers[server].started,
+            started_at: self.servers[server].started,
         }
     }
 
@@ -435,19 +435,19 @@
     }
 
     /// One way's time from or to an instance.
-    fn way_to(&mut self, instance: usize, zone: usize) -> Span {
+    fn way_to(&mut self, instance: usize, zone: usize) -> Micros {
         let base = self.base(self.instances[instance].zone, zone);
         if base == 0.0 {
-            return Span::ZERO;
+            return Micros::ZERO;
         }
         let draw = self.instances[instance].random.random::<f64>();
         span(base * (1.0 + self.scenario.network.jitter * draw))
     }
 
     /// One way's time between an instance and a server.
-    fn way(&mut self, instance: usize, server: usize) -> Span {
+    fn way(&mut self, instance: usize, server: usize) -> Micros {
         let way = self.way_to(instance, self.servers[server].zone as usize);
-        Span(way.0 + self.detour(instance, server).0)
+        Micros(way.0 + self.detour(instance, server).0)
     }
 
     fn passes(&self, from: usize, to: usize) -> bool {
@@ -521,7 +521,7 @@
                     self.send(instance, request.0, server.0 as usize, timeout_at, write_by);
                 }
                 Action::Cancel { request, attempt } => self.call_off(request.0, attempt.0, Ended::Cancelled),
-                Action::Refuse { request, retry_after } => {
+                Action::Shed { request, retry_after } => {
                     self.count_in(instance, Digest::refused);
                     self.answer(request.0, Final::Refused(retry_after))
                 }
@@ -531,12 +531,12 @@
                     let life = self.instances[instance].life;
                     self.at(at, Happening::Timer(instance, timer.0, life));
                 }
-                Action::Probe { server } => self.probe(instance, server.0 as usize),
+                Action::HealthCheck { server } => self.probe(instance, server.0 as usize),
                 Action::CloseIdle { server } => self.instances[instance].idle[server.0 as usize].0 = 0,
-                Action::FetchList => self.outcome.lists += 1,
-                Action::Tell { to: Some(to), payload } => self.hint(instance, to.0 as usize, payload),
+                Action::FetchEndpoints => self.outcome.lists += 1,
+                Action::SendHint { to: Some(to), payload } => self.hint(instance, to.0 as usize, payload),
                 // The list is pushed, nobody speaks to all, and nobody reads a log here.
-                Action::Follow { .. } | Action::Tell { .. } | Action::Log { .. } => {}
+                Action::Watch { .. } | Action::SendHint { .. } | Action::Log { .. } => {}
             }
         }
     }
@@ -579,7 +579,7 @@
             return self.connected(id, number);
         }
         if self.reaches(instance, server) && self.comes_back(instance, server) {
-            self.at(now + Span(round_trip), Happening::Connected(id, number));
+            self.at(now + Micros(round_trip), Happening::Connected(id, number));
         } else {
             // A connection that is not up when its request would have to begin has failed.
             let given_up = (now + span(self.scenario.network.connect_timeout)).min(write_by);
@@ -620,7 +620,7 @@
             return;
         }
         let way = self.way(instance, server);
-        if way == Span::ZERO {
+        if way == Micros::ZERO {
             self.at_server(id, number);
         } else {
             self.at(now + way, Happening::AtServer(id, number));
@@ -661,7 +661,7 @@
         }
     }
 
-    fn work(&mut self, server: usize, job: Job, time: Span) {
+    fn work(&mut self, server: usize, job: Job, time: Micros) {
         self.waited += self.now.since(job.came).ms() / 1e3;
         self.outcome.begun += 1;
         let life = self.servers[server].life;
@@ -731,7 +731,7 @@
             Ended::Rejected => 1,
             _ => 2,
         };
-        if way == Span::ZERO {
+        if way == Micros::ZERO {
             self.replied(id, number, code, held);
         } else {
             self.at(self.now + way, Happening::Reply(id, number, code, held));
@@ -852,9 +852,9 @@
         let heeds = own.random::<f64>() < habits.heed;
         let told = match answer {
             Final::Refused(Some(after)) if heeds => after,
-            _ => Span::ZERO,
+            _ => Micros::ZERO,
         };
-        let at = self.now + Span(span(pause).0.max(told.0));
+        let at = self.now + Micros(span(pause).0.max(told.0));
         if at >= asked.want.leaves {
             return false;
         }
@@ -892,8 +892,8 @@
         let passes = self.reaches(instance, server) && self.comes_back(instance, server);
         let (code, after) = match (passes && !own.mute, own.up) {
             (false, _) => (1, PROBE_WAIT),
-            (true, false) => (2, Span(way.0 + back.0)),
-            (true, true) => (0, Span(way.0 + back.0)),
+            (true, false) => (2, Micros(way.0 + back.0)),
+            (true, true) => (0, Micros(way.0 + back.0)),
         };
         let scenario = self.scenario;
         let held = self.servers[server].report(self.now, &scenario.report_faults);
@@ -920,7 +920,7 @@
                 self.judge.left(self.now, id);
                 self.stop_unwritten(id);
                 self.settle(id);
-                self.tell(instance, Event::ClientGone { request: RequestId(id) });
+                self.tell(instance, Event::ClientDisconnected { request: RequestId(id) });
             }
             Happening::Timer(instance, timer, _) => self.tell(instance, Event::Timer(TimerId(timer))),
             Happening::Connected(id, number) => self.connected(id, number),
@@ -947,7 +947,7 @@
                 let status = [Status::Serving, Status::Draining, Status::Gone][status as usize];
                 self.judge.told(self.now, instance as u32, server as u32, status == Status::Serving);
                 let line = self.line(server, status);
-                self.tell(instance, Event::List(ListUpdate::Changes(vec![line])));
+                self.tell(instance, Event::Endpoints(EndpointUpdate::Delta(vec![line])));
             }
             Happening::Heard(instance, from, payload) => self.heard(instance, from, payload),
             Happening::Share(instance, _) => self.share(instance),
@@ -956,8 +956,8 @@
                 let outcome = [Ended::Success, Ended::TimedOut, Ended::ConnectFailed][code as usize];
                 let reports = self.scenario.reports == Reports::InFlight && code == 0;
                 let report = held.filter(|_| reports).map(|held| vec![f64::from(held)]);
-                let (server, elapsed) = (ServerId(server as u32), Span(after));
-                self.tell(instance, Event::Probed { server, outcome, elapsed, report });
+                let (server, elapsed) = (ServerId(server as u32), Micros(after));
+                self.tell(instance, Event::HealthChecked { server, outcome, elapsed, report });
             }
         }
     }
@@ -1009,12 +1009,12 @@
             self.judge.excuse(id);
         }
         // One that has heard nothing a moment past its deadline leaves; one that tires says nothing before.
-        let leaves = if leaves < deadline { leaves } else { deadline + Span::from_ms(60.0) };
+        let leaves = if leaves < deadline { leaves } else { deadline + Micros::from_ms(60.0) };
         self.at(leaves, Happening::Leave(id));
         let request = Request {
             tenant: tenant.map(TenantId),
             key: Some(KeyId(key)),
-            repeat: tries > 1,
+            is_retry: tries > 1,
             ..Request::new(RequestId(id), ClassId(class), deadline.since(self.now))
         };
         self.count_in(instance, Digest::asked);
--- a/crates/simulation/src/engine/peers.rs
+++ b/crates/simulation/src/engine/peers.rs
@@ -37,7 +37,7 @@
     }
 
     /// How long a datagram from one instance to another takes; none if it is lost.
-    fn way_over(&mut self, from: usize, to: usize) -> Option<Span> {
+    fn way_over(&mut self, from: usize, to: usize) -> Option<Micros> {
         let zone = self.instances.get(to)?.zone;
         if !self.passes(self.instances[from].zone, zone) {
             return None;
@@ -47,7 +47,7 @@
             return None;
         }
         let detour = self.passes_on(from, to)?;
-        Some(Span(self.way_to(from, zone).0 + detour.0))
+        Some(Micros(self.way_to(from, zone).0 + detour.0))
     }
 
     pub(super) fn heard(&mut self, instance: usize, from: usize, payload: Vec<u8>) {
@@ -56,7 +56,7 @@
         let heard = hearsay.hear(now, Id(from as u32), &payload, up);
         let mut payload = payload;
         if heard == Heard::Alone {
-            payload.push(bellcroft_balancer::LONE);
+            payload.push(bellcroft_balancer::UNCONFIRMED_HINT);
         }
         if matches!(heard, Heard::Taken | Heard::Alone) {
             self.tell(instance, Event::PeerMessage { from: PeerId(from as u32), payload });
@@ -69,7 +69,7 @@
             let own = &mut self.instances[instance];
             let (first, life) =
                 (own.talk.random.random_range(0..own.talk.digest.every(self.now).0), own.life);
-            self.at(self.now + Span(first), Happening::Share(instance, life));
+            self.at(self.now + Micros(first), Happening::Share(instance, life));
         }
     }
 
@@ -78,7 +78,7 @@
         if self.scenario.digest {
             let (now, own) = (self.now, &mut self.instances[instance]);
             for sign in own.core.signs() {
-                own.talk.digest.saw(now, sign.zone.0 as u8, sign.took, sign.full);
+                own.talk.digest.saw(now, sign.zone.0 as u8, sign.latency, sign.load);
             }
         }
     }
--- a/crates/simulation/src/engine/processes.rs
+++ b/crates/simulation/src/engine/processes.rs
@@ -28,9 +28,9 @@
 
     /// How much longer a way between an instance and a server takes: half of what both directions add, for a way there is
     /// followed by one back.
-    pub(super) fn detour(&mut self, instance: usize, server: usize) -> Span {
+    pub(super) fn detour(&mut self, instance: usize, server: usize) -> Micros {
         if self.links.is_empty() {
-            return Span::ZERO;
+            return Micros::ZERO;
         }
         let (own, there) = (End::Instance(instance), End::Server(server));
         let mut more = 0.0;
@@ -43,10 +43,10 @@
     }
 
     /// How much longer one instance's word to another takes; none if it is lost.
-    pub(super) fn passes_on(&mut self, from: usize, to: usize) -> Option<Span> {
+    pub(super) fn passes_on(&mut self, from: usize, to: usize) -> Option<Micros> {
         let link = self.link(End::Instance(from), End::Instance(to));
         if link == LinkFault::default() {
-            return Some(Span::ZERO);
+            return Some(Micros::ZERO);
         }
         let random = &mut self.instances[from].random;
         let lost = link.cut || random.random::<f64>() < link.loss;
@@ -169,7 +169,7 @@
                     // Whoever reaches discovery again asks for its whole list.
                     (End::Discovery, End::Instance(instance)) if was_cut => {
                         let lines = self.lines();
-                        self.tell(*instance, Event::List(ListUpdate::Complete(lines)));
+                        self.tell(*instance, Event::Endpoints(EndpointUpdate::Snapshot(lines)));
                     }
                     (End::Instance(instance), End::Server(server)) if fault.reset || fault.half_open => {
                         self.instances[*instance].idle[*server].0 = 0;
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -1,6 +1,6 @@
 //! Members of a fleet and the links between them, as discrete events.
 
-use bellcroft_balancer::{Span, Time};
+use bellcroft_balancer::{Micros, Time};
 use bellcroft_membership::{Change, Id, Membership, Output, State};
 use rand::Rng;
 use rand_chacha::rand_core::SeedableRng;
@@ -64,9 +64,9 @@
     /// The share that is lost.
     pub loss: f64,
     /// How long one takes at least ...
-    pub delay: Span,
+    pub delay: Micros,
     /// ... and by how much longer at most. Later ones overtake earlier ones by it.
-    pub jitter: Span,
+    pub jitter: Micros,
     /// The share that comes twice.
     pub doubled: f64,
     /// The share of which a byte is spoilt.
@@ -77,7 +77,7 @@
 
 impl Default for Link {
     fn default() -> Self {
-        let (delay, jitter) = (Span::from_ms(0.5), Span::from_ms(0.5));
+        let (delay, jitter) = (Micros::from_ms(0.5), Micros::from_ms(0.5));
         Link { loss: 0.0, delay, jitter, doubled: 0.0, spoilt: 0.0, cut: false }
     }
 }
@@ -188,7 +188,7 @@
     }
 
     /// Time since the beginning.
-    pub fn passed(&self) -> Span {
+    pub fn passed(&self) -> Micros {
         self.now.since(ORIGIN)
     }
 
@@ -259,7 +259,7 @@
     }
 
     /// Plays on for so long.
-    pub fn play(&mut self, span: Span) {
+    pub fn play(&mut self, span: Micros) {
         let until = self.now + span;
         while self.queued.peek().is_some_and(|Reverse(first)| first.at <= until) {
             let Some(Reverse(Queued { at, what, .. })) = self.queued.pop() else { break };
@@ -283,8 +283,8 @@
     }
 
     /// Plays in small steps until something holds, for so long at most; the time it took.
-    pub fn until(&mut self, most: Span, done: impl Fn(&Self) -> bool) -> Option<Span> {
-        let (from, step) = (self.now, Span::from_ms(50.0));
+    pub fn until(&mut self, most: Micros, done: impl Fn(&Self) -> bool) -> Option<Micros> {
+        let (from, step) = (self.now, Micros::from_ms(50.0));
         while !done(self) {
             if self.now.since(from) >= most {
                 return None;
@@ -349,7 +349,7 @@
         }
         let copies = if self.rng.random::<f64>() < link.doubled { 2 } else { 1 };
         for _ in 0..copies {
-            let at = self.now + link.delay + Span(self.rng.random_range(0..=link.jitter.0));
+            let at = self.now + link.delay + Micros(self.rng.random_range(0..=link.jitter.0));
             self.queue(at, Due::Datagram(address(from), to, bytes.clone()));
         }
     }
--- a/crates/simulation/src/judge.rs
+++ b/crates/simulation/src/judge.rs
@@ -2,12 +2,12 @@
 //! instance does: whether an effect truly came twice, and whether a cold server fell over.
 
 use crate::scenario::Effect;
-use bellcroft_balancer::{Span, Time};
+use bellcroft_balancer::{Micros, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
 /// What sockets and clocks may add to a limit; the platform's own measure.
-const SLACK: Span = Span(50_000);
+const SLACK: Micros = Micros(50_000);
 
 /// Breaches that are named one by one; of more than these only the number is kept.
 const NAMED_MOST: usize = 100;
@@ -71,7 +71,7 @@
 /// Watches a run.
 #[derive(Debug)]
 pub struct Judge {
-    grace: Span,
+    grace: Micros,
     requests: HashMap<u64, Known>,
     /// How often the effect of what a client came for has come.
     effects: HashMap<u64, u32>,
@@ -83,7 +83,7 @@
 
 impl Judge {
     /// A judge of a deployment with this grace.
-    pub fn new(grace: Span) -> Self {
+    pub fn new(grace: Micros) -> Self {
         Judge {
             grace,
             requests: HashMap::new(),
--- a/crates/simulation/src/policy.rs
+++ b/crates/simulation/src/policy.rs
@@ -7,8 +7,8 @@
 
 use crate::random::{stream, Actor};
 use bellcroft_balancer::{
-    Action, Balancer, Effect, Event, Group, ListUpdate, Outcome, Settings, SettingsError, Sign, Span, Status,
-    Time, TimerId,
+    Action, Balancer, DedupScope, EndpointUpdate, Event, Micros, Outcome, RetrySafety, Settings,
+    SettingsError, Signal, Status, Time, TimerId,
 };
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -117,7 +117,7 @@
     /// What is true now, server by server.
     fn see(&mut self, _truth: Vec<Truth>) {}
     /// What it has seen of answers since this was last asked, to be shared with the others.
-    fn signs(&mut self) -> Vec<Sign> {
+    fn signs(&mut self) -> Vec<Signal> {
         Vec::new()
     }
 }
@@ -140,8 +140,8 @@
         Balancer::handle(self, now, event, out);
     }
 
-    fn signs(&mut self) -> Vec<Sign> {
-        Balancer::signs(self).collect()
+    fn signs(&mut self) -> Vec<Signal> {
+        Balancer::signals(self).collect()
     }
 }
 
@@ -173,7 +173,7 @@
     /// It has been sent there.
     fn sent(&mut self, _view: &View, _server: u32) {}
     /// An attempt there has ended.
-    fn ended(&mut self, _now: Time, _server: u32, _took: Span) {}
+    fn ended(&mut self, _now: Time, _server: u32, _took: Micros) {}
     /// The list has changed.
     fn listed(&mut self, _view: &View) {}
     /// Whether it is to be shown what is true.
@@ -271,7 +271,7 @@
         }
     }
 
-    fn ended(&mut self, now: Time, server: u32, took: Span) {
+    fn ended(&mut self, now: Time, server: u32, took: Micros) {
         let took = took.ms() / 1e3;
         let (value, at) = self.0.entry(server).or_insert((took, now));
         let kept = (-now.since(*at).ms() / 1e3 / EWMA_FADES).exp();
@@ -427,8 +427,10 @@
             return out.push(self.give_up(id, gone));
         }
         let mut server = self.pick.pick(now, &self.view, held.key, &mut self.random);
-        let effect = self.settings.classes[held.class].effect;
-        if let (Effect::Deduplicated { group: Group::Zone, .. }, Some((_, zone))) = (effect, held.first) {
+        let effect = self.settings.classes[held.class].retry_safety;
+        if let (RetrySafety::Deduplicated { scope: DedupScope::Zone, .. }, Some((_, zone))) =
+            (effect, held.first)
+        {
             // A repeat is harmless in the first one's zone alone.
             let same: Vec<u32> =
                 self.view.up.iter().copied().filter(|s| self.zones.get(s) == Some(&zone)).collect();
@@ -437,7 +439,7 @@
             }
         }
         let write_by = match (effect, held.first) {
-            (Effect::Deduplicated { window, .. }, Some((first, _))) => held.deadline.min(first + window),
+            (RetrySafety::Deduplicated { window, .. }, Some((first, _))) => held.deadline.min(first + window),
             _ => held.deadline,
         };
         let number = held.sends;
@@ -464,16 +466,16 @@
         if may_have_run {
             Action::Fail { request }
         } else {
-            Action::Refuse { request, retry_after: None }
+            Action::Shed { request, retry_after: None }
         }
     }
 
     /// Whether another attempt of it is harmless, and has time.
     fn may_repeat(&self, now: Time, held: &Held) -> bool {
-        let within = match self.settings.classes[held.class].effect {
-            Effect::Idempotent => true,
-            Effect::AtMostOnce => !held.may_have_run,
-            Effect::Deduplicated { window, .. } => {
+        let within = match self.settings.classes[held.class].retry_safety {
+            RetrySafety::Idempotent => true,
+            RetrySafety::AtMostOnce => !held.may_have_run,
+            RetrySafety::Deduplicated { window, .. } => {
                 !held.may_have_run || held.first.is_none_or(|(first, _)| now.since(first) < window)
             }
         };
@@ -501,7 +503,9 @@
                     class: request.class.0,
                     key: request.key.map_or(id, |key| key.0),
                     deadline,
-                    wanted_by: Time((deadline.0 + class.aim.0).saturating_sub(class.deadline.0)),
+                    wanted_by: Time(
+                        (deadline.0 + class.latency_objective.0).saturating_sub(class.deadline.0),
+                    ),
                     sends: 0,
                     out: 0,
                     may_have_run: false,
@@ -537,7 +541,7 @@
                 let gone = self.requests.remove(&id).is_some_and(|held| held.may_have_run);
                 out.push(self.give_up(id, gone));
             }
-            Event::ClientGone { request } => {
+            Event::ClientDisconnected { request } => {
                 self.requests.remove(&request.0);
             }
             Event::Timer(timer) => {
@@ -545,11 +549,11 @@
                     out.push(Action::Fail { request: bellcroft_balancer::RequestId(timer.0) });
                 }
             }
-            Event::List(update) => {
+            Event::Endpoints(update) => {
                 let (whole, lines) = match update {
-                    ListUpdate::Complete(lines) | ListUpdate::Saved(lines) => (true, lines),
-                    ListUpdate::Changes(lines) => (false, lines),
-                    ListUpdate::Failed => return,
+                    EndpointUpdate::Snapshot(lines) | EndpointUpdate::SavedSnapshot(lines) => (true, lines),
+                    EndpointUpdate::Delta(lines) => (false, lines),
+                    EndpointUpdate::Failed => return,
                 };
                 if whole {
                     self.view.up.clear();
@@ -564,10 +568,10 @@
                 self.view.up.sort_unstable();
                 self.pick.listed(&self.view);
             }
-            Event::Whole { .. }
-            | Event::Spent { .. }
+            Event::BodyComplete { .. }
+            | Event::AttemptsExhausted { .. }
             | Event::FirstByte { .. }
-            | Event::Probed { .. }
+            | Event::HealthChecked { .. }
             | Event::PeerMessage { .. }
             | Event::Fleet(_) => {}
         }
--- a/crates/simulation/src/server.rs
+++ b/crates/simulation/src/server.rs
@@ -2,7 +2,7 @@
 
 use crate::random::Dist;
 use crate::scenario::ReportFaults;
-use bellcroft_balancer::{Span, Time};
+use bellcroft_balancer::{Micros, Time};
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 use std::collections::VecDeque;
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Taken {
     /// A core is on it; it is done after this.
-    Started(Span),
+    Started(Micros),
     /// It waits.
     Queued,
     /// It was turned away unseen.
@@ -35,9 +35,9 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Cold {
     pub share: f64,
-    pub warm_after: Span,
+    pub warm_after: Micros,
     pub overload: f64,
-    pub fall_after: Span,
+    pub fall_after: Micros,
 }
 
 #[derive(Debug)]
@@ -108,7 +108,7 @@
 
     /// What it tells of its load, which may be old, wrong or nothing.
     pub fn report(&mut self, now: Time, faults: &ReportFaults) -> Option<u32> {
-        if now.since(self.told.0) >= Span::from_ms(faults.delay * 1e3) {
+        if now.since(self.told.0) >= Micros::from_ms(faults.delay * 1e3) {
             self.told = (now, self.held() as u32);
         }
         // Nothing is drawn where nothing is wrong.
@@ -233,8 +233,8 @@
         job
     }
 
-    pub fn service(&mut self, now: Time, dist: &Dist, cold: &Cold) -> Span {
+    pub fn service(&mut self, now: Time, dist: &Dist, cold: &Cold) -> Micros {
         let seconds = dist.sample(&mut self.random) * self.pace(self.warmth(now, cold));
-        Span::from_ms(seconds.min(1e6) * 1e3)
+        Micros::from_ms(seconds.min(1e6) * 1e3)
     }
 }
--- a/crates/simulation/tests/deployment.rs
+++ b/crates/simulation/tests/deployment.rs
@@ -1,7 +1,7 @@
 //! Whole deployments: the same seed gives the same run, strange scenarios end, the judge has teeth, and the true module
 //! keeps the rules through troubles.
 
-use bellcroft_balancer::{Action, Event, ListUpdate, RequestId, ServerId, Settings, Time};
+use bellcroft_balancer::{Action, EndpointUpdate, Event, RequestId, ServerId, Settings, Time};
 use bellcroft_simulation::*;
 
 fn class(name: &str, effect: bellcroft_simulation::Effect, window: f64) -> ClassSpec {
@@ -210,7 +210,7 @@
     }
 
     fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
-        if self.how == How::DeafToDrains && matches!(event, Event::List(ListUpdate::Changes(_))) {
+        if self.how == How::DeafToDrains && matches!(event, Event::Endpoints(EndpointUpdate::Delta(_))) {
             return;
         }
         let late = match (&event, self.how) {
@@ -225,12 +225,12 @@
         for mut action in new {
             match (&mut action, self.how) {
                 (Action::Send { request, .. }, How::RefuseWhatIsOut) if request.0 % 10 == 0 => {
-                    let refuse = Action::Refuse { request: *request, retry_after: None };
+                    let refuse = Action::Shed { request: *request, retry_after: None };
                     out.push(action);
                     action = refuse;
                 }
                 (Action::Send { request, .. }, How::Mute) if request.0 % 50 == 0 => continue,
-                (Action::Fail { request } | Action::Refuse { request, .. }, How::Mute)
+                (Action::Fail { request } | Action::Shed { request, .. }, How::Mute)
                     if request.0 % 50 == 0 =>
                 {
                     continue;
@@ -242,7 +242,7 @@
             out.push(action);
         }
         if let Some(id) = late {
-            let (server, by) = (ServerId(3), now + bellcroft_balancer::Span::from_ms(500.0));
+            let (server, by) = (ServerId(3), now + bellcroft_balancer::Micros::from_ms(500.0));
             out.push(Action::Send {
                 request: RequestId(id),
                 attempt: bellcroft_balancer::AttemptNo(0),
--- a/crates/simulation/tests/repeats.rs
+++ b/crates/simulation/tests/repeats.rs
@@ -2,13 +2,13 @@
 
 mod common;
 
-use bellcroft_balancer::{Action, Event, RequestId, ServerId, Span, Time, TimerId};
+use bellcroft_balancer::{Action, Event, Micros, RequestId, ServerId, Time, TimerId};
 use bellcroft_simulation::*;
 use common::{desk, slow};
 
 /// Sends each request to server 0, and once more to server 1 a while later.
 struct Repeats {
-    after: Span,
+    after: Micros,
 }
 
 impl Core for Repeats {
@@ -16,7 +16,7 @@
 
     fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         let mut send = |id: RequestId, server: u32| {
-            let by = now + Span::from_ms(4000.0);
+            let by = now + Micros::from_ms(4000.0);
             out.push(Action::Send {
                 request: id,
                 attempt: bellcroft_balancer::AttemptNo(server),
@@ -70,7 +70,7 @@
         troubles: Vec::new(),
     };
     let core = |_: &bellcroft_balancer::Settings, _: usize| {
-        Ok(Box::new(Repeats { after: Span::from_ms(after * 1e3) }) as Box<dyn Core>)
+        Ok(Box::new(Repeats { after: Micros::from_ms(after * 1e3) }) as Box<dyn Core>)
     };
     play_with(&scenario, 1, core).expect("it plays")
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone)]
 struct Known {
     name: Rc<str>,
-    line: Listed,
+    line: Endpoint,
 }
 
 /// What an open request still waits for, so that its name can be dropped afterwards.
@@ -90,8 +90,8 @@
         }
         let instance = self.instances.get_mut(&who).ok_or("an event came before ATTACH")?;
         let event = match incoming {
-            Incoming::Registry { form, r#ref, .. } => Some(Event::List(match form {
-                wire::Form::Error => ListUpdate::Failed,
+            Incoming::Registry { form, r#ref, .. } => Some(Event::Endpoints(match form {
+                wire::Form::Error => EndpointUpdate::Failed,
                 form => {
                     let number = r#ref.ok_or("REGISTRY names no catalogue")?;
                     let list = self.catalogues.get(&number).ok_or_else(|| {
@@ -99,9 +99,9 @@
                     })?;
                     let lines = instance.intern_list(list);
                     match form {
-                        wire::Form::Partial => ListUpdate::Changes(lines),
-                        wire::Form::Complete => ListUpdate::Complete(lines),
-                        _ => ListUpdate::Saved(lines),
+                        wire::Form::Partial => EndpointUpdate::Delta(lines),
+                        wire::Form::Complete => EndpointUpdate::Snapshot(lines),
+                        _ => EndpointUpdate::SavedSnapshot(lines),
                     }
                 }
             })),
@@ -156,7 +156,7 @@
 
     /// A server's number is a hash of its name, so that balancers mean the same by it when they talk. Should two
     /// names meet in one number, the later one takes the next that is free.
-    fn intern_list(&mut self, list: &[Known]) -> Vec<Listed> {
+    fn intern_list(&mut self, list: &[Known]) -> Vec<Endpoint> {
         list.iter()
             .map(|known| {
                 let server = *self.servers.entry(known.name.clone()).or_insert_with(|| {
@@ -167,7 +167,7 @@
                     self.server_names.insert(ServerId(id), known.name.clone());
                     ServerId(id)
                 });
-                Listed { server, ..known.line.clone() }
+                Endpoint { server, ..known.line.clone() }
             })
             .collect()
     }
@@ -189,9 +189,9 @@
                 Some(Event::Request(Request {
                     tenant: party.map(TenantId),
                     key: affinity.map(|key| KeyId(fnv1a(&key))),
-                    cost_hint: hint.map(Span::from_ms),
-                    repeat: opts & 2 != 0,
-                    ..Request::new(id, ClassId(cls), Span::from_ms(expires_in_ms))
+                    cost_hint: hint.map(Micros::from_ms),
+                    is_retry: opts & 2 != 0,
+                    ..Request::new(id, ClassId(cls), Micros::from_ms(expires_in_ms))
                 }))
             }
             Incoming::FirstByte { ticket, attempt } => self
@@ -206,7 +206,7 @@
                         request: t.id,
                         attempt: AttemptNo(attempt),
                         outcome: outcome(ending),
-                        elapsed: Span::from_ms(time_taken_ms),
+                        elapsed: Micros::from_ms(time_taken_ms),
                         report: gauge,
                         closed: finished,
                     }
@@ -214,7 +214,7 @@
             }
             Incoming::Aborted { ticket } => self.tickets.get_mut(&*ticket).map(|t| {
                 t.ended = true;
-                Event::ClientGone { request: t.id }
+                Event::ClientDisconnected { request: t.id }
             }),
             Incoming::Elapsed { key_back } => Some(Event::Timer(TimerId(key_back))),
             Incoming::Probed { backend, ending, time_taken_ms, gauge } => {
@@ -222,8 +222,8 @@
                     .servers
                     .get(&*backend)
                     .ok_or_else(|| format!("PROBED names backend {backend}, which no list has named"))?;
-                let elapsed = Span::from_ms(time_taken_ms);
-                Some(Event::Probed { server, outcome: outcome(ending), elapsed, report: gauge })
+                let elapsed = Micros::from_ms(time_taken_ms);
+                Some(Event::HealthChecked { server, outcome: outcome(ending), elapsed, report: gauge })
             }
             Incoming::Mail { src_peer, raw } => {
                 Some(Event::PeerMessage { from: PeerId(src_peer), payload: unhex(&raw)? })
@@ -254,10 +254,10 @@
                 let Some((ticket, _)) = self.ticket(request) else { return gone() };
                 Outgoing::Abandon { ticket, attempt: attempt.0 }
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Shed { request, retry_after } => {
                 let Some((ticket, entry)) = self.ticket(request) else { return gone() };
                 entry.ended = true;
-                Outgoing::OverloadReply { ticket, not_before_for_ms: retry_after.map(Span::ms) }
+                Outgoing::OverloadReply { ticket, not_before_for_ms: retry_after.map(Micros::ms) }
             }
             Action::Fail { request } => {
                 let Some((ticket, entry)) = self.ticket(request) else { return gone() };
@@ -265,17 +265,17 @@
                 Outgoing::Abort { ticket }
             }
             Action::SetTimer { at, timer } => Outgoing::Timer { at_ms: at.ms(), key_back: timer.0 },
-            Action::Probe { server } => {
+            Action::HealthCheck { server } => {
                 Outgoing::HealthCheck { backend: backend(server, &self.server_names) }
             }
             Action::CloseIdle { server } => {
                 Outgoing::CloseIdle { backend: backend(server, &self.server_names) }
             }
-            Action::Tell { to, payload } => {
+            Action::SendHint { to, payload } => {
                 Outgoing::Announce { to: to.map_or(-1, |peer| i64::from(peer.0)), raw: hex(&payload) }
             }
-            Action::Follow { active } => Outgoing::Follow { active },
-            Action::FetchList => Outgoing::Pull {},
+            Action::Watch { active } => Outgoing::Follow { active },
+            Action::FetchEndpoints => Outgoing::Pull {},
             Action::Log { text } => Outgoing::NoteDown { what: text },
         }
     }
@@ -304,18 +304,18 @@
     let started = entry.last_start_ms.filter(|ms| *ms > 0.0).map(Time::from_ms);
     Ok(Known {
         name: Rc::from(&*entry.backend),
-        line: Listed {
+        line: Endpoint {
             server: ServerId(0),
             zone: ZoneId(entry.campus),
-            kind: KindId(entry.class_of_host),
-            cell: CellId(entry.cluster),
+            machine_type: MachineTypeId(entry.class_of_host),
+            dedup_group: DedupGroupId(entry.cluster),
             status: match entry.status {
                 wire::EntryStatus::Serving => Status::Serving,
                 wire::EntryStatus::Draining => Status::Draining,
                 wire::EntryStatus::Deleted => Status::Gone,
             },
             weight,
-            started,
+            started_at: started,
         },
     })
 }
--- a/crates/telemetry/src/instance.rs
+++ b/crates/telemetry/src/instance.rs
@@ -7,7 +7,7 @@
 use crate::observer::{Facts, Observer, Rule};
 use crate::registry::{Counter, Family, Gauge, Histogram, Registry, Sample, OTHER};
 use crate::sender;
-use bellcroft_balancer::{Outcome, Settings, Span, Time};
+use bellcroft_balancer::{Micros, Outcome, Settings, Time};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::time::Duration;
@@ -122,7 +122,7 @@
 }
 
 struct ClassSeries {
-    aim: Span,
+    aim: Micros,
     over: [Counter; 4],
     in_flight: Gauge,
     in_wanted: Counter,
@@ -183,7 +183,7 @@
         let registry = Registry::new(about.external);
         let settings = about.settings;
         let mut bounds: Vec<f64> = BOUNDS.to_vec();
-        let wanted = settings.classes.iter().flat_map(|class| [class.aim, class.deadline]);
+        let wanted = settings.classes.iter().flat_map(|class| [class.latency_objective, class.deadline]);
         for bound in wanted.map(|span| span.ms() / 1e3).take(BOUNDS_MOST) {
             if !bounds.contains(&bound) {
                 bounds.push(bound);
@@ -194,7 +194,7 @@
             registry.histogram(&Family { bounds: bounds.clone(), ..family.clone() }, values)
         };
         let classes = about.classes.iter().zip(&settings.classes).map(|(name, class)| ClassSeries {
-            aim: class.aim,
+            aim: class.latency_objective,
             over: Over::ALL.map(|(_, word)| registry.counter(&REQUESTS, &[name, word])),
             in_flight: registry.gauge(&IN_FLIGHT, &[name]),
             in_wanted: registry.counter(&IN_WANTED, &[name]),
@@ -327,7 +327,7 @@
         class: usize,
         server: u32,
         outcome: Outcome,
-        elapsed: Span,
+        elapsed: Micros,
     ) {
         let zone = self.zone(self.zone_of(server));
         zone.out.dec();
@@ -346,7 +346,7 @@
     }
 
     /// A request is over; but for one whose client had left, its answer's last byte has gone out.
-    pub fn over(&self, now: Time, id: u64, class: usize, over: Over, took: Span) {
+    pub fn over(&self, now: Time, id: u64, class: usize, over: Over, took: Micros) {
         let series = &self.classes[class];
         series.in_flight.dec();
         series.over[over as usize].inc();
--- a/crates/telemetry/src/observer.rs
+++ b/crates/telemetry/src/observer.rs
@@ -3,11 +3,11 @@
 //! It knows the rules and the platform's settings, and nothing of how decisions are made: a module that errs is seen
 //! here and not in its own counts. Each rule has a count of breaches and the smallest margin by which it was kept.
 
-use bellcroft_balancer::{Class, Effect, Group, Settings, Span, Time};
+use bellcroft_balancer::{Class, DedupScope, Micros, RetrySafety, Settings, Time};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 /// What sockets and clocks may add to each limit; the platform's own measure (50 ms).
-const SLACK: Span = Span(50_000);
+const SLACK: Micros = Micros(50_000);
 /// Requests that are over are kept for their late bytes, this many at most.
 const OVER_MOST: usize = 2_000;
 /// Sends to a cold server that chance explains, in requests.
@@ -62,24 +62,24 @@
     /// The classes.
     pub classes: Vec<Class>,
     /// The grace of a drain.
-    pub drain_grace: Span,
+    pub drain_grace: Micros,
     /// The share of its capacity that a cold server starts with.
     pub cold_share: f64,
     /// When it is warm.
-    pub warm_after: Span,
+    pub warm_after: Micros,
     /// The multiple of its capacity that pushes a cold server over ...
     pub overload_factor: f64,
     /// ... within this time.
-    pub fall_after: Span,
+    pub fall_after: Micros,
 }
 
 impl From<&Settings> for Facts {
     fn from(s: &Settings) -> Self {
         Facts {
             classes: s.classes.clone(),
-            drain_grace: s.drain_grace,
-            cold_share: s.cold_share,
-            warm_after: s.warm_after,
+            drain_grace: s.drain_grace_period,
+            cold_share: s.initial_capacity,
+            warm_after: s.slow_start_window,
             overload_factor: s.overload_factor,
             fall_after: s.fall_after,
         }
@@ -237,21 +237,21 @@
         let over = request.over;
         let first = request.sent.values().filter(|s| !s.never_ran).min_by_key(|s| s.at);
         let first = first.map(|s| (s.at, s.zone, s.cell));
-        let effect = self.facts.classes[request.class].effect;
+        let effect = self.facts.classes[request.class].retry_safety;
         request.sent.insert(attempt, Sent { at: now, zone, cell, never_ran: false });
         if over {
             self.breach(Rule::Answer);
         }
         let Some((at, first_zone, first_cell)) = first else { return };
         match effect {
-            Effect::Idempotent => {}
-            Effect::AtMostOnce => self.breach(Rule::Effect),
-            Effect::Deduplicated { group, window } => {
+            RetrySafety::Idempotent => {}
+            RetrySafety::AtMostOnce => self.breach(Rule::Effect),
+            RetrySafety::Deduplicated { scope: group, window } => {
                 self.left(Rule::Effect, Self::seconds(now, at + window));
                 let within = match group {
-                    Group::All => true,
-                    Group::Zone => zone == first_zone,
-                    Group::Cell => cell == first_cell,
+                    DedupScope::All => true,
+                    DedupScope::Zone => zone == first_zone,
+                    DedupScope::Group => cell == first_cell,
                 };
                 if !within {
                     self.breach(Rule::Effect);
@@ -272,10 +272,10 @@
         let Some(request) = self.requests.get_mut(&id) else { return self.breach(Rule::Answer) };
         let (twice, deadline) = (std::mem::replace(&mut request.over, true), request.deadline);
         let ran = request.sent.values().any(|s| !s.never_ran);
-        let harmless = match self.facts.classes[request.class].effect {
-            Effect::Idempotent => true,
-            Effect::Deduplicated { group: Group::All, .. } => true,
-            Effect::AtMostOnce | Effect::Deduplicated { .. } => !ran,
+        let harmless = match self.facts.classes[request.class].retry_safety {
+            RetrySafety::Idempotent => true,
+            RetrySafety::Deduplicated { scope: DedupScope::All, .. } => true,
+            RetrySafety::AtMostOnce | RetrySafety::Deduplicated { .. } => !ran,
         };
         if twice {
             return self.breach(Rule::Answer);
--- a/crates/telemetry/tests/instance.rs
+++ b/crates/telemetry/tests/instance.rs
@@ -1,6 +1,6 @@
 //! An instance's series over a long day and under odd names.
 
-use bellcroft_balancer::{Outcome, Settings, Span, Time};
+use bellcroft_balancer::{Micros, Outcome, Settings, Time};
 use bellcroft_telemetry::*;
 use testbed::Store;
 
@@ -47,7 +47,7 @@
         let now = at(u64::from(n) * 8640);
         let name = format!("server-{n}");
         instance.listed(now, line(n, &name, true));
-        instance.ended((u64::from(n), 0), 0, n, Outcome::Success, Span(1000));
+        instance.ended((u64::from(n), 0), 0, n, Outcome::Success, Micros(1000));
         // Eight stand at a time: five have names, three share one.
         if n >= 8 {
             instance.left(now, n - 8);
@@ -74,7 +74,7 @@
     let instance = instance(&classes, &[], 1);
     for (server, name) in [(0, "a"), (1, "b"), (2, "c")] {
         instance.listed(at(1), line(server, name, true));
-        instance.ended((u64::from(server), 0), 0, server, Outcome::Success, Span(1000));
+        instance.ended((u64::from(server), 0), 0, server, Outcome::Success, Micros(1000));
     }
     let of = |name: &str| {
         value(
@@ -91,7 +91,7 @@
     assert_eq!(of("other"), Some(2.0), "what one of many counted stays");
     instance.forget(0);
     instance.listed(at(3), line(3, "d", true));
-    instance.ended((3, 0), 0, 3, Outcome::Success, Span(1000));
+    instance.ended((3, 0), 0, 3, Outcome::Success, Micros(1000));
     assert_eq!((of("a"), of("d")), (None, Some(1.0)));
 }
 
@@ -103,7 +103,7 @@
     let instance = instance(&classes, &tenants, 3);
     instance.listed(at(1), line(0, &"y".repeat(10_000), true));
     instance.taken(1, 2, Some(1), "no \"route\"\n", at(500));
-    instance.over(at(10), 1, 2, Over::Served, Span(9000));
+    instance.over(at(10), 1, 2, Over::Served, Micros(9000));
     let samples = instance.gather(at(20));
     for version in [Version::V1, Version::V2] {
         let mut store = Store::default();
@@ -124,7 +124,7 @@
     let instance = instance(&classes, &[], 0);
     let answer = |id: u64, deadline: u64, now: u64| {
         instance.taken(id, 0, None, "none", at(deadline));
-        instance.over(at(now), id, 0, Over::Served, Span(1000));
+        instance.over(at(now), id, 0, Over::Served, Micros(1000));
     };
     let margin = |samples: &[Sample]| value(samples, "bellcroft_rule_margin_seconds", &[("rule", "answer")]);
     answer(1, 1000, 400);
--- a/crates/telemetry/tests/observer.rs
+++ b/crates/telemetry/tests/observer.rs
@@ -6,21 +6,21 @@
 
 fn settings() -> Settings {
     let class = |effect| Class {
-        effect,
-        aim: Span::from_ms(200.0),
-        deadline: Span::from_ms(800.0),
+        retry_safety: effect,
+        latency_objective: Micros::from_ms(200.0),
+        deadline: Micros::from_ms(800.0),
         ..Class::default()
     };
-    let keyed = |group| Effect::Deduplicated { group, window: Span::from_ms(300.0) };
+    let keyed = |group| RetrySafety::Deduplicated { scope: group, window: Micros::from_ms(300.0) };
     Settings {
         classes: vec![
-            class(Effect::Idempotent),
-            class(keyed(Group::All)),
-            class(keyed(Group::Zone)),
-            class(Effect::AtMostOnce),
+            class(RetrySafety::Idempotent),
+            class(keyed(DedupScope::All)),
+            class(keyed(DedupScope::Zone)),
+            class(RetrySafety::AtMostOnce),
         ],
-        cold_share: 0.2,
-        warm_after: Span::from_ms(4000.0),
+        initial_capacity: 0.2,
+        slow_start_window: Micros::from_ms(4000.0),
         ..Settings::default()
     }
 }
@@ -112,7 +112,7 @@
 #[test]
 fn bytes_to_servers_that_drain_or_that_nobody_named() {
     let mut o = observer();
-    let grace = settings().drain_grace.ms() as u64;
+    let grace = settings().drain_grace_period.ms() as u64;
     o.told(at(0), 1, (1, 1), false, None);
     for (n, ms) in [(1, grace), (2, grace + 50), (3, grace + 51)] {
         o.taken(n, 0, at(60_000));
@@ -190,8 +190,12 @@
     let mut now = at(0);
     let mut actions = Vec::new();
     balancer.start(now, &mut actions);
-    let lines: Vec<Listed> = (0..6)
-        .map(|i| Listed { zone: ZoneId(i % 2), cell: CellId(i), ..Listed::serving(ServerId(i)) })
+    let lines: Vec<Endpoint> = (0..6)
+        .map(|i| Endpoint {
+            zone: ZoneId(i % 2),
+            dedup_group: DedupGroupId(i),
+            ..Endpoint::serving(ServerId(i))
+        })
         .collect();
     let mut timers = BTreeSet::new();
     let mut out: BTreeMap<(u64, u32), (Time, Time)> = BTreeMap::new();
@@ -199,16 +203,20 @@
     let mut classes: BTreeMap<u64, usize> = BTreeMap::new();
     let mut over = BTreeSet::new();
     for line in &lines {
-        observer.told(now, line.server.0, (line.zone.0, line.cell.0), true, None);
+        observer.told(now, line.server.0, (line.zone.0, line.dedup_group.0), true, None);
     }
-    let mut events = vec![Event::List(ListUpdate::Complete(lines.clone()))];
+    let mut events = vec![Event::Endpoints(EndpointUpdate::Snapshot(lines.clone()))];
     for step in 0..4000_u64 {
-        now = now + Span(1000);
+        now = now + Micros(1000);
         if step % 6 == 0 && step < 3000 {
             let class = random.usize(0..4);
             classes.insert(step, class);
-            observer.taken(step, class, now + Span::from_ms(800.0));
-            events.push(Event::Request(Request::new(RequestId(step), ClassId(class), Span::from_ms(800.0))));
+            observer.taken(step, class, now + Micros::from_ms(800.0));
+            events.push(Event::Request(Request::new(
+                RequestId(step),
+                ClassId(class),
+                Micros::from_ms(800.0),
+            )));
         }
         while let Some(&(time, timer)) = timers.first().filter(|(time, _)| *time <= now) {
             timers.remove(&(time, timer));
@@ -232,7 +240,7 @@
                 request: RequestId(key.0),
                 attempt: AttemptNo(key.1),
                 outcome,
-                elapsed: Span(1000),
+                elapsed: Micros(1000),
                 report: None,
                 closed: over.contains(&key.0),
             });
@@ -245,9 +253,9 @@
                         let n = attempts.entry(request.0).or_insert(0);
                         observer.first_byte(now, request.0, *n, server.0);
                         if cheat == Cheat::Repeats {
-                            observer.first_byte(now + Span(1), request.0, *n + 100, (server.0 + 1) % 6);
+                            observer.first_byte(now + Micros(1), request.0, *n + 100, (server.0 + 1) % 6);
                         }
-                        let work = Span(random.u64(1000..150_000));
+                        let work = Micros(random.u64(1000..150_000));
                         out.insert((request.0, *n), (now + work, timeout_at));
                         *n += 1;
                     }
@@ -257,8 +265,8 @@
                         }
                     }
                     Action::SetTimer { at, timer } => drop(timers.insert((at, timer))),
-                    Action::Refuse { request, .. } | Action::Fail { request } if over.insert(request.0) => {
-                        let refused = matches!(action, Action::Refuse { .. });
+                    Action::Shed { request, .. } | Action::Fail { request } if over.insert(request.0) => {
+                        let refused = matches!(action, Action::Shed { .. });
                         if cheat != Cheat::Forgets || classes[&request.0] != 0 {
                             observer.answered(now, request.0, refused);
                         }
--- a/crates/testbed/src/incidents.rs
+++ b/crates/testbed/src/incidents.rs
@@ -9,7 +9,7 @@
 use crate::server::Plan;
 use crate::traffic::{Load, Record, Traffic};
 use crate::world::World;
-use bellcroft_balancer::{Effect, Outcome, Settings, Span, Time};
+use bellcroft_balancer::{Micros, Outcome, RetrySafety, Settings, Time};
 use bellcroft_telemetry::{About, Config, Instance, Line, Over, Owner, Policy, Remote, Url};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -236,7 +236,7 @@
 
 async fn cheating(url: Url, lasts: Duration) {
     let mut settings = Settings::default();
-    settings.classes[0].effect = Effect::AtMostOnce;
+    settings.classes[0].retry_safety = RetrySafety::AtMostOnce;
     let labels = [("instance", "cheat"), ("job", "bellcroft")].map(|(n, v)| (n.to_owned(), v.to_owned()));
     let instance = Rc::new(Instance::new(&About {
         settings: &settings,
@@ -291,14 +291,14 @@
             (true, false) => 2,
         };
         instance.first_byte(at, id, 0, server);
-        instance.ended((id, 0), 0, 0, Outcome::Success, Span(1000));
+        instance.ended((id, 0), 0, 0, Outcome::Success, Micros(1000));
         if cheats {
             instance.first_byte(at, id, 1, 0);
-            instance.ended((id, 1), 0, 0, Outcome::Success, Span(1000));
+            instance.ended((id, 1), 0, 0, Outcome::Success, Micros(1000));
         }
-        instance.over(at, id, 0, Over::Served, Span(1000));
+        instance.over(at, id, 0, Over::Served, Micros(1000));
         if cheats {
-            instance.over(at, id, 0, Over::Served, Span(1000));
+            instance.over(at, id, 0, Over::Served, Micros(1000));
         }
         sleep(Duration::from_millis(20)).await;
     }
--- a/crates/testbed/src/scale/model.rs
+++ b/crates/testbed/src/scale/model.rs
@@ -1,6 +1,6 @@
 //! Membership alone, in the model: what a member sends in the minutes after all have started, whatever the machine.
 
-use bellcroft_balancer::Span;
+use bellcroft_balancer::Micros;
 use bellcroft_membership::{Config, Membership};
 use bellcroft_simulation::fleet::{address, Link, Net, ORIGIN};
 use std::fmt::Write;
@@ -52,7 +52,7 @@
 /// Second by second, so that the record of changes stays small.
 fn play(net: &mut Net<Membership>, seconds: u32) {
     for _ in 0..seconds {
-        net.play(Span::from_ms(1_000.0));
+        net.play(Micros::from_ms(1_000.0));
         net.seen.clear();
     }
 }
