--- a/crates/balancer/src/decisions/reports.rs
+++ b/crates/balancer/src/decisions/reports.rs
@@ -16,7 +16,7 @@
         let Some((id, rest)) = payload.split_first_chunk() else { return };
         let (id, life) = match rest {
             [] => (u32::from_be_bytes(*id), DOUBT_HEARD),
-            [LONE] => (u32::from_be_bytes(*id), DOUBT_LONE),
+            [UNCONFIRMED_HINT] => (u32::from_be_bytes(*id), DOUBT_LONE),
             _ => return,
         };
         if let Some(&s) = self.index.get(&ServerId(id)) {
