--- a/crates/agent/src/cli/check.rs
+++ b/crates/agent/src/cli/check.rs
@@ -75,7 +75,7 @@
     }
     match &config.peering {
         Some((listen, peers)) => {
-            let within = Duration::from_micros(peers.detects_within(peers.expected()).0);
+            let within = Duration::from_micros(peers.detection_bound(peers.expected()).0);
             println!(
                 "membership: member {} of {} in {}, heard at {listen}; one that is killed is known within {:.1} s",
                 peers.number.0,
--- a/crates/agent/src/daemon/config.rs
+++ b/crates/agent/src/daemon/config.rs
@@ -344,7 +344,7 @@
                 seeds: section.seeds.into_iter().filter(|seed| *seed != listen).collect(),
                 instances: count,
                 site: u8::try_from(settings.zone.0).unwrap_or(u8::MAX),
-                duty: section.duty,
+                role: section.duty,
                 ..membership::Config::new(&section.cluster, number, peers)
             };
             Ok((listen, config))
--- a/crates/agent/src/peers/mod.rs
+++ b/crates/agent/src/peers/mod.rs
@@ -8,7 +8,9 @@
 
 use crate::clock::Clock;
 use bellcroft_balancer::{FleetState, PeerId, Signal};
-use bellcroft_membership::{Change, Config, Digest, Figures, Heard, Hearsay, Id, Membership, Output, Stance};
+use bellcroft_membership::{
+    Change, Config, Digest, Id, Membership, Output, PeerReports, QuorumState, ReportVerdict, Stats,
+};
 use bellcroft_net::DatagramSocket;
 use status::{MemberStatus, MembershipStatus, SeenStatus, SiteStatus};
 use std::cell::{Cell, RefCell};
@@ -53,7 +55,7 @@
 pub struct Peers {
     name: String,
     core: RefCell<Membership>,
-    hearsay: RefCell<Hearsay>,
+    hearsay: RefCell<PeerReports>,
     socket: DatagramSocket,
     clock: Clock,
     decisions: Weak<dyn Decisions>,
@@ -147,7 +149,7 @@
     /// Tells the decisions by how many to reckon, if that has changed. Never from within a decision, which holds its own
     /// state: what it tells a peer leaves by [`Peers::turn`] alone.
     fn settle(&self) {
-        let reckoned = self.core.borrow().reckoned(self.clock.now());
+        let reckoned = self.core.borrow().effective_size(self.clock.now());
         if self.reckoned.replace(reckoned) != reckoned {
             if let Some(decisions) = self.decisions.upgrade() {
                 decisions.reckon(reckoned);
@@ -165,17 +167,18 @@
         let Some(decisions) = self.decisions.upgrade() else { return };
         // Of another form, by a newer program perhaps: it says nothing here.
         let Some(name) = hints::read(&payload) else { return };
-        let heard = self.hearsay.borrow_mut().hear(self.clock.now(), from, &payload, decisions.servers());
+        let heard =
+            self.hearsay.borrow_mut().on_report(self.clock.now(), from, &payload, decisions.servers());
         self.count(|counts| counts.heard[heard as usize] += 1);
-        if matches!(heard, Heard::Taken | Heard::Alone) {
-            decisions.hint(PeerId(from.0), name, heard == Heard::Alone);
+        if matches!(heard, ReportVerdict::Accepted | ReportVerdict::Unconfirmed) {
+            decisions.hint(PeerId(from.0), name, heard == ReportVerdict::Unconfirmed);
         }
     }
 
     /// Tells a peer's decisions that the server of this name is doubted here, if that peer is here.
     pub fn tell(&self, to: PeerId, name: &str) {
         let (mut sent, payload) = (false, hints::write(named(name)));
-        self.turn(|core, now, out| sent = core.tell(now, Id(to.0), payload, out));
+        self.turn(|core, now, out| sent = core.send_hint(now, Id(to.0), payload, out));
         self.count(|counts| if sent { counts.told.0 += 1 } else { counts.told.1 += 1 });
     }
 
@@ -186,18 +189,18 @@
             return;
         }
         self.count_in(|digest, now, _| {
-            signs.for_each(|s| digest.saw(now, s.zone.0 as u8, s.latency, s.load))
+            signs.for_each(|s| digest.record_response(now, s.zone.0 as u8, s.latency, s.load))
         });
     }
 
     /// A request has come to this instance.
     pub fn asked(&self) {
-        self.count_in(Digest::asked);
+        self.count_in(Digest::record_request);
     }
 
     /// One of those was refused.
     pub fn refused(&self) {
-        self.count_in(Digest::refused);
+        self.count_in(Digest::record_rejection);
     }
 
     fn count_in(&self, count: impl FnOnce(&mut Digest, bellcroft_balancer::Time, u8)) {
@@ -213,7 +216,7 @@
 
     /// From now on there are to be so many.
     pub fn expect(&self, instances: u32) {
-        self.turn(|core, now, _| core.expect(now, instances));
+        self.turn(|core, now, _| core.set_expected_size(now, instances));
         self.settle();
         self.wake.notify_one();
     }
@@ -224,8 +227,8 @@
     }
 
     /// What the protocol and this side of it have counted.
-    pub fn figures(&self) -> (Figures, Counts) {
-        (self.core.borrow().figures(), self.counts.get())
+    pub fn figures(&self) -> (Stats, Counts) {
+        (self.core.borrow().stats(), self.counts.get())
     }
 
     /// The others by what is held of them.
@@ -247,28 +250,28 @@
             cluster: config.cluster.clone(),
             number: config.number.0,
             listen: self.address().map(|address| address.to_string()).unwrap_or_default(),
-            stance: core.stance().word().to_owned(),
-            reason: reason(core.stance(), here, core.roster()),
+            stance: core.quorum_state().as_str().to_owned(),
+            reason: reason(core.quorum_state(), here, core.roster()),
             here,
             size_error,
             roster: core.roster(),
-            reckoned: core.reckoned(now),
-            doubt: core.doubt(),
+            reckoned: core.effective_size(now),
+            doubt: core.local_health(),
             fleet: SeenStatus::of(core.fleet(now)),
             sites: core.sites().map(|(site, seen)| SiteStatus { site, seen: SeenStatus::of(seen) }).collect(),
             members: core
                 .members()
                 .map(|member| MemberStatus {
                     number: member.id.0,
-                    state: member.state.word().to_owned(),
+                    state: member.state.as_str().to_owned(),
                     since_ms: ago(member.since),
-                    by: member.by.0,
+                    by: member.reported_by.0,
                     address: member.address.to_string(),
                     site: member.site,
-                    duty: format!("{:?}", member.duty).to_lowercase(),
-                    life: member.version.life,
-                    round: member.version.round,
-                    answered_ms: member.answered.map(ago),
+                    duty: format!("{:?}", member.role).to_lowercase(),
+                    life: member.incarnation.epoch,
+                    round: member.incarnation.counter,
+                    answered_ms: member.last_ack.map(ago),
                 })
                 .collect(),
         }
@@ -278,29 +281,29 @@
     fn log(&self, change: &Change) {
         let name = &self.name;
         match change {
-            Change::Member { id, from, to, by, anew } => {
-                let (id, by, from, to) = (id.0, by.0, from.word(), to.word());
+            Change::Member { id, from, to, reported_by: by, restarted: anew } => {
+                let (id, by, from, to) = (id.0, by.0, from.as_str(), to.as_str());
                 let anew = if *anew { ", started anew" } else { "" };
                 info!(
                     target: "bellcroft::membership", member = id, from, to, by,
                     "{name}: member {id} is {to}{anew}"
                 );
             }
-            Change::Stance { from, to, here, roster } => {
+            Change::Quorum { from, to, here, roster } => {
                 let why = reason(*to, *here, *roster);
-                let (from, to) = (from.word(), to.word());
+                let (from, to) = (from.as_str(), to.as_str());
                 info!(target: "bellcroft::membership", from, to, here, roster, "{name}: stance is {to}: {why}");
             }
-            Change::Woke(slept) => warn!(
+            Change::ResumedAfterStall(slept) => warn!(
                 target: "bellcroft::membership", slept_ms = slept.ms(),
                 "{name}: this process stood still for {:.1} s; it accuses nobody until it has heard the others",
                 slept.ms() / 1e3
             ),
-            Change::Twin => warn!(
+            Change::DuplicateIdentity => warn!(
                 target: "bellcroft::membership",
                 "{name}: another process speaks under this one's number; each needs its own"
             ),
-            Change::Stranger(id, address) => warn!(
+            Change::AddressMismatch(id, address) => warn!(
                 target: "bellcroft::membership", member = id.0, %address,
                 "{name}: member {} is spoken for from {address}, which is not its address; that is not heard", id.0
             ),
@@ -309,14 +312,14 @@
 }
 
 /// Why a stance is what it is.
-fn reason(stance: Stance, here: u32, roster: u32) -> String {
+fn reason(stance: QuorumState, here: u32, roster: u32) -> String {
     let counts = format!("{here} of {roster} are here");
     match stance {
-        Stance::Waking => format!("just started, or stood still; {counts} by what it holds"),
-        Stance::Alone if roster <= 1 => "there is to be one".to_owned(),
-        Stance::Alone => format!("nobody else is heard, of {roster}"),
-        Stance::Minority => format!("{counts}, half or less"),
-        Stance::Majority => format!("{counts}, more than half, and a quarter or more is missing"),
-        Stance::Degraded | Stance::Whole => counts,
+        QuorumState::Recovering => format!("just started, or stood still; {counts} by what it holds"),
+        QuorumState::Isolated if roster <= 1 => "there is to be one".to_owned(),
+        QuorumState::Isolated => format!("nobody else is heard, of {roster}"),
+        QuorumState::Minority => format!("{counts}, half or less"),
+        QuorumState::Majority => format!("{counts}, more than half, and a quarter or more is missing"),
+        QuorumState::Degraded | QuorumState::Complete => counts,
     }
 }
--- a/crates/agent/src/telemetry.rs
+++ b/crates/agent/src/telemetry.rs
@@ -4,7 +4,7 @@
 use crate::daemon::config::Config;
 use crate::peers::Peers;
 use bellcroft_balancer::{Micros, RequestId, ServerId};
-use bellcroft_membership::{Refused, Stance, State};
+use bellcroft_membership::{QuorumState, RejectReason, State};
 use bellcroft_operator_config::RemoteWrite;
 use bellcroft_routes::SecondCopy;
 use bellcroft_telemetry::{families, About, Allowed, Instance, Over, Policy, Registry, Version};
@@ -68,33 +68,34 @@
         registry.gauge(family, labels).set(value);
     };
     for (state, count) in STATES.iter().zip(peers.states()) {
-        gauge(&families::MEMBERS, &[state.word()], count as f64);
+        gauge(&families::MEMBERS, &[state.as_str()], count as f64);
     }
     let status = peers.status();
     gauge(&families::MEMBERS_HERE, &[], status.here.into());
     gauge(&families::MEMBERS_RECKONED, &[], status.reckoned.into());
     gauge(&families::MEMBERS_ROSTER, &[], status.roster.into());
-    for stance in Stance::ALL {
-        gauge(&families::STANCE, &[stance.word()], f64::from(stance.word() == status.stance));
+    for stance in QuorumState::ALL {
+        gauge(&families::STANCE, &[stance.as_str()], f64::from(stance.as_str() == status.stance));
     }
     let (figures, counts) = peers.figures();
     let count = |family: &'static Family, label: &str, total: u64| {
         let counter = registry.counter(family, &[label]);
         counter.inc_by((total as f64 - counter.get()).max(0.0));
     };
-    for (word, total) in [("sent", figures.sent.0), ("unsent", counts.unsent), ("taken", figures.taken.0)] {
+    for (word, total) in [("sent", figures.sent.0), ("unsent", counts.unsent), ("taken", figures.accepted.0)]
+    {
         count(&families::MEMBER_DATAGRAMS, word, total);
     }
-    for (word, total) in Refused::WORDS.iter().zip(figures.refused) {
+    for (word, total) in RejectReason::LABELS.iter().zip(figures.rejected) {
         count(&families::MEMBER_DATAGRAMS, word, total);
     }
     count(&families::MEMBER_BYTES, "sent", figures.sent.1);
-    count(&families::MEMBER_BYTES, "taken", figures.taken.1);
+    count(&families::MEMBER_BYTES, "taken", figures.accepted.1);
     count(&families::MEMBER_PROBES, "sent", figures.probes.0);
     count(&families::MEMBER_PROBES, "failed", figures.probes.1);
     for (word, total) in [
-        ("mistaken", figures.mistaken),
-        ("refuted", figures.refuted),
+        ("mistaken", figures.false_deaths),
+        ("refuted", figures.refutations),
         ("stalled", figures.stalls.max(stalls)),
     ] {
         count(&families::MEMBER_EVENTS, word, total);
--- a/crates/agent/tests/peers.rs
+++ b/crates/agent/tests/peers.rs
@@ -1,6 +1,6 @@
 //! What whole programs tell each other of the servers, and what a liar among them can do.
 
-use bellcroft_membership::{encode, Datagram, Duty, Id, Kind, Part, Rumour, State, Version};
+use bellcroft_membership::{encode, Datagram, Id, Incarnation, Message, Part, Role, State, Update};
 use bellcroft_simulation::What;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -97,31 +97,46 @@
     let since = stage.cluster.journal.now();
     let began = tokio::time::Instant::now();
     let life = 1 << 46;
-    let lie = Part { site: 0, weight: 1e6, square: 1.0, took: 1.2e6, full: 1.2e6, asked: 1e6, refused: 1e6 };
+    let lie = Part {
+        site: 0,
+        weight: 1e6,
+        square: 1.0,
+        latency: 1.2e6,
+        load: 1.2e6,
+        requests: 1e6,
+        rejections: 1e6,
+    };
     let cluster = bellcroft_platform_settings::fnv1a("testbed");
     for round in 0..100_u32 {
-        let version = Version { life, round };
+        let version = Incarnation { epoch: life, counter: round };
         let of = round % 9;
-        let claim = |state, life| Rumour {
+        let claim = |state, life| Update {
             id: Id(of),
-            version: Version { life, round: 1 },
+            incarnation: Incarnation { epoch: life, counter: 1 },
             state,
-            by: Id(9),
+            reported_by: Id(9),
             site: 0,
-            duty: Duty::Agent,
+            role: Role::Agent,
             address: None,
         };
         let server = bellcroft_platform_settings::fnv1a(&format!("s{}", round % 4));
         let kinds = [
-            Kind::Hint { payload: server.to_be_bytes().to_vec() },
-            Kind::Digest { parts: Part::write(&[lie]) },
-            Kind::News,
+            Message::Hint { payload: server.to_be_bytes().to_vec() },
+            Message::Digest { parts: Part::encode(&[lie]) },
+            Message::Gossip,
         ];
         for (to, at) in roster.iter().enumerate().take(9) {
             for kind in kinds.clone() {
                 let news = vec![claim(State::Dead, life - 1), claim(State::Alive, life - 2)];
-                let datagram =
-                    Datagram { from: Id(9), version, site: 0, duty: Duty::Agent, kind, fresh: 2, news };
+                let datagram = Datagram {
+                    from: Id(9),
+                    incarnation: version,
+                    site: 0,
+                    role: Role::Agent,
+                    message: kind,
+                    new_updates: 2,
+                    updates: news,
+                };
                 let (bytes, _) = encode(cluster, &datagram);
                 socket.send_to(&bytes, at).await.unwrap_or_else(|e| panic!("to {to}: {e}"));
             }
--- a/crates/experiments/src/members/mod.rs
+++ b/crates/experiments/src/members/mod.rs
@@ -100,7 +100,10 @@
 fn own(members: usize, seed: u64, self_doubt: bool) -> impl Fn(usize, Time) -> Membership {
     let roster: Arc<[SocketAddr]> = (0..members).map(address).collect();
     move |number, now| {
-        let config = Config { self_doubt, ..Config::new("experiments", number as u32, roster.clone()) };
+        let config = Config {
+            local_health_awareness: self_doubt,
+            ..Config::new("experiments", number as u32, roster.clone())
+        };
         let life = WALL + now.since(ORIGIN).0 / 1000;
         Membership::new(config, now, life, seed.wrapping_mul(1 << 20) ^ number as u64)
     }
@@ -111,8 +114,9 @@
     let members = net.running().len();
     net.link = Box::new(move |_, _| Link { loss, ..Link::default() });
     let holders = |net: &Net<P>, of: usize| -> Vec<usize> {
-        let holds =
-            |by: &usize| *by != of && net.peer(*by).and_then(|p| p.holds(of)).is_some_and(State::here);
+        let holds = |by: &usize| {
+            *by != of && net.peer(*by).and_then(|p| p.holds(of)).is_some_and(State::is_reachable)
+        };
         net.running().into_iter().filter(holds).collect()
     };
     let mut killed = Vec::new();
--- a/crates/experiments/src/members/plain.rs
+++ b/crates/experiments/src/members/plain.rs
@@ -107,7 +107,13 @@
         }
         for (number, to) in wanted.changes {
             let (id, by) = (Id(number), Id(self.own));
-            out.push(Output::Change(Change::Member { id, from: State::Absent, to, by, anew: false }));
+            out.push(Output::Change(Change::Member {
+                id,
+                from: State::Absent,
+                to,
+                reported_by: by,
+                restarted: false,
+            }));
         }
     }
 }
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -1,6 +1,6 @@
 //! What an instance's membership goes by.
 
-use crate::member::{Duty, Id};
+use crate::member::{Id, Role};
 use bellcroft_balancer::Micros;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,23 +22,23 @@
     /// Its site.
     pub site: u8,
     /// What it is for.
-    pub duty: Duty,
+    pub role: Role,
     /// From one probe to the next.
-    pub probe_every: Micros,
+    pub probe_interval: Micros,
     /// A probe has failed that was not answered for so many periods.
-    pub patience: f64,
+    pub probe_timeout_periods: f64,
     /// A suspicion lasts at least this many periods for each power of ten of the fleet's size ...
-    pub suspicion_least: f64,
+    pub min_suspicion_periods: f64,
     /// ... and at most this many times as long, where nobody else shares it.
-    pub suspicion_most: f64,
+    pub max_suspicion_factor: f64,
     /// Members that are held at most; where there are more, they are a sample.
-    pub view_most: usize,
+    pub max_members: usize,
     /// Numbers of the fleet's size are believed for this long after they were last seen.
-    pub believe_for: Micros,
+    pub size_retention: Micros,
     /// Members that are not in the roster are forgotten this long after their end.
-    pub forget_after: Micros,
+    pub member_retention: Micros,
     /// Local health awareness; only comparisons switch it off.
-    pub self_doubt: bool,
+    pub local_health_awareness: bool,
 }
 
 impl Config {
@@ -52,26 +52,26 @@
             roster,
             seeds: Vec::new(),
             site: 0,
-            duty: Duty::Agent,
-            probe_every: Micros::from_ms(500.0),
-            patience: 3.0,
-            suspicion_least: 3.0,
-            suspicion_most: 3.0,
-            view_most: 256,
-            believe_for: Micros::from_ms(60_000.0),
-            forget_after: Micros::from_ms(600_000.0),
-            self_doubt: true,
+            role: Role::Agent,
+            probe_interval: Micros::from_ms(500.0),
+            probe_timeout_periods: 3.0,
+            min_suspicion_periods: 3.0,
+            max_suspicion_factor: 3.0,
+            max_members: 256,
+            size_retention: Micros::from_ms(60_000.0),
+            member_retention: Micros::from_ms(600_000.0),
+            local_health_awareness: true,
         }
     }
 
     /// Without an event for this long, the process itself has stood still.
-    pub fn stall(&self) -> Micros {
-        (self.probe_every * 2.0).max(Micros::from_ms(1000.0))
+    pub fn stall_threshold(&self) -> Micros {
+        (self.probe_interval * 2.0).max(Micros::from_ms(1000.0))
     }
 
     /// Whoever has just started, or woken, speaks of nobody for this long.
-    pub fn settle(&self) -> Micros {
-        self.probe_every * 6.0
+    pub fn recovery_time(&self) -> Micros {
+        self.probe_interval * 6.0
     }
 
     /// How many instances there are to be.
@@ -82,9 +82,10 @@
     /// An upper bound of the time after which a member that is killed is dead to all others of a fleet of this size, with
     /// healthy links: it is probed within two periods, the probe fails, the suspicion runs out, and the word is passed
     /// on, which takes a period a doubling.
-    pub fn detects_within(&self, members: u32) -> Micros {
+    pub fn detection_bound(&self, members: u32) -> Micros {
         let size = f64::from(members.max(2));
-        let suspicion = self.suspicion_least * size.log10().max(1.0) * self.suspicion_most;
-        self.probe_every * (2.0 + self.patience + suspicion + size.log2().ceil() + self.patience)
+        let suspicion = self.min_suspicion_periods * size.log10().max(1.0) * self.max_suspicion_factor;
+        self.probe_interval
+            * (2.0 + self.probe_timeout_periods + suspicion + size.log2().ceil() + self.probe_timeout_periods)
     }
 }
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -21,7 +21,7 @@
 /// What was seen counts for e^-1 after this.
 const LIFE_MS: f64 = 250.0;
 /// Sites that are told of at most, the weightiest first.
-pub const SITES_MOST: usize = 6;
+pub const MAX_SITES: usize = 6;
 /// Where less weight than this is held, nothing is told.
 const LEAST: f64 = 0.02;
 /// As many signs as a digest can count for, however many have seen the same.
@@ -46,23 +46,23 @@
     /// The squares of the weights that it is made of: `weight`² over it is the number of answers that it counts for.
     pub square: f32,
     /// What they took, as shares of their aims.
-    pub took: f32,
+    pub latency: f32,
     /// What their servers' load speaks for, likewise.
-    pub full: f32,
+    pub load: f32,
     /// Requests that came to instances of the site ...
-    pub asked: f32,
+    pub requests: f32,
     /// ... and those that they refused.
-    pub refused: f32,
+    pub rejections: f32,
 }
 
 impl Part {
     /// Some of them as bytes.
-    pub fn write(parts: &[Part]) -> Vec<u8> {
+    pub fn encode(parts: &[Part]) -> Vec<u8> {
         postcard::to_stdvec(parts).unwrap_or_default()
     }
 
     /// Reads them back; none if they are no such bytes.
-    pub fn read(bytes: &[u8]) -> Option<Vec<Part>> {
+    pub fn decode(bytes: &[u8]) -> Option<Vec<Part>> {
         postcard::from_bytes(bytes).ok()
     }
 }
@@ -96,13 +96,13 @@
 
 /// What became of a hand-over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
+pub enum MergeOutcome {
     /// It counts.
-    Whole,
+    Complete,
     /// It was heavier than what this instance has to set against it, and counts as much as that.
-    Cut,
+    Partial,
     /// This peer hands over too often, or what no answers can have shown.
-    Refused,
+    Rejected,
 }
 
 /// One instance's part of the digest.
@@ -132,20 +132,20 @@
     }
 
     /// An answer of a server of this site took so many of its aim, and what its server held speaks for so many.
-    pub fn saw(&mut self, now: Time, site: u8, took: f64, full: f64) {
+    pub fn record_response(&mut self, now: Time, site: u8, took: f64, full: f64) {
         self.fade(now);
         let (took, full) = (took.clamp(0.0, AIMS_MOST), full.clamp(0.0, AIMS_MOST));
         self.sites.entry(site).or_default().add(&Sums([1.0, 1.0, took, full, 0.0, 0.0]));
     }
 
     /// A request came to this instance of this site.
-    pub fn asked(&mut self, now: Time, site: u8) {
+    pub fn record_request(&mut self, now: Time, site: u8) {
         self.fade(now);
         self.sites.entry(site).or_default().add(&Sums([0.0, 0.0, 0.0, 0.0, 1.0, 0.0]));
     }
 
     /// One of those was refused.
-    pub fn refused(&mut self, now: Time, site: u8) {
+    pub fn record_rejection(&mut self, now: Time, site: u8) {
         self.fade(now);
         self.sites.entry(site).or_default().add(&Sums([0.0, 0.0, 0.0, 0.0, 0.0, 1.0]));
     }
@@ -156,52 +156,64 @@
     }
 
     /// Whether there is anything to hand over.
-    pub fn holds(&self, now: Time) -> bool {
+    pub fn has_data(&self, now: Time) -> bool {
         let left = self.left(now);
         self.sites.values().any(|sums| sums.0[0].max(sums.0[4]) * left > LEAST)
     }
 
     /// Half of what is held, to be handed to one peer; this instance keeps the other half.
-    pub fn give(&mut self, now: Time) -> Vec<Part> {
+    pub fn split_half(&mut self, now: Time) -> Vec<Part> {
         self.fade(now);
         let mut heaviest: Vec<(u8, f64)> =
             self.sites.iter().map(|(site, sums)| (*site, sums.0[0].max(sums.0[4]))).collect();
         heaviest.retain(|(_, weight)| *weight > LEAST);
         heaviest.sort_by(|a, b| b.1.total_cmp(&a.1));
-        heaviest.truncate(SITES_MOST);
+        heaviest.truncate(MAX_SITES);
         let mut parts = Vec::with_capacity(heaviest.len());
         for (site, _) in heaviest {
             let Some(sums) = self.sites.get_mut(&site) else { continue };
             sums.scale(0.5);
             let [weight, square, took, full, asked, refused] = sums.0.map(|sum| sum as f32);
-            parts.push(Part { site, weight, square, took, full, asked, refused });
+            parts.push(Part {
+                site,
+                weight,
+                square,
+                latency: took,
+                load: full,
+                requests: asked,
+                rejections: refused,
+            });
         }
         parts
     }
 
     /// A peer hands over, one of so many members.
-    pub fn take(&mut self, now: Time, from: Id, parts: &[Part], members: usize) -> Taken {
-        if !self.may(now, from, members) || parts.len() > SITES_MOST {
-            return Taken::Refused;
+    pub fn merge(&mut self, now: Time, from: Id, parts: &[Part], members: usize) -> MergeOutcome {
+        if !self.may(now, from, members) || parts.len() > MAX_SITES {
+            return MergeOutcome::Rejected;
         }
         let sane = |part: &Part| {
-            let Part { weight, square, took, full, asked, refused, .. } = *part;
+            let Part {
+                weight, square, latency: took, load: full, requests: asked, rejections: refused, ..
+            } = *part;
             let sums = [weight, square, took, full, asked, refused];
             let most = weight * AIMS_MOST as f32 * 1.001;
             sums.iter().all(|sum| sum.is_finite() && *sum >= 0.0) && took <= most && full <= most
         };
         if !parts.iter().all(sane) {
-            return Taken::Refused;
+            return MergeOutcome::Rejected;
         }
         self.fade(now);
         let held = self.sites.values().fold((0.0, 0.0), |(w, a), sums| (w + sums.0[0], a + sums.0[4]));
         let told = parts
             .iter()
-            .fold((0.0, 0.0), |(w, a), part| (w + f64::from(part.weight), a + f64::from(part.asked)));
+            .fold((0.0, 0.0), |(w, a), part| (w + f64::from(part.weight), a + f64::from(part.requests)));
         let cut = |told: f64, held: f64| ((held * HEAVIEST).max(1.0) / told.max(1e-9)).min(1.0);
         let by = cut(told.0, held.0).min(cut(told.1, held.1));
         for part in parts {
-            let Part { weight, square, took, full, asked, refused, .. } = *part;
+            let Part {
+                weight, square, latency: took, load: full, requests: asked, rejections: refused, ..
+            } = *part;
             // Nothing counts for more answers than can be, nor for less than one.
             let least = f64::from(weight).powi(2) / SURE_MOST;
             let square = f64::from(square).clamp(least, f64::from(weight).max(least));
@@ -211,9 +223,9 @@
             self.sites.entry(part.site).or_default().add(&more);
         }
         if by < 1.0 {
-            Taken::Cut
+            MergeOutcome::Partial
         } else {
-            Taken::Whole
+            MergeOutcome::Complete
         }
     }
 
@@ -241,7 +253,7 @@
     }
 
     /// How long to wait for the next hand-over.
-    pub fn every(&self, now: Time) -> Micros {
+    pub fn interval(&self, now: Time) -> Micros {
         let state = self.fleet(now);
         if state.latency.max(state.load) > BUSY || state.shed > REFUSED {
             EVERY_BUSY
--- a/crates/membership/src/rumours.rs
+++ b/crates/membership/src/dissemination.rs
@@ -1,7 +1,7 @@
 //! What is to be passed on, and how often yet.
 
-use crate::member::{Id, State, Version};
-use crate::wire::Rumour;
+use crate::member::{Id, Incarnation, State};
+use crate::wire::Update;
 use bellcroft_balancer::{Micros, Time};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
@@ -13,26 +13,26 @@
 const ACCUSED_FOR: Micros = Micros(10_000_000);
 
 #[derive(Debug, Clone)]
-struct Waiting {
-    rumour: Rumour,
+struct Pending {
+    rumour: Update,
     told: u32,
     since: Time,
 }
 
 /// What is to be passed on: one word a member, the latest.
 #[derive(Debug, Default)]
-pub(crate) struct Rumours {
-    waiting: HashMap<Id, Waiting>,
+pub(crate) struct Dissemination {
+    waiting: HashMap<Id, Pending>,
     /// The same by how often they were told.
     queue: BTreeSet<(u32, Id)>,
-    passed: HashMap<Id, (Version, State)>,
+    passed: HashMap<Id, (Incarnation, State)>,
     order: VecDeque<Id>,
 }
 
-impl Rumours {
+impl Dissemination {
     /// Passes this on from now on, unless it or something later has been passed on already.
-    pub fn add(&mut self, now: Time, rumour: Rumour) -> bool {
-        let (id, word) = (rumour.id, (rumour.version, rumour.state));
+    pub fn disseminate(&mut self, now: Time, rumour: Update) -> bool {
+        let (id, word) = (rumour.id, (rumour.incarnation, rumour.state));
         if self.passed.get(&id).is_some_and(|last| *last >= word) {
             return false;
         }
@@ -44,18 +44,18 @@
                 }
             }
         }
-        self.silence(id);
-        self.waiting.insert(id, Waiting { rumour, told: 0, since: now });
+        self.cancel(id);
+        self.waiting.insert(id, Pending { rumour, told: 0, since: now });
         self.queue.insert((0, id));
         if self.waiting.len() > WAITING_MOST {
             let tired = self.queue.last().copied();
-            tired.into_iter().for_each(|(_, id)| self.silence(id));
+            tired.into_iter().for_each(|(_, id)| self.cancel(id));
         }
         true
     }
 
     /// No longer passes on what was said of a member.
-    pub fn silence(&mut self, id: Id) {
+    pub fn cancel(&mut self, id: Id) {
         if let Some(waiting) = self.waiting.remove(&id) {
             self.queue.remove(&(waiting.told, id));
         }
@@ -63,13 +63,13 @@
 
     /// No longer passes on what was said of a member, and the same word may become news again.
     pub fn drop(&mut self, id: Id) {
-        self.silence(id);
+        self.cancel(id);
         // Before any word: taking it out would have its place in the order looked for.
-        self.passed.entry(id).and_modify(|word| *word = (Version::default(), State::Absent));
+        self.passed.entry(id).and_modify(|word| *word = (Incarnation::default(), State::Absent));
     }
 
     /// The rumours that were told least, this many at most, in the order to send them.
-    pub fn pick(&mut self, now: Time, most: usize) -> Vec<Rumour> {
+    pub fn next_updates(&mut self, now: Time, most: usize) -> Vec<Update> {
         let accuses = |state| matches!(state, State::Suspect | State::Dead);
         let (mut picked, mut over) = (Vec::with_capacity(most), Vec::new());
         for (_, id) in &self.queue {
@@ -82,12 +82,12 @@
                 picked.push(waiting.rumour.clone());
             }
         }
-        over.into_iter().for_each(|id| self.silence(id));
+        over.into_iter().for_each(|id| self.cancel(id));
         picked
     }
 
     /// These have been told once more; what has been told often enough is done with.
-    pub fn told(&mut self, rumours: &[Rumour], enough: u32) {
+    pub fn on_sent(&mut self, rumours: &[Update], enough: u32) {
         for rumour in rumours {
             let Some(waiting) = self.waiting.get_mut(&rumour.id) else { continue };
             self.queue.remove(&(waiting.told, rumour.id));
@@ -101,8 +101,8 @@
     }
 
     /// Drops all accusations: whoever slept or was alone has nothing to accuse others of.
-    pub fn forget_accusations(&mut self) {
-        let accused = |w: &Waiting| matches!(w.rumour.state, State::Suspect | State::Dead);
+    pub fn cancel_accusations(&mut self) {
+        let accused = |w: &Pending| matches!(w.rumour.state, State::Suspect | State::Dead);
         let gone: Vec<Id> = self.waiting.iter().filter(|(_, w)| accused(w)).map(|(id, _)| *id).collect();
         gone.into_iter().for_each(|id| self.drop(id));
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -15,24 +15,26 @@
 
 mod config;
 mod digest;
-mod figures;
-mod hearsay;
+mod dissemination;
 mod member;
-mod rumours;
-mod stance;
+mod merge;
+mod peer_reports;
+mod quorum;
+mod stats;
 mod suspicion;
 mod swim;
 mod view;
 mod wire;
-mod words;
 
 pub use config::Config;
-pub use digest::{Digest, Part, Taken, SITES_MOST};
-pub use figures::{Figures, Refused};
-pub use hearsay::{Heard, Hearsay};
-pub use member::{Duty, Id, Member, State, Version};
-pub use stance::{Fleet, Stance};
+pub use digest::{Digest, MergeOutcome, Part, MAX_SITES};
+pub use member::{Id, Incarnation, Member, Role, State};
+pub use merge::{compare, refute, Precedence};
+pub use peer_reports::{PeerReports, ReportVerdict};
+pub use quorum::{FleetSize, QuorumState};
+pub use stats::{RejectReason, Stats};
 pub use swim::{Change, Membership, Output};
 pub use view::View;
-pub use wire::{decode, encode, Datagram, Kind, Rumour, WireError, DATAGRAM_MOST, HINT_MOST, VERSION};
-pub use words::{defend, weigh, Worth};
+pub use wire::{
+    decode, encode, Datagram, Message, Update, WireError, MAX_DATAGRAM_BYTES, MAX_HINT_BYTES, VERSION,
+};
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -10,19 +10,19 @@
 
 /// Which word on a member is the later one: first by its life, then by how often it has spoken up in that life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
-pub struct Version {
+pub struct Incarnation {
     /// When its process started, in Unix milliseconds by its own clock, or later where a former life claims that.
-    pub life: u64,
+    pub epoch: u64,
     /// How often it has refuted what was said of it.
-    pub round: u32,
+    pub counter: u32,
 }
 
 /// Lives from here on are refused: no clock shows them, and nothing could go past them.
-pub(crate) const LIFE_MOST: u64 = 1 << 47;
+pub(crate) const MAX_EPOCH: u64 = 1 << 47;
 
 /// What a member is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Duty {
+pub enum Role {
     /// It serves an application.
     Agent,
     /// It watches and takes no requests.
@@ -46,7 +46,7 @@
 
 impl State {
     /// One word for it.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             State::Absent => "absent",
             State::Alive => "alive",
@@ -57,7 +57,7 @@
     }
 
     /// It counts as there: an accused member is, until it is dead.
-    pub fn here(self) -> bool {
+    pub fn is_reachable(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
 }
@@ -68,19 +68,19 @@
     /// Its number.
     pub id: Id,
     /// The latest that is known of it.
-    pub version: Version,
+    pub incarnation: Incarnation,
     /// What is held of it.
     pub state: State,
     /// Since when.
     pub since: Time,
     /// By whose word; its own for what it said itself.
-    pub by: Id,
+    pub reported_by: Id,
     /// Where it is reached.
     pub address: SocketAddr,
     /// Its site, as the platform's settings number them.
     pub site: u8,
     /// What it is for.
-    pub duty: Duty,
+    pub role: Role,
     /// When it last answered a probe from here.
-    pub answered: Option<Time>,
+    pub last_ack: Option<Time>,
 }
--- a/crates/membership/src/hearsay.rs
+++ b/crates/membership/src/peer_reports.rs
@@ -20,20 +20,20 @@
 
 /// What becomes of a hint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
+pub enum ReportVerdict {
     /// The decisions hear it.
-    Taken,
+    Accepted,
     /// This peer says too much.
-    TooOften,
+    RateLimited,
     /// So many servers are doubted by hearsay already that this one's would make them more than a quarter.
-    TooMany,
+    TooManyServers,
     /// Nobody else says so: it may be that peer's link. The decisions hear it as a lone word, which lasts a moment.
-    Alone,
+    Unconfirmed,
 }
 
 /// What is said of one server.
 #[derive(Debug, Default)]
-struct Word {
+struct ServerReports {
     witnesses: Vec<(Id, Time)>,
     /// The decisions were told, last at this time and by this one's word.
     told: Option<(Time, Id)>,
@@ -47,14 +47,14 @@
 ///
 /// A hint names a server by some bytes, the same at all members.
 #[derive(Debug, Default)]
-pub struct Hearsay {
+pub struct PeerReports {
     peers: BTreeMap<Id, (Time, f64)>,
-    words: BTreeMap<Vec<u8>, Word>,
+    words: BTreeMap<Vec<u8>, ServerReports>,
 }
 
-impl Hearsay {
+impl PeerReports {
     /// Weighs a hint of a peer; so many servers are listed.
-    pub fn hear(&mut self, now: Time, from: Id, payload: &[u8], servers: usize) -> Heard {
+    pub fn on_report(&mut self, now: Time, from: Id, payload: &[u8], servers: usize) -> ReportVerdict {
         if self.peers.len() >= PEERS_MOST {
             let full = Micros((HINT_EVERY.0 as f64 * HINTS_MOST) as u64);
             self.peers.retain(|_, (at, _)| now.since(*at) < full);
@@ -63,7 +63,7 @@
         *left = (*left + now.since(*at).ms() / HINT_EVERY.ms()).min(HINTS_MOST);
         *at = now;
         if *left < 1.0 {
-            return Heard::TooOften;
+            return ReportVerdict::RateLimited;
         }
         *left -= 1.0;
         let stands = |at: &Time| now.since(*at) < STANDS_FOR;
@@ -72,7 +72,7 @@
             word.told = word.told.filter(|(at, _)| stands(at));
             !word.witnesses.is_empty() || word.told.is_some()
         });
-        let lone = |word: &Word| word.lone.is_some_and(|at| now.since(at) < LONE_FOR);
+        let lone = |word: &ServerReports| word.lone.is_some_and(|at| now.since(at) < LONE_FOR);
         let doubted =
             self.words.iter().filter(|(name, word)| *name != payload && (word.told.is_some() || lone(word)));
         let doubted = doubted.count();
@@ -84,13 +84,13 @@
         // A doubt goes on by any other one's word: nobody keeps it up alone.
         let renews = word.told.is_some_and(|(_, by)| by != from);
         if word.told.is_none() && (doubted + 1) * 4 > servers.max(4) {
-            return Heard::TooMany;
+            return ReportVerdict::TooManyServers;
         }
         if word.witnesses.len() < WITNESSES && !renews {
             word.lone = Some(now);
-            return Heard::Alone;
+            return ReportVerdict::Unconfirmed;
         }
         word.told = Some((now, from));
-        Heard::Taken
+        ReportVerdict::Accepted
     }
 }
--- a/crates/membership/src/stance.rs
+++ b/crates/membership/src/quorum.rs
@@ -6,11 +6,11 @@
 /// What an instance states of itself, by how many of the known roster are there. `docs/design/membership.md` has the
 /// table of what each subsystem does in each.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stance {
+pub enum QuorumState {
     /// It has just started, or stood still, and knows nothing for sure.
-    Waking,
+    Recovering,
     /// Nobody else is there.
-    Alone,
+    Isolated,
     /// Half of the roster or less is there.
     Minority,
     /// More than half of it is there, and a quarter or more is not.
@@ -18,23 +18,29 @@
     /// Less than a quarter of it is missing.
     Degraded,
     /// All are there.
-    Whole,
+    Complete,
 }
 
-impl Stance {
+impl QuorumState {
     /// All of them, in the order of how much is known.
-    pub const ALL: [Stance; 6] =
-        [Stance::Waking, Stance::Alone, Stance::Minority, Stance::Majority, Stance::Degraded, Stance::Whole];
+    pub const ALL: [QuorumState; 6] = [
+        QuorumState::Recovering,
+        QuorumState::Isolated,
+        QuorumState::Minority,
+        QuorumState::Majority,
+        QuorumState::Degraded,
+        QuorumState::Complete,
+    ];
 
     /// One word for it.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
-            Stance::Waking => "waking",
-            Stance::Alone => "alone",
-            Stance::Minority => "minority",
-            Stance::Majority => "majority",
-            Stance::Degraded => "degraded",
-            Stance::Whole => "whole",
+            QuorumState::Recovering => "waking",
+            QuorumState::Isolated => "alone",
+            QuorumState::Minority => "minority",
+            QuorumState::Majority => "majority",
+            QuorumState::Degraded => "degraded",
+            QuorumState::Complete => "whole",
         }
     }
 
@@ -44,15 +50,15 @@
         let missing = u64::from(expected.saturating_sub(here));
         let expected = u64::from(expected);
         if missing == 0 {
-            Stance::Whole
+            QuorumState::Complete
         } else if here <= 1 {
-            Stance::Alone
+            QuorumState::Isolated
         } else if missing * 2 >= expected {
-            Stance::Minority
+            QuorumState::Minority
         } else if missing * 4 >= expected {
-            Stance::Majority
+            QuorumState::Majority
         } else {
-            Stance::Degraded
+            QuorumState::Degraded
         }
     }
 }
@@ -62,21 +68,21 @@
 /// A share of something that is counted for the whole fleet is one over this. It shrinks at once when members come, and
 /// grows only when fewer have been believed for the stated time; never past the roster's share.
 #[derive(Debug, Clone)]
-pub struct Fleet {
+pub struct FleetSize {
     roster: u32,
     keep: Micros,
     /// Sizes that may be the largest yet, falling, each with when it was last seen.
     sizes: VecDeque<(Time, u32)>,
 }
 
-impl Fleet {
+impl FleetSize {
     /// By a roster of this many.
     pub fn new(roster: u32, keep: Micros) -> Self {
-        Fleet { roster: roster.max(1), keep, sizes: VecDeque::new() }
+        FleetSize { roster: roster.max(1), keep, sizes: VecDeque::new() }
     }
 
     /// So many are believed now.
-    pub fn believe(&mut self, now: Time, size: u32) {
+    pub fn observe(&mut self, now: Time, size: u32) {
         while self.sizes.back().is_some_and(|(_, last)| *last <= size) {
             self.sizes.pop_back();
         }
@@ -91,10 +97,10 @@
     }
 
     /// The roster, which a reload may change: more count at once, fewer after the stated time.
-    pub fn expect(&mut self, now: Time, roster: u32) {
+    pub fn set_roster(&mut self, now: Time, roster: u32) {
         if roster < self.roster {
             let former = self.roster;
-            self.believe(now, former);
+            self.observe(now, former);
         }
         self.roster = roster.max(1);
     }
@@ -105,7 +111,7 @@
     }
 
     /// What to reckon by.
-    pub fn reckoned(&self, now: Time) -> u32 {
+    pub fn effective(&self, now: Time) -> u32 {
         let lately = |(at, _): &&(Time, u32)| now.since(*at) <= self.keep;
         self.sizes.iter().filter(lately).map(|(_, size)| *size).max().unwrap_or(1).max(self.roster)
     }
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -1,15 +1,15 @@
 //! The protocol: probes, accusations, refutations, news.
 
 use crate::config::Config;
-use crate::digest::{Digest, Part, Taken};
-use crate::figures::{Figures, Refused};
-use crate::member::{Duty, Id, Member, State, Version, LIFE_MOST};
-use crate::rumours::Rumours;
-use crate::stance::{Fleet, Stance};
+use crate::digest::{Digest, MergeOutcome, Part};
+use crate::dissemination::Dissemination;
+use crate::member::{Id, Incarnation, Member, Role, State, MAX_EPOCH};
+use crate::merge::{compare, refute, Precedence};
+use crate::quorum::{FleetSize, QuorumState};
+use crate::stats::{RejectReason, Stats};
 use crate::suspicion::Suspicion;
 use crate::view::View;
-use crate::wire::{decode, encode, Datagram, Kind, Rumour, HINT_MOST};
-use crate::words::{defend, weigh, Worth};
+use crate::wire::{decode, encode, Datagram, Message, Update, MAX_HINT_BYTES};
 use bellcroft_balancer::{FleetState, Micros, Time};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -56,27 +56,27 @@
         /// What is held of it now.
         to: State,
         /// By whose word.
-        by: Id,
-        /// It has started anew.
-        anew: bool,
+        reported_by: Id,
+        /// It has restarted.
+        restarted: bool,
     },
     /// This instance's stance.
-    Stance {
+    Quorum {
         /// It was.
-        from: Stance,
+        from: QuorumState,
         /// It is.
-        to: Stance,
+        to: QuorumState,
         /// Members here, this one among them.
         here: u32,
         /// How many there are to be.
         roster: u32,
     },
     /// This process had stood still for so long, and has just noticed.
-    Woke(Micros),
+    ResumedAfterStall(Micros),
     /// Another process speaks under this one's number.
-    Twin,
+    DuplicateIdentity,
     /// A number is spoken for from an address that is not its own.
-    Stranger(Id, SocketAddr),
+    AddressMismatch(Id, SocketAddr),
 }
 
 /// What is to be done.
@@ -118,10 +118,10 @@
 pub struct Membership {
     config: Config,
     cluster: u64,
-    version: Version,
+    version: Incarnation,
     rng: fastrand::Rng,
     view: View,
-    rumours: Rumours,
+    rumours: Dissemination,
     /// What is heard now is to be passed on: it is no sample, which everybody could hear for ever.
     retells: bool,
     probes: BTreeMap<u32, Probe>,
@@ -149,38 +149,38 @@
     heard: Time,
     /// How much this instance doubts its own hearing.
     doubt: u32,
-    stance: Stance,
-    fleet: Fleet,
+    stance: QuorumState,
+    fleet: FleetSize,
     leaving: bool,
     twin_told: bool,
     strangers: BTreeSet<(Id, SocketAddr)>,
-    figures: Figures,
+    figures: Stats,
 }
 
 impl Membership {
     /// A member that starts now. `life` is the wall clock in Unix milliseconds.
     pub fn new(config: Config, now: Time, life: u64, seed: u64) -> Self {
-        let mut view = View::new(config.number, config.view_most);
-        view.fill(config.roster.iter().enumerate().map(|(number, address)| {
+        let mut view = View::new(config.number, config.max_members);
+        view.add_roster(config.roster.iter().enumerate().map(|(number, address)| {
             let id = Id(number as u32);
             Member {
                 id,
-                version: Version::default(),
+                incarnation: Incarnation::default(),
                 state: State::Absent,
                 since: now,
-                by: id,
+                reported_by: id,
                 address: *address,
                 site: 0,
-                duty: config.duty,
-                answered: None,
+                role: config.role,
+                last_ack: None,
             }
         }));
         Membership {
             cluster: bellcroft_platform_settings::fnv1a(&config.cluster),
-            version: Version { life: life.min(LIFE_MOST - 1), round: 0 },
+            version: Incarnation { epoch: life.min(MAX_EPOCH - 1), counter: 0 },
             rng: fastrand::Rng::with_seed(seed),
             view,
-            rumours: Rumours::default(),
+            rumours: Dissemination::default(),
             retells: true,
             probes: BTreeMap::new(),
             relays: BTreeMap::new(),
@@ -196,16 +196,16 @@
             digest: Digest::default(),
             next_share: now,
             last: now,
-            waking_until: now + config.settle(),
+            waking_until: now + config.recovery_time(),
             woke: false,
             heard: now,
             doubt: 0,
-            stance: Stance::Waking,
-            fleet: Fleet::new(config.expected(), config.believe_for),
+            stance: QuorumState::Recovering,
+            fleet: FleetSize::new(config.expected(), config.size_retention),
             leaving: false,
             twin_told: false,
             strangers: BTreeSet::new(),
-            figures: Figures::default(),
+            figures: Stats::default(),
             config,
         }
     }
@@ -216,7 +216,7 @@
     }
 
     /// Its own version.
-    pub fn version(&self) -> Version {
+    pub fn incarnation(&self) -> Incarnation {
         self.version
     }
 
@@ -231,7 +231,7 @@
     }
 
     /// What this instance holds of itself.
-    pub fn stance(&self) -> Stance {
+    pub fn quorum_state(&self) -> QuorumState {
         self.stance
     }
 
@@ -241,8 +241,8 @@
     }
 
     /// By how many to reckon what is counted for the whole fleet.
-    pub fn reckoned(&self, now: Time) -> u32 {
-        self.fleet.reckoned(now)
+    pub fn effective_size(&self, now: Time) -> u32 {
+        self.fleet.effective(now)
     }
 
     /// How many there are to be.
@@ -251,17 +251,17 @@
     }
 
     /// From now on there are to be so many.
-    pub fn expect(&mut self, now: Time, instances: u32) {
-        self.fleet.expect(now, instances.max(self.config.roster.len() as u32));
+    pub fn set_expected_size(&mut self, now: Time, instances: u32) {
+        self.fleet.set_roster(now, instances.max(self.config.roster.len() as u32));
     }
 
     /// How much it doubts its own hearing, from 0 to 3.
-    pub fn doubt(&self) -> u32 {
+    pub fn local_health(&self) -> u32 {
         self.doubt
     }
 
     /// What it has counted.
-    pub fn figures(&self) -> Figures {
+    pub fn stats(&self) -> Stats {
         self.figures
     }
 
@@ -271,7 +271,7 @@
         let relays = self.relays.values().map(|r| r.until);
         let ripe = self.suspicions.values().filter(|s| s.failed).map(|s| s.until().max(self.waking_until));
         // However long the periods of one in doubt are: standing still is told from waiting by it.
-        let beat = self.last + self.config.probe_every;
+        let beat = self.last + self.config.probe_interval;
         let share = (!self.digest.is_empty()).then_some(self.next_share);
         probes.chain(relays).chain(ripe).chain(share).fold(self.next_probe.min(beat), Time::min)
     }
@@ -283,14 +283,14 @@
         let over: Vec<u32> = self.relays.iter().filter(|(_, r)| r.until <= now).map(|(s, _)| *s).collect();
         for seq in over {
             if let Some(relay) = self.relays.remove(&seq) {
-                self.send(now, (Some(relay.asker), relay.asker_at), Kind::Nack { seq: relay.seq }, out);
+                self.send(now, (Some(relay.asker), relay.asker_at), Message::Nack { seq: relay.seq }, out);
             }
         }
         let awake = now >= self.waking_until;
         let ripe = |s: &Suspicion| s.failed && s.until() <= now && awake;
         let ripe: Vec<Id> = self.suspicions.iter().filter(|(_, s)| ripe(s)).map(|(id, _)| *id).collect();
         for id in ripe {
-            self.bury(now, id, out);
+            self.mark_dead(now, id, out);
         }
         if now >= self.next_probe {
             self.period(now, out);
@@ -304,33 +304,33 @@
     /// A datagram has come.
     pub fn receive(&mut self, now: Time, source: SocketAddr, bytes: &[u8], out: &mut Vec<Output>) {
         self.notice(now, out);
-        let taken = decode(self.cluster, bytes).map_err(Refused::Wire);
-        match taken.and_then(|datagram| self.admit(now, source, &datagram, out).map(|()| datagram)) {
+        let taken = decode(self.cluster, bytes).map_err(RejectReason::Wire);
+        match taken.and_then(|datagram| self.check_sender(now, source, &datagram, out).map(|()| datagram)) {
             Ok(datagram) => {
                 self.heard = now;
-                self.figures.taken.0 += 1;
-                self.figures.taken.1 += bytes.len() as u64;
+                self.figures.accepted.0 += 1;
+                self.figures.accepted.1 += bytes.len() as u64;
                 // First the news, so that the answer is given in the version that refutes them.
-                for (place, rumour) in datagram.news.iter().enumerate() {
-                    self.retells = place < usize::from(datagram.fresh);
+                for (place, rumour) in datagram.updates.iter().enumerate() {
+                    self.retells = place < usize::from(datagram.new_updates);
                     self.hear(now, datagram.from, rumour, out);
                 }
                 self.retells = true;
-                self.handle(now, source, datagram, out);
+                self.on_message(now, source, datagram, out);
                 self.take_stance(now, out);
             }
-            Err(refused) => self.figures.refused[refused.place()] += 1,
+            Err(refused) => self.figures.rejected[refused.place()] += 1,
         }
     }
 
     /// Tells one member's decisions something; false if it isn't here or the payload is too long.
-    pub fn tell(&mut self, now: Time, to: Id, payload: Vec<u8>, out: &mut Vec<Output>) -> bool {
-        let Some(member) = self.view.get(to).filter(|m| m.state.here()) else { return false };
-        if payload.len() > HINT_MOST {
+    pub fn send_hint(&mut self, now: Time, to: Id, payload: Vec<u8>, out: &mut Vec<Output>) -> bool {
+        let Some(member) = self.view.get(to).filter(|m| m.state.is_reachable()) else { return false };
+        if payload.len() > MAX_HINT_BYTES {
             return false;
         }
         let address = member.address;
-        self.send(now, (Some(to), address), Kind::Hint { payload }, out);
+        self.send(now, (Some(to), address), Message::Hint { payload }, out);
         true
     }
 
@@ -352,14 +352,20 @@
     /// Says good-bye: the others need not find out.
     pub fn leave(&mut self, now: Time, out: &mut Vec<Output>) {
         self.leaving = true;
-        self.version.round = self.version.round.saturating_add(1);
+        self.version.counter = self.version.counter.saturating_add(1);
         let rumour = self.own_word(State::Left);
-        let mut here: Vec<(Id, SocketAddr)> = self.view.here().map(|m| (m.id, m.address)).collect();
+        let mut here: Vec<(Id, SocketAddr)> = self.view.reachable().map(|m| (m.id, m.address)).collect();
         self.rng.shuffle(&mut here);
         // Twice each, for there is no second chance.
         for _ in 0..2 {
             for (id, address) in here.iter().take(FAREWELL) {
-                self.send_news(now, (Some(*id), *address), Kind::News, (vec![rumour.clone()], SAMPLES), out);
+                self.send_news(
+                    now,
+                    (Some(*id), *address),
+                    Message::Gossip,
+                    (vec![rumour.clone()], SAMPLES),
+                    out,
+                );
             }
         }
     }
@@ -371,22 +377,22 @@
     fn notice(&mut self, now: Time, out: &mut Vec<Output>) {
         let slept = now.since(self.last);
         self.last = self.last.max(now);
-        if !self.config.self_doubt || slept < self.config.stall() {
+        if !self.config.local_health_awareness || slept < self.config.stall_threshold() {
             return;
         }
         self.figures.stalls += 1;
         self.doubt = (self.doubt + 2).min(DOUBT_MOST);
         self.probes.clear();
         self.relays.clear();
-        self.rumours.forget_accusations();
+        self.rumours.cancel_accusations();
         self.suspicions.values_mut().for_each(|s| s.put_off(slept));
-        (self.waking_until, self.woke) = (now + self.config.settle(), true);
+        (self.waking_until, self.woke) = (now + self.config.recovery_time(), true);
         self.next_probe = now;
-        out.push(Output::Change(Change::Woke(slept)));
+        out.push(Output::Change(Change::ResumedAfterStall(slept)));
     }
 
     fn factor(&self) -> f64 {
-        if self.config.self_doubt {
+        if self.config.local_health_awareness {
             1.0 + f64::from(self.doubt)
         } else {
             1.0
@@ -418,13 +424,13 @@
             let helpers = if first { self.helpers(probe.target) } else { Vec::new() };
             if let Some(probe) = self.probes.get_mut(&seq) {
                 probe.asked += 1;
-                probe.again = now + self.config.probe_every * factor;
+                probe.again = now + self.config.probe_interval * factor;
                 probe.nacks_due += helpers.len() as u32;
             }
-            self.send(now, (Some(probe.target), target), Kind::Ping { seq, to: probe.target }, out);
+            self.send(now, (Some(probe.target), target), Message::Ping { seq, to: probe.target }, out);
             let address = self.listed(probe.target).is_none().then_some(target);
             for (id, at) in helpers {
-                let kind = Kind::PingOf { seq, target: probe.target, address };
+                let kind = Message::PingRequest { seq, target: probe.target, address };
                 self.send(now, (Some(id), at), kind, out);
             }
         }
@@ -442,7 +448,7 @@
     }
 
     fn period(&mut self, now: Time, out: &mut Vec<Output>) {
-        self.next_probe = now + self.config.probe_every * self.factor();
+        self.next_probe = now + self.config.probe_interval * self.factor();
         self.extra_left = EXTRA_PROBES;
         self.welcomes_left = WELCOMES;
         self.formers_left = FORMERS;
@@ -453,10 +459,10 @@
         // A member's turn comes within twice the number of members, wherever the shuffle puts it.
         let target = loop {
             match self.turn.pop() {
-                Some(id) if self.view.get(id).is_some_and(|m| m.state.here()) => break Some(id),
+                Some(id) if self.view.get(id).is_some_and(|m| m.state.is_reachable()) => break Some(id),
                 Some(_) => {}
                 None => {
-                    self.turn = self.view.here().map(|m| m.id).collect();
+                    self.turn = self.view.reachable().map(|m| m.id).collect();
                     if self.turn.is_empty() {
                         break None;
                     }
@@ -468,47 +474,48 @@
             self.probe(now, id, out);
         }
         if !self.rumours.is_empty() {
-            let here: Vec<(Id, SocketAddr)> = self.view.here().map(|m| (m.id, m.address)).collect();
+            let here: Vec<(Id, SocketAddr)> = self.view.reachable().map(|m| (m.id, m.address)).collect();
             for (id, at) in self.rng.choose_multiple(here, TOLD) {
-                self.send(now, (Some(id), at), Kind::News, out);
+                self.send(now, (Some(id), at), Message::Gossip, out);
             }
         }
         self.call_missing(now, out);
-        let (keep, listed) = (self.config.forget_after, self.config.roster.len());
-        let gone =
-            self.view.forget(|m| !m.state.here() && m.id.0 as usize >= listed && now.since(m.since) >= keep);
+        let (keep, listed) = (self.config.member_retention, self.config.roster.len());
+        let gone = self
+            .view
+            .forget(|m| !m.state.is_reachable() && m.id.0 as usize >= listed && now.since(m.since) >= keep);
         self.suspicions.retain(|id, _| !gone.contains(id));
         let view = &self.view;
         self.vias.retain(|id, _| view.get(*id).is_some());
         let size = self.view.size().0.round() as u32;
-        self.fleet.believe(now, size);
+        self.fleet.observe(now, size);
     }
 
     /// Hands half of the digest to one member that is here, and tells what is known.
     fn share(&mut self, now: Time, out: &mut Vec<Output>) {
-        self.next_share = now + self.digest.every(now);
-        if self.leaving || !self.digest.holds(now) {
+        self.next_share = now + self.digest.interval(now);
+        if self.leaving || !self.digest.has_data(now) {
             return;
         }
-        let takes = |m: &&Member| m.state == State::Alive && m.duty == Duty::Agent;
+        let takes = |m: &&Member| m.state == State::Alive && m.role == Role::Agent;
         // Most members are here nearly always: a few draws find one.
         let drawn = (0..4).find_map(|_| self.view.draw(self.rng.usize(..)).filter(takes));
         if let Some((id, at)) = drawn.map(|member| (member.id, member.address)) {
-            let parts = Part::write(&self.digest.give(now));
-            self.send_news(now, (Some(id), at), Kind::Digest { parts }, (Vec::new(), 0), out);
+            let parts = Part::encode(&self.digest.split_half(now));
+            self.send_news(now, (Some(id), at), Message::Digest { parts }, (Vec::new(), 0), out);
         }
         out.push(Output::Fleet(self.digest.fleet(now)));
     }
 
     /// A member hands over its half.
     fn handed(&mut self, now: Time, from: Id, parts: &[u8], out: &mut Vec<Output>) {
-        let here = self.view.get(from).is_some_and(|m| m.state.here());
-        let taken = match Part::read(parts).filter(|_| here) {
-            Some(parts) => self.digest.take(now, from, &parts, self.view.size().0 as usize),
-            None => Taken::Refused,
+        let here = self.view.get(from).is_some_and(|m| m.state.is_reachable());
+        let taken = match Part::decode(parts).filter(|_| here) {
+            Some(parts) => self.digest.merge(now, from, &parts, self.view.size().0 as usize),
+            None => MergeOutcome::Rejected,
         };
         self.figures.digests[taken as usize] += 1;
-        if taken != Taken::Refused {
+        if taken != MergeOutcome::Rejected {
             out.push(Output::Fleet(self.digest.fleet(now)));
         }
     }
@@ -521,7 +528,7 @@
             self.view.missing().map(|m| (Some(m.id), m.address)).collect();
         let mut called = self.rng.choose_multiple(missing, most);
         // Seeds are called while they are all there is, and now and then afterwards: their addresses may serve others now.
-        let alone = self.view.here().next().is_none();
+        let alone = self.view.reachable().next().is_none();
         if !self.config.seeds.is_empty() && (alone || self.rng.u32(0..16) == 0) {
             let seeds: Vec<SocketAddr> = self.config.seeds.clone();
             called.extend(self.rng.choose_multiple(seeds, most).into_iter().map(|at| (None, at)));
@@ -534,9 +541,9 @@
                     if self.calls.len() > CALLS_MOST {
                         self.calls.pop_front();
                     }
-                    self.send(now, (Some(to), at), Kind::Ping { seq, to }, out);
+                    self.send(now, (Some(to), at), Message::Ping { seq, to }, out);
                 }
-                None => self.send(now, (None, at), Kind::News, out),
+                None => self.send(now, (None, at), Message::Gossip, out),
             }
         }
     }
@@ -549,15 +556,15 @@
         let factor = self.factor();
         let probe = Probe {
             target: id,
-            again: now + self.config.probe_every * (0.8 * factor),
+            again: now + self.config.probe_interval * (0.8 * factor),
             asked: 0,
-            until: now + self.config.probe_every * (self.config.patience * factor),
+            until: now + self.config.probe_interval * (self.config.probe_timeout_periods * factor),
             nacks_due: 0,
             nacks: 0,
         };
         self.probes.insert(seq, probe);
         self.figures.probes.0 += 1;
-        self.send(now, (Some(id), address), Kind::Ping { seq, to: id }, out);
+        self.send(now, (Some(id), address), Message::Ping { seq, to: id }, out);
     }
 
     /// An accused member is probed at once while the period's measure lasts, and in turn past it.
@@ -604,9 +611,9 @@
         suspicion.failed = true;
         if suspicion.shared(own) {
             // Others shorten their suspicions by it: it is word of one's own.
-            if let Some(rumour) = self.word(id).map(|word| Rumour { by: own, ..word }) {
+            if let Some(rumour) = self.word(id).map(|word| Update { reported_by: own, ..word }) {
                 self.rumours.drop(id);
-                self.rumours.add(now, rumour);
+                self.rumours.disseminate(now, rumour);
             }
         }
         self.probe_soon(now, id, out);
@@ -615,8 +622,8 @@
     /// How long a suspicion lasts at least and at most.
     fn suspicion_times(&self) -> (Micros, Micros) {
         let scale = self.view.size().0.max(2.0).log10().max(1.0);
-        let least = self.config.probe_every * (self.config.suspicion_least * scale * self.factor());
-        (least, least * self.config.suspicion_most)
+        let least = self.config.probe_interval * (self.config.min_suspicion_periods * scale * self.factor());
+        (least, least * self.config.max_suspicion_factor)
     }
 
     /// A member that passes for alive is accused.
@@ -631,49 +638,49 @@
     }
 
     /// The suspicion has run out, and a probe from here has failed: the member is dead here by this instance's own word.
-    fn bury(&mut self, now: Time, id: Id, out: &mut Vec<Output>) {
+    fn mark_dead(&mut self, now: Time, id: Id, out: &mut Vec<Output>) {
         let Some(suspicion) = self.suspicions.remove(&id) else { return };
         let state = if suspicion.leaves { State::Left } else { State::Dead };
         self.change(now, id, state, self.config.number, out);
         if let Some(rumour) = self.word(id) {
-            self.rumours.add(now, rumour);
+            self.rumours.disseminate(now, rumour);
         }
     }
 
     // ---- what is heard ------------------------------------------------------------------------------
 
     /// Whether a datagram's sender may speak, and what its speaking shows.
-    fn admit(
+    fn check_sender(
         &mut self,
         now: Time,
         source: SocketAddr,
         datagram: &Datagram,
         out: &mut Vec<Output>,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), RejectReason> {
         let from = datagram.from;
         if from == self.config.number {
             if !self.twin_told {
                 self.twin_told = true;
-                out.push(Output::Change(Change::Twin));
+                out.push(Output::Change(Change::DuplicateIdentity));
             }
-            return Err(Refused::Own);
+            return Err(RejectReason::OwnIdentity);
         }
-        let known = self.view.get(from).map(|m| (m.version, m.state, m.address));
+        let known = self.view.get(from).map(|m| (m.incarnation, m.state, m.address));
         let moved = match (self.listed(from), known) {
             (Some(listed), _) => listed != source,
             // Without a roster whoever starts anew may do so elsewhere.
             (None, Some((version, state, address))) => {
-                address != source && state.here() && datagram.version.life <= version.life
+                address != source && state.is_reachable() && datagram.incarnation.epoch <= version.epoch
             }
             (None, None) => false,
         };
         if moved {
             if self.strangers.len() < STRANGERS_TOLD && self.strangers.insert((from, source)) {
-                out.push(Output::Change(Change::Stranger(from, source)));
+                out.push(Output::Change(Change::AddressMismatch(from, source)));
             }
-            return Err(Refused::Stranger);
+            return Err(RejectReason::AddressMismatch);
         }
-        if known.is_some_and(|(version, ..)| datagram.version.life < version.life)
+        if known.is_some_and(|(version, ..)| datagram.incarnation.epoch < version.epoch)
             && !self.shows_itself(from, datagram)
         {
             // Late, or from a process whose successor has spoken already. Should its clock have been set back, it must
@@ -684,15 +691,15 @@
                 self.formers_left -= 1;
                 // What it asks is answered: where each holds the other in a life that nobody lives, no other way is left
                 // to find that out.
-                let kind = match datagram.kind {
-                    Kind::Ping { seq, to } if to == self.config.number => {
-                        Kind::Ack { seq, of: to, version: self.version }
+                let kind = match datagram.message {
+                    Message::Ping { seq, to } if to == self.config.number => {
+                        Message::Ack { seq, of: to, incarnation: self.version }
                     }
-                    _ => Kind::News,
+                    _ => Message::Gossip,
                 };
                 self.send_news(now, (Some(from), source), kind, (vec![rumour], SAMPLES), out);
             }
-            return Err(Refused::Former);
+            return Err(RejectReason::StaleIncarnation);
         }
         self.spoke(now, source, datagram, out);
         Ok(())
@@ -700,18 +707,20 @@
 
     /// Whether a member that speaks in a former life is there all the same: it answers a fresh question of this instance.
     fn shows_itself(&mut self, id: Id, datagram: &Datagram) -> bool {
-        match datagram.kind {
-            Kind::Ack { seq, of, version } if of == id && self.asked(seq, id) => self.lives(id, version),
+        match datagram.message {
+            Message::Ack { seq, of, incarnation: version } if of == id && self.asked(seq, id) => {
+                self.lives(id, version)
+            }
             _ => false,
         }
     }
 
     /// A member answers in a life that is former by what is held: true if nobody has answered here in the one that is held.
     /// Somebody has claimed that one for it, then, so far ahead perhaps that it cannot go past it. Own evidence wins.
-    fn lives(&mut self, id: Id, version: Version) -> bool {
-        let held = self.view.get(id).filter(|m| version.life < m.version.life);
-        let claimed = held.is_some_and(|m| m.answered.is_none() || !m.state.here());
-        claimed && self.view.update(id, |member| member.version = version)
+    fn lives(&mut self, id: Id, version: Incarnation) -> bool {
+        let held = self.view.get(id).filter(|m| version.epoch < m.incarnation.epoch);
+        let claimed = held.is_some_and(|m| m.last_ack.is_none() || !m.state.is_reachable());
+        claimed && self.view.update(id, |member| member.incarnation = version)
     }
 
     /// Whether this instance has a question of this number out to a member.
@@ -722,24 +731,24 @@
     /// A member has spoken itself, in this version. A later one than is known shows that it is there; the same one does
     /// not, for the datagram may be old: only the answer to a probe does.
     fn spoke(&mut self, now: Time, source: SocketAddr, datagram: &Datagram, out: &mut Vec<Output>) {
-        let (id, version) = (datagram.from, datagram.version);
-        let known = self.view.get(id).map(|m| (m.version, m.state));
+        let (id, version) = (datagram.from, datagram.incarnation);
+        let known = self.view.get(id).map(|m| (m.incarnation, m.state));
         let later = known.is_none_or(|(last, state)| version > last || state == State::Absent);
         self.view.update(id, |member| {
-            (member.site, member.duty, member.address) = (datagram.site, datagram.duty, source);
+            (member.site, member.role, member.address) = (datagram.site, datagram.role, source);
         });
         if later {
-            let came = known.is_none_or(|(last, state)| !state.here() || version.life > last.life);
+            let came = known.is_none_or(|(last, state)| !state.is_reachable() || version.epoch > last.epoch);
             let member = Member {
                 id,
-                version,
+                incarnation: version,
                 state: State::Absent,
                 since: now,
-                by: id,
+                reported_by: id,
                 address: source,
                 site: datagram.site,
-                duty: datagram.duty,
-                answered: None,
+                role: datagram.role,
+                last_ack: None,
             };
             let news = self.alive(now, member, id, out);
             // Once for each coming, and a few in a period: two that have no room for each other hear each other for the first
@@ -754,7 +763,7 @@
     /// Whoever has just come is told who is there.
     fn welcome(&mut self, now: Time, id: Id, at: SocketAddr, out: &mut Vec<Output>) {
         for _ in 0..WELCOME {
-            self.send_news(now, (Some(id), at), Kind::News, (Vec::new(), NEWS_MOST), out);
+            self.send_news(now, (Some(id), at), Message::Gossip, (Vec::new(), NEWS_MOST), out);
         }
     }
 
@@ -762,35 +771,38 @@
     /// True if that was news.
     fn alive(&mut self, now: Time, latest: Member, by: Id, out: &mut Vec<Output>) -> bool {
         let id = latest.id;
-        let version = latest.version;
-        let known = self.view.get(id).map(|m| (m.version, m.state));
+        let version = latest.incarnation;
+        let known = self.view.get(id).map(|m| (m.incarnation, m.state));
         match known {
             None => {
                 // Even one that finds no room is told of: others may hold it.
                 self.view.offer(latest.clone());
             }
             Some((last, state)) => {
-                if state == State::Dead && last.life == version.life {
-                    self.figures.mistaken += 1;
+                if state == State::Dead && last.epoch == version.epoch {
+                    self.figures.false_deaths += 1;
                 }
-                self.view.update(id, |member| member.version = version);
+                self.view.update(id, |member| member.incarnation = version);
             }
         }
         self.suspicions.remove(&id);
-        let anew = known.is_some_and(|(last, state)| state != State::Absent && last.life < version.life);
+        let anew = known.is_some_and(|(last, state)| state != State::Absent && last.epoch < version.epoch);
         if anew {
             self.probes.retain(|_, p| p.target != id);
         }
         self.change_to(now, id, State::Alive, by, anew, out);
         let told = match self.word(id) {
             Some(word) => word,
-            None => rumour_of(&Member { state: State::Alive, by, ..latest }, self.listed(id).is_none()),
+            None => rumour_of(
+                &Member { state: State::Alive, reported_by: by, ..latest },
+                self.listed(id).is_none(),
+            ),
         };
         self.spread(now, told)
     }
 
     /// One member's word on another, or on this one.
-    fn hear(&mut self, now: Time, from: Id, rumour: &Rumour, out: &mut Vec<Output>) {
+    fn hear(&mut self, now: Time, from: Id, rumour: &Update, out: &mut Vec<Output>) {
         let id = rumour.id;
         if id == self.config.number {
             return self.defend(now, rumour);
@@ -798,33 +810,34 @@
         let Some(member) = self.view.get(id).cloned() else {
             return self.hear_of_new(now, rumour, out);
         };
-        let met = member.answered.is_some();
-        let held = (member.version, member.state, met);
-        match weigh(held, (rumour.version, rumour.state), from == id) {
-            Worth::Nothing => {}
-            Worth::Alive => {
-                let latest = Member { version: rumour.version, ..member };
-                self.alive(now, latest, rumour.by, out);
+        let met = member.last_ack.is_some();
+        let held = (member.incarnation, member.state, met);
+        match compare(held, (rumour.incarnation, rumour.state), from == id) {
+            Precedence::Ignored => {}
+            Precedence::Alive => {
+                let latest = Member { incarnation: rumour.incarnation, ..member };
+                self.alive(now, latest, rumour.reported_by, out);
             }
-            Worth::Gone => {
+            Precedence::Left => {
                 if member.state != State::Left {
                     self.suspicions.remove(&id);
-                    self.view.update(id, |member| member.version = rumour.version);
+                    self.view.update(id, |member| member.incarnation = rumour.incarnation);
                     self.change(now, id, State::Left, id, out);
                     self.spread(now, rumour.clone());
                 }
             }
-            Worth::Doubt => {
+            Precedence::Suspect => {
                 let called_dead = matches!(rumour.state, State::Dead | State::Left);
-                self.accuse_if_alive(now, &member, rumour.by, out);
+                self.accuse_if_alive(now, &member, rumour.reported_by, out);
                 if let Some(suspicion) = self.suspicions.get_mut(&id).filter(|_| rumour.state != State::Alive)
                 {
                     suspicion.called_dead |= called_dead;
                     suspicion.leaves |= rumour.state == State::Left;
-                    if suspicion.shared(rumour.by) && self.retells {
+                    if suspicion.shared(rumour.reported_by) && self.retells {
                         // Passed on as theirs: it shortens others' suspicions as it does this one's.
                         self.rumours.drop(id);
-                        self.rumours.add(now, Rumour { version: member.version, ..rumour.clone() });
+                        self.rumours
+                            .disseminate(now, Update { incarnation: member.incarnation, ..rumour.clone() });
                     }
                 }
             }
@@ -833,30 +846,30 @@
 
     /// Somebody accuses a member. Own evidence wins: one that has just answered here is not doubted for it.
     fn accuse_if_alive(&mut self, now: Time, member: &Member, by: Id, out: &mut Vec<Output>) {
-        let fresh = self.config.probe_every * 2.0;
-        let vouched = member.answered.is_some_and(|at| now.since(at) < fresh);
+        let fresh = self.config.probe_interval * 2.0;
+        let vouched = member.last_ack.is_some_and(|at| now.since(at) < fresh);
         if member.state == State::Alive && !vouched {
             self.accuse(now, member.id, by, out);
         }
     }
 
     /// Word of a member that is not held.
-    fn hear_of_new(&mut self, now: Time, rumour: &Rumour, out: &mut Vec<Output>) {
+    fn hear_of_new(&mut self, now: Time, rumour: &Update, out: &mut Vec<Output>) {
         let address = self.listed(rumour.id).or(rumour.address);
         match (rumour.state, address) {
             (State::Alive, Some(address)) => {
                 let member = Member {
                     id: rumour.id,
-                    version: rumour.version,
+                    incarnation: rumour.incarnation,
                     state: State::Absent,
                     since: now,
-                    by: rumour.by,
+                    reported_by: rumour.reported_by,
                     address,
                     site: rumour.site,
-                    duty: rumour.duty,
-                    answered: None,
+                    role: rumour.role,
+                    last_ack: None,
                 };
-                self.alive(now, member, rumour.by, out);
+                self.alive(now, member, rumour.reported_by, out);
             }
             // Others may hold it.
             _ => {
@@ -866,48 +879,48 @@
     }
 
     /// Something is said of this very instance: it speaks up if that is wrong.
-    fn defend(&mut self, now: Time, rumour: &Rumour) {
-        let answer = defend(self.version, (rumour.version, rumour.state)).filter(|_| !self.leaving);
+    fn defend(&mut self, now: Time, rumour: &Update) {
+        let answer = refute(self.version, (rumour.incarnation, rumour.state)).filter(|_| !self.leaving);
         let Some(version) = answer else { return };
         self.version = version;
         if rumour.state != State::Alive {
-            self.figures.refuted += 1;
+            self.figures.refutations += 1;
             self.doubt = (self.doubt + 1).min(DOUBT_MOST);
         }
         let word = self.own_word(State::Alive);
-        self.rumours.add(now, word);
+        self.rumours.disseminate(now, word);
     }
 
-    fn handle(&mut self, now: Time, source: SocketAddr, datagram: Datagram, out: &mut Vec<Output>) {
+    fn on_message(&mut self, now: Time, source: SocketAddr, datagram: Datagram, out: &mut Vec<Output>) {
         let from = (Some(datagram.from), source);
-        match datagram.kind {
+        match datagram.message {
             // Whoever leaves is no longer to be counted on.
-            Kind::Ping { seq, to } if to == self.config.number && !self.leaving => {
+            Message::Ping { seq, to } if to == self.config.number && !self.leaving => {
                 let (of, version) = (to, self.version);
-                self.send(now, from, Kind::Ack { seq, of, version }, out);
+                self.send(now, from, Message::Ack { seq, of, incarnation: version }, out);
             }
-            Kind::Ping { .. } | Kind::News => {}
-            Kind::PingOf { seq, target, address } => {
+            Message::Ping { .. } | Message::Gossip => {}
+            Message::PingRequest { seq, target, address } => {
                 let known = self.view.get(target).map(|m| m.address);
                 let Some(at) = known.or(self.listed(target)).or(address) else { return };
                 if self.relays.len() >= RELAYS_MOST || target == self.config.number {
                     return;
                 }
-                let until = now + self.config.probe_every;
+                let until = now + self.config.probe_interval;
                 let own = self.rng.u32(..);
                 self.relays.insert(own, Relay { asker: datagram.from, asker_at: source, seq, until });
-                self.send(now, (Some(target), at), Kind::Ping { seq: own, to: target }, out);
+                self.send(now, (Some(target), at), Message::Ping { seq: own, to: target }, out);
             }
-            Kind::Ack { seq, of, version } => {
+            Message::Ack { seq, of, incarnation: version } => {
                 if let Some(relay) = self.relays.remove(&seq) {
-                    let kind = Kind::Ack { seq: relay.seq, of, version };
+                    let kind = Message::Ack { seq: relay.seq, of, incarnation: version };
                     self.send(now, (Some(relay.asker), relay.asker_at), kind, out);
                     return;
                 }
                 if self.asked(seq, of) {
                     if datagram.from == of {
                         self.vias.remove(&of);
-                    } else if self.vias.len() < self.config.view_most {
+                    } else if self.vias.len() < self.config.max_members {
                         self.vias.insert(of, datagram.from);
                     }
                     self.probes.remove(&seq);
@@ -916,40 +929,40 @@
                     self.answered(now, of, version, out);
                 }
             }
-            Kind::Nack { seq } => {
+            Message::Nack { seq } => {
                 if let Some(probe) = self.probes.get_mut(&seq) {
                     probe.nacks += 1;
                 }
             }
-            Kind::Hint { payload } => {
-                if self.view.get(datagram.from).is_some_and(|m| m.state.here()) {
+            Message::Hint { payload } => {
+                if self.view.get(datagram.from).is_some_and(|m| m.state.is_reachable()) {
                     out.push(Output::Hint(datagram.from, payload));
                 }
             }
-            Kind::Digest { parts } => self.handed(now, datagram.from, &parts, out),
+            Message::Digest { parts } => self.handed(now, datagram.from, &parts, out),
         }
     }
 
     /// A member has answered a probe from here, itself or by way of another: it is there, whatever others say.
-    fn answered(&mut self, now: Time, id: Id, version: Version, out: &mut Vec<Output>) {
+    fn answered(&mut self, now: Time, id: Id, version: Incarnation, out: &mut Vec<Output>) {
         self.lives(id, version);
-        self.view.update(id, |member| member.answered = Some(now));
+        self.view.update(id, |member| member.last_ack = Some(now));
         let Some(member) = self.view.get(id).cloned() else { return };
-        if version > member.version {
-            self.alive(now, Member { version, ..member }, id, out);
+        if version > member.incarnation {
+            self.alive(now, Member { incarnation: version, ..member }, id, out);
         } else if matches!(member.state, State::Suspect | State::Dead | State::Absent) {
             if member.state == State::Dead {
-                self.figures.mistaken += 1;
+                self.figures.false_deaths += 1;
             }
             self.suspicions.remove(&id);
-            self.rumours.silence(id);
+            self.rumours.cancel(id);
             self.change(now, id, State::Alive, self.config.number, out);
         }
     }
 
     /// Passes this on, if what is heard now is to be; true if it was news.
-    fn spread(&mut self, now: Time, rumour: Rumour) -> bool {
-        self.retells && self.rumours.add(now, rumour)
+    fn spread(&mut self, now: Time, rumour: Update) -> bool {
+        self.retells && self.rumours.disseminate(now, rumour)
     }
 
     // ---- bookkeeping --------------------------------------------------------------------------------
@@ -964,23 +977,23 @@
             return;
         }
         self.view.update(id, |member| {
-            (member.state, member.since, member.by) = (to, now, by);
-            member.answered = member.answered.filter(|_| !anew);
+            (member.state, member.since, member.reported_by) = (to, now, by);
+            member.last_ack = member.last_ack.filter(|_| !anew);
         });
-        out.push(Output::Change(Change::Member { id, from, to, by, anew }));
+        out.push(Output::Change(Change::Member { id, from, to, reported_by: by, restarted: anew }));
     }
 
     fn take_stance(&mut self, now: Time, out: &mut Vec<Output>) {
         // Whoever hears nobody is alone before it knows of each that it is gone.
-        let deaf = now.since(self.heard) >= self.config.settle();
+        let deaf = now.since(self.heard) >= self.config.recovery_time();
         let here = if deaf { 1 } else { self.view.size().0.round() as u32 };
         let roster = self.fleet.roster();
-        let stance = Stance::of(here, roster);
-        let waking = now < self.waking_until && (self.woke || stance != Stance::Whole);
-        let to = if waking { Stance::Waking } else { stance };
+        let stance = QuorumState::of(here, roster);
+        let waking = now < self.waking_until && (self.woke || stance != QuorumState::Complete);
+        let to = if waking { QuorumState::Recovering } else { stance };
         let from = std::mem::replace(&mut self.stance, to);
         if from != to {
-            out.push(Output::Change(Change::Stance { from, to, here, roster }));
+            out.push(Output::Change(Change::Quorum { from, to, here, roster }));
         }
     }
 
@@ -990,17 +1003,25 @@
     }
 
     /// What is held of a member, as a rumour.
-    fn word(&self, id: Id) -> Option<Rumour> {
+    fn word(&self, id: Id) -> Option<Update> {
         let member = self.view.get(id).filter(|m| m.state != State::Absent)?;
         Some(rumour_of(member, self.listed(id).is_none()))
     }
 
-    fn own_word(&self, state: State) -> Rumour {
-        let Config { number, site, duty, .. } = self.config;
-        Rumour { id: number, version: self.version, state, by: number, site, duty, address: None }
+    fn own_word(&self, state: State) -> Update {
+        let Config { number, site, role: duty, .. } = self.config;
+        Update {
+            id: number,
+            incarnation: self.version,
+            state,
+            reported_by: number,
+            site,
+            role: duty,
+            address: None,
+        }
     }
 
-    fn send(&mut self, now: Time, to: (Option<Id>, SocketAddr), kind: Kind, out: &mut Vec<Output>) {
+    fn send(&mut self, now: Time, to: (Option<Id>, SocketAddr), kind: Message, out: &mut Vec<Output>) {
         self.send_news(now, to, kind, (Vec::new(), SAMPLES), out);
     }
 
@@ -1010,15 +1031,15 @@
         &mut self,
         now: Time,
         (id, at): (Option<Id>, SocketAddr),
-        kind: Kind,
-        (mut news, samples): (Vec<Rumour>, usize),
+        kind: Message,
+        (mut news, samples): (Vec<Update>, usize),
         out: &mut Vec<Output>,
     ) {
         let accused = id.and_then(|id| self.word(id)).filter(|word| word.state != State::Alive);
         // An accused member must hear it to refute it.
         news.extend(accused);
         let first = news.len();
-        let fresh = self.rumours.pick(now, NEWS_MOST);
+        let fresh = self.rumours.next_updates(now, NEWS_MOST);
         news.extend(fresh.into_iter().filter(|rumour| Some(rumour.id) != id));
         let queued = news.len();
         // Two draws for each place: some are told already, or nothing is known of them.
@@ -1033,24 +1054,32 @@
         }
         let datagram = Datagram {
             from: self.config.number,
-            version: self.version,
+            incarnation: self.version,
             site: self.config.site,
-            duty: self.config.duty,
-            kind,
-            fresh: queued as u8,
-            news,
+            role: self.config.role,
+            message: kind,
+            new_updates: queued as u8,
+            updates: news,
         };
         let (bytes, fit) = encode(self.cluster, &datagram);
-        let told = &datagram.news[first.min(fit)..queued.min(fit)];
+        let told = &datagram.updates[first.min(fit)..queued.min(fit)];
         let enough = 2 * (self.view.size().0.log2().ceil() as u32 + 1);
-        self.rumours.told(told, enough);
+        self.rumours.on_sent(told, enough);
         self.figures.sent.0 += 1;
         self.figures.sent.1 += bytes.len() as u64;
         out.push(Output::Send(at, bytes));
     }
 }
 
-fn rumour_of(member: &Member, with_address: bool) -> Rumour {
-    let Member { id, version, state, by, site, duty, address, .. } = *member;
-    Rumour { id, version, state, by, site, duty, address: with_address.then_some(address) }
+fn rumour_of(member: &Member, with_address: bool) -> Update {
+    let Member { id, incarnation: version, state, reported_by: by, site, role: duty, address, .. } = *member;
+    Update {
+        id,
+        incarnation: version,
+        state,
+        reported_by: by,
+        site,
+        role: duty,
+        address: with_address.then_some(address),
+    }
 }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -54,7 +54,7 @@
     }
 
     /// Takes in the members of a roster, or those of them that rank lowest.
-    pub fn fill(&mut self, roster: impl Iterator<Item = Member>) {
+    pub fn add_roster(&mut self, roster: impl Iterator<Item = Member>) {
         let others = roster.filter(|member| member.id != self.own);
         let mut ranked: Vec<(u64, Member)> = others.map(|member| (self.rank(member.id), member)).collect();
         if ranked.len() > self.most {
@@ -85,7 +85,7 @@
     fn put(&mut self, id: Id, state: State) {
         let place = self.place(id, state);
         self.places.insert(place);
-        if state.here() {
+        if state.is_reachable() {
             self.here.insert((place.1, id));
         }
     }
@@ -143,8 +143,8 @@
     }
 
     /// Those that are there.
-    pub fn here(&self) -> impl Iterator<Item = &Member> {
-        self.members.values().filter(|m| m.state.here())
+    pub fn reachable(&self) -> impl Iterator<Item = &Member> {
+        self.members.values().filter(|m| m.state.is_reachable())
     }
 
     /// Those that are not, and have not said that they leave.
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -8,15 +8,15 @@
 //! | ... | the [`Datagram`], in postcard's form |
 //! | 4 | CRC-32C (RFC 3720, appendix B.4) of all before it, little-endian |
 
-use crate::member::{Duty, Id, State, Version, LIFE_MOST};
+use crate::member::{Id, Incarnation, Role, State, MAX_EPOCH};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
 
 /// The longest datagram.
-pub const DATAGRAM_MOST: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 /// The longest hint in one.
-pub const HINT_MOST: usize = 64;
+pub const MAX_HINT_BYTES: usize = 64;
 /// The form that this program speaks.
 pub const VERSION: u8 = 1;
 /// Tags may be this long.
@@ -27,26 +27,26 @@
 
 /// What one member says of another, or of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rumour {
+pub struct Update {
     /// Of whom.
     pub id: Id,
     /// As of which version.
-    pub version: Version,
+    pub incarnation: Incarnation,
     /// What.
     pub state: State,
     /// Who saw it; whoever passes it on leaves that as it is.
-    pub by: Id,
+    pub reported_by: Id,
     /// Its site.
     pub site: u8,
     /// What it is for.
-    pub duty: Duty,
+    pub role: Role,
     /// Where it is reached, where rosters do not say.
     pub address: Option<SocketAddr>,
 }
 
 /// What a datagram is for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum Message {
     /// Asks a member whether it is there.
     Ping {
         /// To tell its answer from others.
@@ -55,7 +55,7 @@
         to: Id,
     },
     /// Asks a member to ask another one.
-    PingOf {
+    PingRequest {
         /// To tell its answer from others.
         seq: u32,
         /// Who is meant.
@@ -70,7 +70,7 @@
         /// Who is there.
         of: Id,
         /// In its latest version.
-        version: Version,
+        incarnation: Incarnation,
     },
     /// The one that was to be asked has not answered; whoever says so is there.
     Nack {
@@ -78,7 +78,7 @@
         seq: u32,
     },
     /// Nothing but its news.
-    News,
+    Gossip,
     /// What the sender's decisions tell the receiver's.
     Hint {
         /// In the decisions' own form.
@@ -99,17 +99,17 @@
     /// The sender.
     pub from: Id,
     /// Its version.
-    pub version: Version,
+    pub incarnation: Incarnation,
     /// Its site.
     pub site: u8,
     /// Its duty.
-    pub duty: Duty,
+    pub role: Role,
     /// What it is for.
-    pub kind: Kind,
+    pub message: Message,
     /// So many of the first that are told are to be passed on; the others are samples of what the sender holds.
-    pub fresh: u8,
+    pub new_updates: u8,
     /// What else is told.
-    pub news: Vec<Rumour>,
+    pub updates: Vec<Update>,
 }
 
 /// Why bytes are no datagram of this cluster.
@@ -131,7 +131,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             WireError::Length => {
-                write!(f, "of a length that no datagram has (at most {DATAGRAM_MOST} bytes)")
+                write!(f, "of a length that no datagram has (at most {MAX_DATAGRAM_BYTES} bytes)")
             }
             WireError::Version(v) => write!(f, "of form {v}; this program speaks form {VERSION}"),
             WireError::Cluster => f.write_str("of another cluster"),
@@ -147,19 +147,20 @@
 ///
 /// Without any news every kind fits, so the answer always is a datagram.
 pub fn encode(cluster: u64, datagram: &Datagram) -> (Vec<u8>, usize) {
-    let mut bytes = Vec::with_capacity(DATAGRAM_MOST);
+    let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
     bytes.extend([VERSION, 0]);
     bytes.extend(cluster.to_le_bytes());
-    let Datagram { from, version, site, duty, ref kind, fresh, ref news } = *datagram;
-    let head = postcard::to_stdvec(&(from, version, site, duty, kind, fresh)).unwrap_or_default();
+    let Datagram { from, incarnation, site, role, ref message, new_updates, ref updates } = *datagram;
+    let head =
+        postcard::to_stdvec(&(from, incarnation, site, role, message, new_updates)).unwrap_or_default();
     bytes.extend(head);
     // The count of the news takes one byte, for no datagram holds 128 of them.
     let count_at = bytes.len();
     bytes.push(0);
-    let (mut fit, mut one) = (0, [0; DATAGRAM_MOST]);
-    for rumour in news {
+    let (mut fit, mut one) = (0, [0; MAX_DATAGRAM_BYTES]);
+    for rumour in updates {
         let Ok(one) = postcard::to_slice(rumour, &mut one) else { break };
-        if bytes.len() + one.len() + CHECK > DATAGRAM_MOST {
+        if bytes.len() + one.len() + CHECK > MAX_DATAGRAM_BYTES {
             break;
         }
         bytes.extend_from_slice(one);
@@ -177,7 +178,7 @@
 ///
 /// It is none.
 pub fn decode(cluster: u64, bytes: &[u8]) -> Result<Datagram, WireError> {
-    if bytes.len() > DATAGRAM_MOST || bytes.len() < HEAD + CHECK {
+    if bytes.len() > MAX_DATAGRAM_BYTES || bytes.len() < HEAD + CHECK {
         return Err(WireError::Length);
     }
     // First of all: what follows may stand otherwise in another form.
@@ -197,14 +198,15 @@
     }
     let (datagram, rest) =
         postcard::take_from_bytes::<Datagram>(&text[body..]).map_err(|_| WireError::Meaning)?;
-    let sane = |version: Version| version.life < LIFE_MOST;
-    let kind = match &datagram.kind {
-        Kind::Ack { version, .. } => sane(*version),
-        Kind::Hint { payload } => payload.len() <= HINT_MOST,
+    let sane = |version: Incarnation| version.epoch < MAX_EPOCH;
+    let kind = match &datagram.message {
+        Message::Ack { incarnation: version, .. } => sane(*version),
+        Message::Hint { payload } => payload.len() <= MAX_HINT_BYTES,
         _ => true,
     };
-    let news = datagram.news.iter().all(|rumour| sane(rumour.version) && rumour.state != State::Absent);
-    if !rest.is_empty() || !sane(datagram.version) || !kind || !news {
+    let news =
+        datagram.updates.iter().all(|rumour| sane(rumour.incarnation) && rumour.state != State::Absent);
+    if !rest.is_empty() || !sane(datagram.incarnation) || !kind || !news {
         return Err(WireError::Meaning);
     }
     Ok(datagram)
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use bellcroft_balancer::{Micros, Time};
-use bellcroft_membership::{Change, Config, Id, Membership, Stance, State};
+use bellcroft_membership::{Change, Config, Id, Membership, QuorumState, State};
 use bellcroft_simulation::fleet::{address, Link, Net};
 use std::collections::BTreeMap;
 
@@ -50,15 +50,15 @@
 
 /// The bound that the operators' page states for a killed member, on healthy links.
 pub fn bound(members: usize) -> Micros {
-    config(0, members).detects_within(members as u32)
+    config(0, members).detection_bound(members as u32)
 }
 
 pub fn state(fleet: &Fleet, by: usize, of: usize) -> Option<State> {
     fleet.peer(by).and_then(|peer| peer.member(Id(of as u32))).map(|member| member.state)
 }
 
-pub fn stance(fleet: &Fleet, by: usize) -> Stance {
-    fleet.peer(by).expect("it runs").stance()
+pub fn stance(fleet: &Fleet, by: usize) -> QuorumState {
+    fleet.peer(by).expect("it runs").quorum_state()
 }
 
 /// All of these hold all of those in such a state.
--- a/crates/membership/tests/digest.rs
+++ b/crates/membership/tests/digest.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use bellcroft_balancer::{FleetState, Micros, Time};
-use bellcroft_membership::{Digest, Id, Membership, Part, Taken, DATAGRAM_MOST, SITES_MOST};
+use bellcroft_membership::{Digest, Id, Membership, MergeOutcome, Part, MAX_DATAGRAM_BYTES, MAX_SITES};
 use bellcroft_simulation::fleet::Link;
 use common::*;
 
@@ -27,14 +27,14 @@
         now = now + PERIOD;
         for (number, digest) in digests.iter_mut().enumerate() {
             if let Some(took) = sees(number) {
-                digest.saw(now, 0, took, took / 2.0);
+                digest.record_response(now, 0, took, took / 2.0);
             }
         }
         for from in 0..members {
-            let parts = digests[from].give(now);
+            let parts = digests[from].split_half(now);
             let to = (from + rng.usize(1..members)) % members;
             for _ in 0..way(&mut rng, from) {
-                digests[to].take(now, Id(from as u32), &parts, members);
+                digests[to].merge(now, Id(from as u32), &parts, members);
             }
         }
     }
@@ -89,8 +89,15 @@
 #[test]
 fn a_liar_holds_no_more_of_the_digest_than_is_stated() {
     let members = 100;
-    let lie =
-        [Part { site: 0, weight: 1e6, square: 1.0, took: 1.2e6, full: 1.2e6, asked: 0.0, refused: 0.0 }];
+    let lie = [Part {
+        site: 0,
+        weight: 1e6,
+        square: 1.0,
+        latency: 1.2e6,
+        load: 1.2e6,
+        requests: 0.0,
+        rejections: 0.0,
+    }];
     let mut rng = fastrand::Rng::with_seed(3);
     let mut digests = vec![Digest::default(); members];
     let mut now = Time(1_000_000);
@@ -98,16 +105,16 @@
     for _ in 0..40 {
         now = now + PERIOD;
         for from in 1..members {
-            digests[from].saw(now, 0, 0.2, 0.2);
-            let parts = digests[from].give(now);
-            digests[(from + rng.usize(1..members)) % members].take(now, Id(from as u32), &parts, members);
+            digests[from].record_response(now, 0, 0.2, 0.2);
+            let parts = digests[from].split_half(now);
+            digests[(from + rng.usize(1..members)) % members].merge(now, Id(from as u32), &parts, members);
         }
         // Number 0 tells everybody at each turn.
         for digest in &mut digests[1..] {
-            match digest.take(now, Id(0), &lie, members) {
-                Taken::Whole => panic!("a million answers are more than anybody holds"),
-                Taken::Cut => cut += 1,
-                Taken::Refused => refused += 1,
+            match digest.merge(now, Id(0), &lie, members) {
+                MergeOutcome::Complete => panic!("a million answers are more than anybody holds"),
+                MergeOutcome::Partial => cut += 1,
+                MergeOutcome::Rejected => refused += 1,
             }
         }
     }
@@ -120,27 +127,28 @@
 
 #[test]
 fn sums_that_no_answers_can_have_shown_are_refused_whole() {
-    let well = Part { site: 1, weight: 1.0, square: 1.0, took: 0.5, full: 0.5, asked: 1.0, refused: 0.0 };
+    let well =
+        Part { site: 1, weight: 1.0, square: 1.0, latency: 0.5, load: 0.5, requests: 1.0, rejections: 0.0 };
     let spoilt = [
         Part { weight: f32::NAN, ..well },
-        Part { took: f32::INFINITY, ..well },
+        Part { latency: f32::INFINITY, ..well },
         Part { weight: -1.0, ..well },
         Part { square: -1.0, ..well },
-        Part { took: 2.5, ..well },
-        Part { full: 2.5, ..well },
-        Part { refused: -0.5, ..well },
+        Part { latency: 2.5, ..well },
+        Part { load: 2.5, ..well },
+        Part { rejections: -0.5, ..well },
     ];
     let now = Time(1_000_000);
     for part in spoilt {
         let mut digest = Digest::default();
-        assert_eq!(digest.take(now, Id(1), &[well, part], 10), Taken::Refused, "{part:?}");
+        assert_eq!(digest.merge(now, Id(1), &[well, part], 10), MergeOutcome::Rejected, "{part:?}");
         assert!(digest.is_empty(), "nothing of it counts");
     }
     let mut digest = Digest::default();
-    assert_eq!(digest.take(now, Id(1), &[well; SITES_MOST + 1], 10), Taken::Refused);
-    assert_eq!(digest.take(now, Id(2), &[well], 10), Taken::Whole);
+    assert_eq!(digest.merge(now, Id(1), &[well; MAX_SITES + 1], 10), MergeOutcome::Rejected);
+    assert_eq!(digest.merge(now, Id(2), &[well], 10), MergeOutcome::Complete);
     assert_eq!(digest.sites().map(|(site, seen)| (site, seen.latency)).collect::<Vec<_>>(), [(1, 0.5)]);
-    assert_eq!(Part::read(&[0xff; 40]), None);
+    assert_eq!(Part::decode(&[0xff; 40]), None);
 }
 
 #[test]
@@ -148,11 +156,11 @@
     let mut digest = Digest::default();
     let mut now = Time(1_000_000);
     for request in 0..20 {
-        digest.asked(now, 3);
+        digest.record_request(now, 3);
         if request % 4 == 0 {
-            digest.refused(now, 3);
+            digest.record_rejection(now, 3);
         }
-        digest.saw(now, 4, 0.3, 0.1);
+        digest.record_response(now, 4, 0.3, 0.1);
         now = now + Micros(10_000);
     }
     let state = digest.fleet(now);
@@ -161,7 +169,7 @@
     assert_eq!(sites, [3, 4]);
     let later = now + seconds(2.0);
     assert!(digest.fleet(later).weight < 0.01, "{:?}", digest.fleet(later));
-    assert!(!digest.holds(later) && digest.give(later).is_empty());
+    assert!(!digest.has_data(later) && digest.split_half(later).is_empty());
 }
 
 /// Members see answers for so long, those of one half other ones than those of the other.
@@ -170,7 +178,7 @@
     for _ in 0..rounds {
         for number in 0..all {
             fleet.with(number, |peer, now, _| {
-                peer.digest().saw(now, (number % 2) as u8, took[number % 2], 0.1)
+                peer.digest().record_response(now, (number % 2) as u8, took[number % 2], 0.1)
             });
         }
         fleet.play(seconds(0.05));
@@ -197,7 +205,7 @@
     assert!(fleet.until(seconds(20.0), Fleet::agrees).is_some());
     see(&mut fleet, 40, [0.5, 0.9]);
     assert!(off(&states(&fleet), 0.7) < 0.2, "{}", off(&states(&fleet), 0.7));
-    assert!(fleet.longest <= DATAGRAM_MOST);
+    assert!(fleet.longest <= MAX_DATAGRAM_BYTES);
 }
 
 #[test]
@@ -212,6 +220,6 @@
     let shared = fleet.sent.0 - before;
     // One of five each 50 ms, for ten seconds, and two of news a period at most beside it.
     assert!(shared > quiet + 800 && shared < quiet + 1_100, "{quiet} and {shared}");
-    let figures = fleet.peer(0).expect("it runs").figures();
+    let figures = fleet.peer(0).expect("it runs").stats();
     assert!(figures.digests[0] > 100 && figures.digests[2] < figures.digests[0], "{figures:?}");
 }
--- a/crates/membership/tests/explore.rs
+++ b/crates/membership/tests/explore.rs
@@ -2,29 +2,29 @@
 //! never; probes fail for no reason; members are killed and start from nothing, with clocks that were set back. The rules are
 //! the core's own ([`weigh`], [`defend`]); the surroundings and what must hold are the explorer's.
 
-use bellcroft_membership::{defend, weigh, State, Version, Worth};
+use bellcroft_membership::{compare, refute, Incarnation, Precedence, State};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
 /// What a member holds of another: in which version, what, and whether it has answered here in this life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Held {
-    version: Version,
+    version: Incarnation,
     state: State,
     met: bool,
     /// The highest version that was ever held.
-    highest: Version,
+    highest: Incarnation,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Member {
     up: bool,
-    version: Version,
+    version: Incarnation,
     held: Vec<Held>,
 }
 
 /// Something that was said: by whom, of whom, in which version, what.
-type Word = (usize, usize, Version, State);
+type Word = (usize, usize, Incarnation, State);
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct World {
@@ -71,11 +71,11 @@
 const FIRST: u64 = 10;
 
 impl Rules {
-    fn defends(&self, own: Version, word: (Version, State)) -> Option<Version> {
+    fn defends(&self, own: Incarnation, word: (Incarnation, State)) -> Option<Incarnation> {
         match self.without {
-            Without::Refutation if word.0.life == own.life => None,
-            Without::GoingPast if word.0.life > own.life => None,
-            _ => defend(own, word),
+            Without::Refutation if word.0.epoch == own.epoch => None,
+            Without::GoingPast if word.0.epoch > own.epoch => None,
+            _ => refute(own, word),
         }
     }
 
@@ -89,7 +89,7 @@
         }
     }
 
-    fn set(world: &mut World, by: usize, of: usize, version: Version, state: State, met: bool) {
+    fn set(world: &mut World, by: usize, of: usize, version: Incarnation, state: State, met: bool) {
         let highest = world.members[by].held[of].highest.max(version);
         world.members[by].held[of] = Held { version, state, met, highest };
         Self::say(world, by, of);
@@ -99,21 +99,21 @@
         if of == by {
             if let Some(version) = self.defends(world.members[by].version, (said, state)) {
                 world.members[by].version = version;
-                world.lives[by].insert(version.life);
+                world.lives[by].insert(version.epoch);
                 Self::say(world, by, by);
             }
             return;
         }
         let held = world.members[by].held[of];
-        let ordered = if self.without == Without::Order { Version::default() } else { held.version };
-        match weigh((ordered, held.state, held.met), (said, state), from == of) {
-            Worth::Nothing => {}
-            Worth::Alive => Self::set(world, by, of, said, State::Alive, false),
-            Worth::Gone => Self::set(world, by, of, said, State::Left, held.met),
-            Worth::Doubt if held.state == State::Alive => {
+        let ordered = if self.without == Without::Order { Incarnation::default() } else { held.version };
+        match compare((ordered, held.state, held.met), (said, state), from == of) {
+            Precedence::Ignored => {}
+            Precedence::Alive => Self::set(world, by, of, said, State::Alive, false),
+            Precedence::Left => Self::set(world, by, of, said, State::Left, held.met),
+            Precedence::Suspect if held.state == State::Alive => {
                 Self::set(world, by, of, held.version, State::Suspect, held.met);
             }
-            Worth::Doubt => {}
+            Precedence::Suspect => {}
         }
     }
 
@@ -125,7 +125,7 @@
             self.hear(world, of, (by, of, held.version, held.state));
         }
         let version = world.members[of].version;
-        if version > held.version || (version == held.version && held.state.here()) {
+        if version > held.version || (version == held.version && held.state.is_reachable()) {
             Self::set(world, by, of, version, State::Alive, true);
         }
     }
@@ -173,7 +173,7 @@
     type Action = Act;
 
     fn init_states(&self) -> Vec<World> {
-        let first = Version { life: FIRST, round: 0 };
+        let first = Incarnation { epoch: FIRST, counter: 0 };
         let held = Held { version: first, state: State::Alive, met: true, highest: first };
         let member = Member { up: true, version: first, held: vec![held; self.members] };
         vec![World {
@@ -219,12 +219,15 @@
             Act::Kill(number) => world.members[number].up = false,
             Act::Start(number, back) => {
                 world.starts += 1;
-                let before = world.members[number].version.life;
+                let before = world.members[number].version.epoch;
                 let life = if back { before - 3 } else { before + 3 };
-                let nothing = Version::default();
+                let nothing = Incarnation::default();
                 let held = Held { version: nothing, state: State::Absent, met: false, highest: nothing };
-                world.members[number] =
-                    Member { up: true, version: Version { life, round: 0 }, held: vec![held; self.members] };
+                world.members[number] = Member {
+                    up: true,
+                    version: Incarnation { epoch: life, counter: 0 },
+                    held: vec![held; self.members],
+                };
                 world.lives[number].insert(life);
                 Self::say(&mut world, number, number);
             }
@@ -236,7 +239,7 @@
         vec![
             Property::<Self>::always("no life that nobody had", |_, world| {
                 let had = |of: usize, held: &Held| {
-                    held.state == State::Absent || world.lives[of].contains(&held.version.life)
+                    held.state == State::Absent || world.lives[of].contains(&held.version.epoch)
                 };
                 world
                     .members
--- a/crates/membership/tests/faults.rs
+++ b/crates/membership/tests/faults.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use bellcroft_balancer::Micros;
-use bellcroft_membership::{Change, Membership, Stance, State};
+use bellcroft_membership::{Change, Membership, QuorumState, State};
 use bellcroft_simulation::fleet::{address, Link, Net};
 use common::*;
 
@@ -22,7 +22,7 @@
         assert!(took.is_some(), "seed {seed}");
         fleet.play(seconds(10.0));
         assert!(deaths(&fleet, from).iter().all(|(_, of)| *of == 5), "seed {seed}");
-        assert!(rest.iter().all(|n| stance(&fleet, *n) == Stance::Degraded), "seed {seed}");
+        assert!(rest.iter().all(|n| stance(&fleet, *n) == QuorumState::Degraded), "seed {seed}");
     }
 }
 
@@ -35,17 +35,17 @@
         let gone: Vec<usize> = (0..10).collect();
         // Where a third is gone, its helpers among them, an instance doubts its own hearing for a while.
         assert!(thirty.until(bound(30) * 3.0, |f| hold(f, &rest, &gone, dead)).is_some(), "seed {seed}");
-        assert!(hold(&thirty, &rest, &rest, State::here), "seed {seed}");
-        assert_eq!(stance(&thirty, 20), Stance::Majority);
+        assert!(hold(&thirty, &rest, &rest, State::is_reachable), "seed {seed}");
+        assert_eq!(stance(&thirty, 20), QuorumState::Majority);
 
         let mut twelve = fleet(12, seed);
         (1..12).for_each(|n| twelve.kill(n));
-        let quiet = config(0, 12).settle() * 1.5;
-        assert!(twelve.until(quiet, |f| stance(f, 0) == Stance::Alone).is_some(), "seed {seed}");
+        let quiet = config(0, 12).recovery_time() * 1.5;
+        assert!(twelve.until(quiet, |f| stance(f, 0) == QuorumState::Isolated).is_some(), "seed {seed}");
         // Where nobody shares a suspicion, it is the longest; and its own hearing is in doubt.
         let all: Vec<usize> = (1..12).collect();
         assert!(twelve.until(bound(12) * 8.0, |f| hold(f, &[0], &all, dead)).is_some(), "seed {seed}");
-        assert_eq!(twelve.peer(0).expect("it runs").reckoned(twelve.now()), 12);
+        assert_eq!(twelve.peer(0).expect("it runs").effective_size(twelve.now()), 12);
     }
 }
 
@@ -59,7 +59,7 @@
         fleet.go_on(sleeper);
         fleet.play(seconds(0.2));
         if slept > 2.0 {
-            assert_eq!(stance(&fleet, sleeper), Stance::Waking, "{slept} s");
+            assert_eq!(stance(&fleet, sleeper), QuorumState::Recovering, "{slept} s");
         }
         assert!(fleet.until(seconds(8.0), Net::agrees).is_some(), "{slept} s");
         let accused = |seen: &&bellcroft_simulation::fleet::Seen| {
@@ -70,7 +70,7 @@
         assert_eq!(fleet.seen.iter().filter(accused).count(), 0, "{slept} s");
         fleet.play(seconds(10.0));
         assert!(fleet.agrees(), "{slept} s");
-        assert_eq!(stance(&fleet, sleeper), Stance::Whole);
+        assert_eq!(stance(&fleet, sleeper), QuorumState::Complete);
     }
 }
 
@@ -78,11 +78,11 @@
 fn a_fleet_that_fell_apart_for_a_minute_is_one_again_within_the_bound() {
     let all = everyone(12);
     let half: (Vec<usize>, Vec<usize>) = (all[..6].to_vec(), all[6..].to_vec());
-    let cases: Vec<(&str, Vec<&[usize]>, Stance)> = vec![
-        ("halves", vec![&half.0, &half.1], Stance::Minority),
-        ("thirds", vec![&all[..4], &all[4..8], &all[8..]], Stance::Minority),
-        ("one alone", vec![&all[..1], &all[1..]], Stance::Alone),
-        ("a third off", vec![&all[..4], &all[4..]], Stance::Minority),
+    let cases: Vec<(&str, Vec<&[usize]>, QuorumState)> = vec![
+        ("halves", vec![&half.0, &half.1], QuorumState::Minority),
+        ("thirds", vec![&all[..4], &all[4..8], &all[8..]], QuorumState::Minority),
+        ("one alone", vec![&all[..1], &all[1..]], QuorumState::Isolated),
+        ("a third off", vec![&all[..4], &all[4..]], QuorumState::Minority),
     ];
     for (seed, (name, groups, first)) in cases.into_iter().enumerate() {
         let mut fleet = fleet(12, seed as u64);
@@ -92,16 +92,22 @@
             for other in groups.iter().skip(a + 1) {
                 assert!(hold(&fleet, group, other, dead) && hold(&fleet, other, group, dead), "{name}");
             }
-            assert!(hold(&fleet, group, group, State::here), "{name}: nobody of one side is lost to it");
+            assert!(
+                hold(&fleet, group, group, State::is_reachable),
+                "{name}: nobody of one side is lost to it"
+            );
         }
         assert_eq!(stance(&fleet, 0), first, "{name}");
         // Two halves that each think themselves the fleet would each take the whole of what all may do together.
-        assert!(all.iter().all(|n| fleet.peer(*n).expect("it runs").reckoned(fleet.now()) == 12), "{name}");
+        assert!(
+            all.iter().all(|n| fleet.peer(*n).expect("it runs").effective_size(fleet.now()) == 12),
+            "{name}"
+        );
         fleet.link = Box::new(|_, _| Link::default());
         assert!(fleet.until(seconds(10.0), Net::agrees).is_some(), "{name}: one view again");
         fleet.play(seconds(20.0));
         assert!(fleet.agrees(), "{name}: and it stays");
-        assert!(all.iter().all(|n| stance(&fleet, *n) == Stance::Whole), "{name}");
+        assert!(all.iter().all(|n| stance(&fleet, *n) == QuorumState::Complete), "{name}");
     }
 }
 
@@ -219,11 +225,11 @@
     fleet.kill(0);
     let rest = &all[1..];
     assert!(fleet.until(bound(30), |f| hold(f, rest, &[0], dead)).is_some(), "the seed is missed");
-    assert!(hold(&fleet, rest, rest, State::here));
+    assert!(hold(&fleet, rest, rest, State::is_reachable));
     // Whoever starts while every seed is dead is alone and says so; it is found when a seed is back.
     start(&mut fleet, seeded(30));
     fleet.play(seconds(10.0));
-    assert_eq!(stance(&fleet, 30), Stance::Alone);
+    assert_eq!(stance(&fleet, 30), QuorumState::Isolated);
     start(&mut fleet, seeded(0));
     let all = everyone(31);
     assert!(
@@ -237,7 +243,7 @@
     for (name, life) in [("later", 800), ("an hour earlier", -3_600_000_i64)] {
         let mut fleet = fleet(12, 9);
         let before =
-            fleet.peer(0).and_then(|p| p.member(bellcroft_membership::Id(4))).expect("known").version;
+            fleet.peer(0).and_then(|p| p.member(bellcroft_membership::Id(4))).expect("known").incarnation;
         let former = wall(&fleet);
         fleet.kill(4);
         fleet.play(seconds(0.5));
@@ -246,10 +252,11 @@
         fleet.play(seconds(20.0));
         assert!(fleet.agrees(), "{name}: the old life never comes back");
     }
-    fn later(fleet: &Fleet, before: bellcroft_membership::Version) -> bool {
-        let of =
-            |by: usize| fleet.peer(by).and_then(|p| p.member(bellcroft_membership::Id(4))).map(|m| m.version);
-        (0..12).filter(|n| *n != 4).all(|by| of(by).is_some_and(|version| version.life > before.life))
+    fn later(fleet: &Fleet, before: bellcroft_membership::Incarnation) -> bool {
+        let of = |by: usize| {
+            fleet.peer(by).and_then(|p| p.member(bellcroft_membership::Id(4))).map(|m| m.incarnation)
+        };
+        (0..12).filter(|n| *n != 4).all(|by| of(by).is_some_and(|version| version.epoch > before.epoch))
     }
 }
 
@@ -276,7 +283,7 @@
         let mut fleet: Fleet = Net::new(members, seed);
         for number in 0..members {
             let mut config = config(number, 0);
-            (config.instances, config.view_most) = (members as u32, 8);
+            (config.instances, config.max_members) = (members as u32, 8);
             config.seeds = vec![address(0), address(1)];
             start(&mut fleet, config);
         }
@@ -287,8 +294,9 @@
         fleet.link = Box::new(|_, _| Link::default());
         fleet.kill(20);
         fleet.play(bound(members) * 3.0);
-        let still =
-            (0..members).filter(|n| *n != 20 && state(&fleet, *n, 20).is_some_and(State::here)).count();
+        let still = (0..members)
+            .filter(|n| *n != 20 && state(&fleet, *n, 20).is_some_and(State::is_reachable))
+            .count();
         assert_eq!(still, 0, "seed {seed}: nobody holds the dead one for alive");
         assert!(fleet.events < 3_000_000, "seed {seed}: {} events", fleet.events);
     }
@@ -301,7 +309,7 @@
     let mut fleet: Fleet = Net::new(members, 4);
     for number in 0..members {
         let mut config = config(number, members);
-        config.view_most = 40;
+        config.max_members = 40;
         start(&mut fleet, config);
     }
     fleet.play(seconds(20.0));
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,37 +1,39 @@
 //! The outer forms of membership: the bytes of every kind of datagram, and the words that status and logs use.
 
-use bellcroft_membership::{decode, encode, Datagram, Duty, Id, Kind, Rumour, Stance, State, Version};
+use bellcroft_membership::{
+    decode, encode, Datagram, Id, Incarnation, Message, QuorumState, Role, State, Update,
+};
 use expect_test::expect_file;
 use std::fmt::Write;
 
 const CLUSTER: u64 = 0x1122_3344_5566_7788;
 
-fn kinds() -> Vec<Kind> {
+fn kinds() -> Vec<Message> {
     let address = Some("127.0.0.1:7946".parse().expect("an address"));
-    let version = Version { life: 1_700_000_000_000, round: 3 };
+    let version = Incarnation { epoch: 1_700_000_000_000, counter: 3 };
     vec![
-        Kind::Ping { seq: 7, to: Id(300) },
-        Kind::PingOf { seq: 8, target: Id(2), address },
-        Kind::PingOf { seq: 9, target: Id(2), address: None },
-        Kind::Ack { seq: 10, of: Id(2), version },
-        Kind::Nack { seq: 11 },
-        Kind::News,
-        Kind::Hint { payload: vec![1, 2, 3] },
-        Kind::Digest { parts: vec![4, 5] },
+        Message::Ping { seq: 7, to: Id(300) },
+        Message::PingRequest { seq: 8, target: Id(2), address },
+        Message::PingRequest { seq: 9, target: Id(2), address: None },
+        Message::Ack { seq: 10, of: Id(2), incarnation: version },
+        Message::Nack { seq: 11 },
+        Message::Gossip,
+        Message::Hint { payload: vec![1, 2, 3] },
+        Message::Digest { parts: vec![4, 5] },
     ]
 }
 
-fn updates() -> Vec<Rumour> {
+fn updates() -> Vec<Update> {
     let states = [State::Alive, State::Suspect, State::Dead, State::Left];
     (0_u32..)
         .zip(states)
-        .map(|(n, state)| Rumour {
+        .map(|(n, state)| Update {
             id: Id(n),
-            version: Version { life: 1_700_000_000_001, round: n },
+            incarnation: Incarnation { epoch: 1_700_000_000_001, counter: n },
             state,
-            by: Id(n + 1),
+            reported_by: Id(n + 1),
             site: 2,
-            duty: if n % 2 == 0 { Duty::Agent } else { Duty::Observer },
+            role: if n % 2 == 0 { Role::Agent } else { Role::Observer },
             address: (n == 1).then(|| "10.0.0.1:7946".parse().expect("an address")),
         })
         .collect()
@@ -40,12 +42,12 @@
 fn datagrams() -> Vec<Datagram> {
     let datagram = |kind| Datagram {
         from: Id(1),
-        version: Version { life: 1_700_000_000_000, round: 1 },
+        incarnation: Incarnation { epoch: 1_700_000_000_000, counter: 1 },
         site: 1,
-        duty: Duty::Agent,
-        kind,
-        fresh: 2,
-        news: updates(),
+        role: Role::Agent,
+        message: kind,
+        new_updates: 2,
+        updates: updates(),
     };
     kinds().into_iter().map(datagram).collect()
 }
@@ -62,7 +64,7 @@
     let mut text = String::new();
     for datagram in datagrams() {
         let (bytes, fit) = encode(CLUSTER, &datagram);
-        assert_eq!(fit, datagram.news.len());
+        assert_eq!(fit, datagram.updates.len());
         assert_eq!(decode(CLUSTER, &bytes), Ok(datagram));
         writeln!(text, "{}", hex(&bytes)).expect("a string grows");
     }
@@ -73,10 +75,10 @@
 fn words_of_status_match_golden_file() {
     let mut text = String::new();
     for state in [State::Absent, State::Alive, State::Suspect, State::Dead, State::Left] {
-        writeln!(text, "state {}", state.word()).expect("a string grows");
+        writeln!(text, "state {}", state.as_str()).expect("a string grows");
     }
-    for stance in Stance::ALL {
-        writeln!(text, "stance {}", stance.word()).expect("a string grows");
+    for stance in QuorumState::ALL {
+        writeln!(text, "stance {}", stance.as_str()).expect("a string grows");
     }
     expect_file!["golden/words.txt"].assert_eq(&text);
 }
--- a/crates/membership/tests/lies.rs
+++ b/crates/membership/tests/lies.rs
@@ -4,8 +4,8 @@
 
 use bellcroft_balancer::{Micros, Time};
 use bellcroft_membership::{
-    decode, encode, Change, Datagram, Duty, Heard, Hearsay, Id, Kind, Membership, Output, Rumour, Stance,
-    State, Version, DATAGRAM_MOST, HINT_MOST,
+    decode, encode, Change, Datagram, Id, Incarnation, Membership, Message, Output, PeerReports, QuorumState,
+    ReportVerdict, Role, State, Update, MAX_DATAGRAM_BYTES, MAX_HINT_BYTES,
 };
 use bellcroft_simulation::fleet::{address, Link, Net};
 use common::*;
@@ -16,26 +16,42 @@
     bellcroft_platform_settings::fnv1a("south")
 }
 
-fn says(from: usize, version: Version, kind: Kind, news: Vec<Rumour>) -> Vec<u8> {
+fn says(from: usize, version: Incarnation, kind: Message, news: Vec<Update>) -> Vec<u8> {
     let fresh = news.len() as u8;
-    let datagram = Datagram { from: Id(from as u32), version, site: 0, duty: Duty::Agent, kind, fresh, news };
+    let datagram = Datagram {
+        from: Id(from as u32),
+        incarnation: version,
+        site: 0,
+        role: Role::Agent,
+        message: kind,
+        new_updates: fresh,
+        updates: news,
+    };
     encode(mark(), &datagram).0
 }
 
-fn version(fleet: &Fleet, of: usize) -> Version {
-    fleet.peer(of).expect("it runs").version()
+fn version(fleet: &Fleet, of: usize) -> Incarnation {
+    fleet.peer(of).expect("it runs").incarnation()
 }
 
-fn claim(id: usize, version: Version, state: State, by: usize) -> Rumour {
-    Rumour { id: Id(id as u32), version, state, by: Id(by as u32), site: 0, duty: Duty::Agent, address: None }
+fn claim(id: usize, version: Incarnation, state: State, by: usize) -> Update {
+    Update {
+        id: Id(id as u32),
+        incarnation: version,
+        state,
+        reported_by: Id(by as u32),
+        site: 0,
+        role: Role::Agent,
+        address: None,
+    }
 }
 
 /// Member 11 tells everybody the same thing, ten times a second for so many seconds.
-fn spread(fleet: &mut Fleet, for_seconds: u32, lie: impl Fn(&Fleet) -> Rumour) {
+fn spread(fleet: &mut Fleet, for_seconds: u32, lie: impl Fn(&Fleet) -> Update) {
     for _ in 0..for_seconds * 10 {
         let (own, rumour) = (version(fleet, 11), lie(fleet));
         for to in 0..11 {
-            fleet.inject(address(11), to, says(11, own, Kind::News, vec![rumour.clone()]));
+            fleet.inject(address(11), to, says(11, own, Message::Gossip, vec![rumour.clone()]));
         }
         fleet.play(seconds(0.1));
     }
@@ -63,10 +79,11 @@
     let mut fleet = fleet(12, 4);
     let last = version(&fleet, 2);
     fleet.kill(2);
-    for round in (last.round + 1..).take(200) {
-        let lie = claim(2, Version { round, ..last }, State::Alive, 2);
+    for round in (last.counter + 1..).take(200) {
+        let lie = claim(2, Incarnation { counter: round, ..last }, State::Alive, 2);
         let own = version(&fleet, 11);
-        (0..11).for_each(|to| fleet.inject(address(11), to, says(11, own, Kind::News, vec![lie.clone()])));
+        (0..11)
+            .for_each(|to| fleet.inject(address(11), to, says(11, own, Message::Gossip, vec![lie.clone()])));
         fleet.play(seconds(0.1));
     }
     let rest: Vec<usize> = (0..11).filter(|n| *n != 2).collect();
@@ -79,19 +96,19 @@
     // A life that lies a year ahead, of a member that is well; and one so far ahead that it would not go past it.
     let year = 365 * 24 * 3_600_000;
     for years in [1, 3] {
-        let ahead = Version { life: WALL + years * year, round: 0 };
+        let ahead = Incarnation { epoch: WALL + years * year, counter: 0 };
         spread(&mut fleet, 5, |_| claim(2, ahead, State::Alive, 11));
     }
     assert!(fleet.until(seconds(10.0), Net::agrees).is_some());
     // One that nothing could go past is refused whole.
-    let beyond = Version { life: 1 << 47, round: 0 };
+    let beyond = Incarnation { epoch: 1 << 47, counter: 0 };
     let own = version(&fleet, 11);
-    let bytes = says(11, own, Kind::News, vec![claim(2, beyond, State::Alive, 11)]);
+    let bytes = says(11, own, Message::Gossip, vec![claim(2, beyond, State::Alive, 11)]);
     assert!(decode(mark(), &bytes).is_err());
     // About its own: member 11 claims the far future for itself, dies, and a true one starts after it.
-    let far = Version { life: WALL + 300 * 24 * 3_600_000, round: 0 };
+    let far = Incarnation { epoch: WALL + 300 * 24 * 3_600_000, counter: 0 };
     for to in 0..11 {
-        fleet.inject(address(11), to, says(11, far, Kind::News, Vec::new()));
+        fleet.inject(address(11), to, says(11, far, Message::Gossip, Vec::new()));
     }
     fleet.kill(11);
     fleet.play(seconds(1.0));
@@ -107,27 +124,27 @@
         for number in 0..11 {
             start(&mut fleet, config(number, 12));
         }
-        let beyond = Version { life: 1 << 46, round: 0 };
-        let own = Version { life: wall(&fleet), round: 0 };
+        let beyond = Incarnation { epoch: 1 << 46, counter: 0 };
+        let own = Incarnation { epoch: wall(&fleet), counter: 0 };
         for to in 0..11 {
             for of in (0..11).filter(|of| *of != to) {
                 fleet.inject(
                     address(11),
                     to,
-                    says(11, own, Kind::News, vec![claim(of, beyond, State::Alive, 11)]),
+                    says(11, own, Message::Gossip, vec![claim(of, beyond, State::Alive, 11)]),
                 );
             }
         }
         // And a number that was held by a liar, which said so of itself, is its member's once it is gone.
         fleet.play(seconds(1.0));
-        let alone = says(11, beyond, Kind::News, Vec::new());
+        let alone = says(11, beyond, Message::Gossip, Vec::new());
         (0..11).for_each(|to| fleet.inject(address(11), to, alone.clone()));
         fleet.play(seconds(1.0));
         start(&mut fleet, config(11, 12));
         let true_lives = |fleet: &Fleet| {
             let peers = (0..12).filter_map(|by| fleet.peer(by));
-            let mut held = peers.flat_map(|peer| peer.members().map(|member| member.version.life));
-            held.all(|life| life < beyond.life)
+            let mut held = peers.flat_map(|peer| peer.members().map(|member| member.incarnation.epoch));
+            held.all(|life| life < beyond.epoch)
         };
         let settled = fleet.until(seconds(60.0), |fleet| fleet.agrees() && true_lives(fleet));
         assert!(settled.is_some(), "seed {seed}: all are alive to all, in their own lives");
@@ -140,26 +157,26 @@
 #[test]
 fn a_number_that_speaks_from_another_place_is_a_stranger_and_one_s_own_is_told_of() {
     let mut fleet = fleet(12, 6);
-    let future = Version { life: WALL + 1_000_000, round: 0 };
+    let future = Incarnation { epoch: WALL + 1_000_000, counter: 0 };
     for _ in 0..5 {
-        fleet.inject(address(500), 3, says(7, future, Kind::News, Vec::new()));
-        fleet.inject(address(500), 7, says(7, future, Kind::News, Vec::new()));
+        fleet.inject(address(500), 3, says(7, future, Message::Gossip, Vec::new()));
+        fleet.inject(address(500), 7, says(7, future, Message::Gossip, Vec::new()));
         fleet.play(seconds(0.2));
     }
     let told = |change: &Change| fleet.seen.iter().filter(|seen| seen.change == *change).count();
-    assert_eq!(told(&Change::Stranger(Id(7), address(500))), 1, "once, not once a datagram");
-    assert_eq!(told(&Change::Twin), 1);
+    assert_eq!(told(&Change::AddressMismatch(Id(7), address(500))), 1, "once, not once a datagram");
+    assert_eq!(told(&Change::DuplicateIdentity), 1);
     assert!(fleet.agrees());
-    assert!(version(&fleet, 7).life < future.life);
-    let figures = fleet.peer(3).expect("it runs").figures();
-    assert_eq!(figures.refused[5], 5);
+    assert!(version(&fleet, 7).epoch < future.epoch);
+    let figures = fleet.peer(3).expect("it runs").stats();
+    assert_eq!(figures.rejected[5], 5);
 }
 
 #[test]
 fn datagrams_of_a_former_life_an_hour_old_change_nothing() {
     let mut fleet = fleet(12, 8);
     let former = version(&fleet, 4);
-    let old = says(4, former, Kind::News, vec![claim(5, version(&fleet, 5), State::Dead, 4)]);
+    let old = says(4, former, Message::Gossip, vec![claim(5, version(&fleet, 5), State::Dead, 4)]);
     fleet.kill(4);
     fleet.play(seconds(1.0));
     start(&mut fleet, config(4, 12));
@@ -172,14 +189,14 @@
     fleet.play(seconds(5.0));
     assert!(fleet.agrees());
     assert_eq!(deaths(&fleet, from), []);
-    let held = fleet.peer(0).and_then(|p| p.member(Id(4))).expect("known").version;
-    assert!(held.life == anew.life && held.life > former.life);
+    let held = fleet.peer(0).and_then(|p| p.member(Id(4))).expect("known").incarnation;
+    assert!(held.epoch == anew.epoch && held.epoch > former.epoch);
 }
 
 #[test]
 fn bytes_of_another_cluster_form_or_length_are_counted_and_left() {
     let mut fleet = fleet(2, 1);
-    let good = says(1, version(&fleet, 1), Kind::News, Vec::new());
+    let good = says(1, version(&fleet, 1), Message::Gossip, Vec::new());
     let mut older = good.clone();
     older[0] = 0;
     let mut newer = good.clone();
@@ -189,14 +206,14 @@
     let mut spoilt = good.clone();
     spoilt[12] ^= 4;
     let long = vec![1; 65_000];
-    let before = fleet.peer(0).expect("it runs").figures();
+    let before = fleet.peer(0).expect("it runs").stats();
     for bytes in [older, newer, foreign, spoilt, long, Vec::new()] {
         fleet.inject(address(1), 0, bytes);
     }
     fleet.play(seconds(0.1));
-    let figures = fleet.peer(0).expect("it runs").figures();
+    let figures = fleet.peer(0).expect("it runs").stats();
     let counted: Vec<u64> =
-        figures.refused.iter().zip(before.refused).map(|(now, then)| now - then).collect();
+        figures.rejected.iter().zip(before.rejected).map(|(now, then)| now - then).collect();
     assert_eq!(counted, [2, 2, 1, 1, 0, 0, 0, 0], "length, version, cluster, spoilt");
     assert!(fleet.agrees());
 }
@@ -205,56 +222,63 @@
 fn hints_go_to_members_that_are_here_and_have_their_bounds() {
     let mut fleet = fleet(3, 1);
     let mut told = Vec::new();
-    fleet.with(0, |peer, now, out| told.push(peer.tell(now, Id(1), vec![1, 2, 3, 4], out)));
-    fleet.with(0, |peer, now, out| told.push(peer.tell(now, Id(1), vec![0; HINT_MOST + 1], out)));
-    fleet.with(0, |peer, now, out| told.push(peer.tell(now, Id(9), vec![1], out)));
+    fleet.with(0, |peer, now, out| told.push(peer.send_hint(now, Id(1), vec![1, 2, 3, 4], out)));
+    fleet.with(0, |peer, now, out| told.push(peer.send_hint(now, Id(1), vec![0; MAX_HINT_BYTES + 1], out)));
+    fleet.with(0, |peer, now, out| told.push(peer.send_hint(now, Id(9), vec![1], out)));
     fleet.play(seconds(0.1));
     assert_eq!(told, [true, false, false]);
     assert_eq!(fleet.hints, [(1, Id(0), vec![1, 2, 3, 4])]);
 
-    let mut hearsay = Hearsay::default();
+    let mut hearsay = PeerReports::default();
     let now = Time(1_000_000);
     let server = |n: u32| n.to_be_bytes().to_vec();
     // A peer that lies about one server after another: nobody else says so, and that is all that it can say.
-    let heard: Vec<Heard> = (0..8).map(|n| hearsay.hear(now, Id(1), &server(n), 40)).collect();
-    assert_eq!(heard, [Heard::Alone; 8]);
-    assert_eq!(hearsay.hear(now, Id(1), &server(8), 40), Heard::TooOften);
+    let heard: Vec<ReportVerdict> = (0..8).map(|n| hearsay.on_report(now, Id(1), &server(n), 40)).collect();
+    assert_eq!(heard, [ReportVerdict::Unconfirmed; 8]);
+    assert_eq!(hearsay.on_report(now, Id(1), &server(8), 40), ReportVerdict::RateLimited);
     // Two that lie together: a quarter of forty, whatever they say.
-    let second: Vec<Heard> = (0..8).map(|n| hearsay.hear(now, Id(2), &server(n), 40)).collect();
-    assert_eq!(second, [Heard::Taken; 8]);
-    let more = |n: u32| [Id(3), Id(4)].map(|by| hearsay.hear(now, by, &server(n), 40));
-    let heard: Vec<[Heard; 2]> = [8, 9, 10].map(more).into();
-    let (taken, many) = ([Heard::Alone, Heard::Taken], [Heard::TooMany, Heard::TooMany]);
+    let second: Vec<ReportVerdict> = (0..8).map(|n| hearsay.on_report(now, Id(2), &server(n), 40)).collect();
+    assert_eq!(second, [ReportVerdict::Accepted; 8]);
+    let more = |n: u32| [Id(3), Id(4)].map(|by| hearsay.on_report(now, by, &server(n), 40));
+    let heard: Vec<[ReportVerdict; 2]> = [8, 9, 10].map(more).into();
+    let (taken, many) = (
+        [ReportVerdict::Unconfirmed, ReportVerdict::Accepted],
+        [ReportVerdict::TooManyServers, ReportVerdict::TooManyServers],
+    );
     assert_eq!(heard, [taken, taken, many], "a quarter, of all peers together");
-    assert_eq!(hearsay.hear(now, Id(3), &server(9), 40), Heard::Taken, "one that is doubted already");
+    assert_eq!(
+        hearsay.on_report(now, Id(3), &server(9), 40),
+        ReportVerdict::Accepted,
+        "one that is doubted already"
+    );
     let later = now + seconds(5.0);
-    assert_eq!(hearsay.hear(later, Id(3), &server(10), 40), Heard::Alone, "words fade");
-    assert_eq!(hearsay.hear(later, Id(4), &server(10), 40), Heard::Taken, "and so do doubts");
+    assert_eq!(hearsay.on_report(later, Id(3), &server(10), 40), ReportVerdict::Unconfirmed, "words fade");
+    assert_eq!(hearsay.on_report(later, Id(4), &server(10), 40), ReportVerdict::Accepted, "and so do doubts");
     assert_eq!(
-        [5, 6].map(|by| hearsay.hear(later, Id(by), &server(1), 1))[1],
-        Heard::TooMany,
+        [5, 6].map(|by| hearsay.on_report(later, Id(by), &server(1), 1))[1],
+        ReportVerdict::TooManyServers,
         "never the last"
     );
 }
 
 #[test]
 fn what_is_counted_for_the_whole_fleet_shrinks_at_once_and_grows_after_the_stated_time() {
-    use bellcroft_membership::Fleet as Size;
+    use bellcroft_membership::FleetSize as Size;
     let (keep, at) = (seconds(60.0), |s: u64| Time(s * 1_000_000));
     let mut size = Size::new(12, keep);
-    assert_eq!(size.reckoned(at(0)), 12);
-    size.believe(at(1), 6);
-    assert_eq!(size.reckoned(at(1)), 12, "never by who answers");
-    size.believe(at(2), 40);
-    assert_eq!(size.reckoned(at(2)), 40, "at once");
-    (3..63).for_each(|s| size.believe(at(s), 20));
-    assert_eq!(size.reckoned(at(62)), 40);
-    assert_eq!(size.reckoned(at(63)), 20, "a minute after they were last seen");
-    size.expect(at(64), 30);
-    assert_eq!((size.reckoned(at(64)), size.roster()), (30, 30));
-    size.expect(at(70), 5);
-    assert_eq!(size.reckoned(at(70)), 30, "a smaller roster too");
-    assert_eq!(size.reckoned(at(131)), 5);
+    assert_eq!(size.effective(at(0)), 12);
+    size.observe(at(1), 6);
+    assert_eq!(size.effective(at(1)), 12, "never by who answers");
+    size.observe(at(2), 40);
+    assert_eq!(size.effective(at(2)), 40, "at once");
+    (3..63).for_each(|s| size.observe(at(s), 20));
+    assert_eq!(size.effective(at(62)), 40);
+    assert_eq!(size.effective(at(63)), 20, "a minute after they were last seen");
+    size.set_roster(at(64), 30);
+    assert_eq!((size.effective(at(64)), size.roster()), (30, 30));
+    size.set_roster(at(70), 5);
+    assert_eq!(size.effective(at(70)), 30, "a smaller roster too");
+    assert_eq!(size.effective(at(131)), 5);
 }
 
 #[test]
@@ -271,14 +295,14 @@
             for id in order {
                 let member = Member {
                     id: Id(id),
-                    version: Version::default(),
+                    incarnation: Incarnation::default(),
                     state: State::Alive,
                     since: Time(0),
-                    by: Id(id),
+                    reported_by: Id(id),
                     address: address(id as usize),
                     site: 0,
-                    duty: Duty::Agent,
-                    answered: None,
+                    role: Role::Agent,
+                    last_ack: None,
                 };
                 view.offer(member);
             }
@@ -316,7 +340,7 @@
         // The same behind a head and a check that are good: what reads the body sees anything at all.
         let mut good = vec![1, 0];
         good.extend(mark().to_le_bytes());
-        good.extend(bytes.iter().take(DATAGRAM_MOST - 14));
+        good.extend(bytes.iter().take(MAX_DATAGRAM_BYTES - 14));
         let check = crc32c::crc32c(&good).to_le_bytes();
         good.extend(check);
         let mut member = Membership::new(config(0, 4), Time(5_000_000), WALL, 1);
@@ -327,7 +351,7 @@
         prop_assert!(out.len() < 64 && member.members().count() <= 4 + 24);
         if let Ok(datagram) = decode(mark(), &good) {
             let (bytes, fit) = encode(mark(), &datagram);
-            prop_assert_eq!(fit, datagram.news.len());
+            prop_assert_eq!(fit, datagram.updates.len());
             prop_assert_eq!(decode(mark(), &bytes), Ok(datagram));
         }
     }
@@ -335,36 +359,36 @@
     #[test]
     fn every_datagram_is_read_as_it_was_written_and_never_longer_than_256_bytes(
         ids in proptest::collection::vec((any::<u32>(), 0..1_u64 << 47, any::<u32>(), any::<bool>()), 0..40),
-        hint in proptest::collection::vec(any::<u8>(), 0..=HINT_MOST),
+        hint in proptest::collection::vec(any::<u8>(), 0..=MAX_HINT_BYTES),
     ) {
         let six: SocketAddr = "[2001:db8::1]:65535".parse().expect("an address");
-        let news: Vec<Rumour> = ids
+        let news: Vec<Update> = ids
             .iter()
-            .map(|(id, life, round, with)| Rumour {
+            .map(|(id, life, round, with)| Update {
                 address: with.then_some(six),
-                ..claim(*id as usize, Version { life: *life, round: *round }, State::Suspect, u32::MAX as usize)
+                ..claim(*id as usize, Incarnation { epoch: *life, counter: *round }, State::Suspect, u32::MAX as usize)
             })
             .collect();
-        let far = Version { life: (1 << 47) - 1, round: u32::MAX };
+        let far = Incarnation { epoch: (1 << 47) - 1, counter: u32::MAX };
         let datagram = Datagram {
             from: Id(u32::MAX),
-            version: far,
+            incarnation: far,
             site: 255,
-            duty: Duty::Observer,
-            kind: Kind::Hint { payload: hint },
-            fresh: 3,
-            news,
+            role: Role::Observer,
+            message: Message::Hint { payload: hint },
+            new_updates: 3,
+            updates: news,
         };
         let (bytes, fit) = encode(mark(), &datagram);
-        prop_assert!(bytes.len() <= DATAGRAM_MOST);
+        prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         let read = decode(mark(), &bytes);
-        let whole = Datagram { news: datagram.news[..fit].to_vec(), ..datagram.clone() };
+        let whole = Datagram { updates: datagram.updates[..fit].to_vec(), ..datagram.clone() };
         prop_assert_eq!(read, Ok(whole));
         for kind in [
-            Kind::PingOf { seq: u32::MAX, target: Id(u32::MAX), address: Some(six) },
-            Kind::Ack { seq: u32::MAX, of: Id(u32::MAX), version: far },
+            Message::PingRequest { seq: u32::MAX, target: Id(u32::MAX), address: Some(six) },
+            Message::Ack { seq: u32::MAX, of: Id(u32::MAX), incarnation: far },
         ] {
-            let bare = Datagram { kind, news: Vec::new(), ..datagram.clone() };
+            let bare = Datagram { message: kind, updates: Vec::new(), ..datagram.clone() };
             prop_assert_eq!(decode(mark(), &encode(mark(), &bare).0), Ok(bare));
         }
     }
@@ -415,9 +439,9 @@
         for number in runs {
             let expected = members;
             let peer = fleet.peer(number).expect("it runs");
-            assert!(peer.reckoned(fleet.now()) as usize == expected, "seed {seed}");
-            let here = 1 + peer.members().filter(|m| m.state.here()).count();
-            assert_eq!(here == members, peer.stance() == Stance::Whole, "seed {seed}");
+            assert!(peer.effective_size(fleet.now()) as usize == expected, "seed {seed}");
+            let here = 1 + peer.members().filter(|m| m.state.is_reachable()).count();
+            assert_eq!(here == members, peer.quorum_state() == QuorumState::Complete, "seed {seed}");
         }
         assert!(fleet.longest <= 256);
     }
--- a/crates/operator-config/src/membership.rs
+++ b/crates/operator-config/src/membership.rs
@@ -2,7 +2,7 @@
 
 use crate::agent::plain;
 use crate::reader::Section;
-use bellcroft_membership::Duty;
+use bellcroft_membership::Role;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
@@ -27,7 +27,7 @@
     /// How many there are to be.
     pub instances: Option<u32>,
     /// What it is for.
-    pub duty: Duty,
+    pub duty: Role,
 }
 
 pub(crate) fn schema(top: &Section) -> Option<Membership> {
@@ -39,8 +39,8 @@
     let seeds = addresses(&section, "seeds");
     let instances = section.count("instances", 1..=NUMBER_MOST).map(|count| count as u32);
     let duty = section.read("duty", "\"agent\" or \"observer\"", |word| match word {
-        "agent" => Some(Duty::Agent),
-        "observer" => Some(Duty::Observer),
+        "agent" => Some(Role::Agent),
+        "observer" => Some(Role::Observer),
         _ => None,
     });
     if !section.present() {
@@ -71,7 +71,7 @@
         peers,
         seeds,
         instances,
-        duty: duty.unwrap_or(Duty::Agent),
+        duty: duty.unwrap_or(Role::Agent),
     })
 }
 
--- a/crates/simulation/src/engine.rs
+++ b/crates/simulation/src/engine.rs
@@ -522,7 +522,7 @@
                 }
                 Action::Cancel { request, attempt } => self.call_off(request.0, attempt.0, Ended::Cancelled),
                 Action::Shed { request, retry_after } => {
-                    self.count_in(instance, Digest::refused);
+                    self.count_in(instance, Digest::record_rejection);
                     self.answer(request.0, Final::Refused(retry_after))
                 }
                 Action::Fail { request } => self.answer(request.0, Final::Failed),
@@ -1017,7 +1017,7 @@
             is_retry: tries > 1,
             ..Request::new(RequestId(id), ClassId(class), deadline.since(self.now))
         };
-        self.count_in(instance, Digest::asked);
+        self.count_in(instance, Digest::record_request);
         self.tell(instance, Event::Request(request));
     }
 
--- a/crates/simulation/src/engine/peers.rs
+++ b/crates/simulation/src/engine/peers.rs
@@ -4,23 +4,23 @@
 //! delay as the scenario says.
 
 use super::*;
-use bellcroft_membership::{Heard, Hearsay, Id, Part};
+use bellcroft_membership::{Id, Part, PeerReports, ReportVerdict};
 
 /// One instance's part of it.
 pub(super) struct Talk {
     digest: Digest,
-    hearsay: Hearsay,
+    hearsay: PeerReports,
     random: ChaCha8Rng,
 }
 
 impl Talk {
     pub(super) fn new(random: ChaCha8Rng) -> Self {
-        Talk { digest: Digest::default(), hearsay: Hearsay::default(), random }
+        Talk { digest: Digest::default(), hearsay: PeerReports::default(), random }
     }
 
     /// Its process starts from nothing.
     pub(super) fn forget(&mut self) {
-        (self.digest, self.hearsay) = (Digest::default(), Hearsay::default());
+        (self.digest, self.hearsay) = (Digest::default(), PeerReports::default());
     }
 }
 
@@ -53,12 +53,12 @@
     pub(super) fn heard(&mut self, instance: usize, from: usize, payload: Vec<u8>) {
         let (now, up) = (self.now, self.servers.iter().filter(|s| s.up && !s.draining).count());
         let hearsay = &mut self.instances[instance].talk.hearsay;
-        let heard = hearsay.hear(now, Id(from as u32), &payload, up);
+        let heard = hearsay.on_report(now, Id(from as u32), &payload, up);
         let mut payload = payload;
-        if heard == Heard::Alone {
+        if heard == ReportVerdict::Unconfirmed {
             payload.push(bellcroft_balancer::UNCONFIRMED_HINT);
         }
-        if matches!(heard, Heard::Taken | Heard::Alone) {
+        if matches!(heard, ReportVerdict::Accepted | ReportVerdict::Unconfirmed) {
             self.tell(instance, Event::PeerMessage { from: PeerId(from as u32), payload });
         }
     }
@@ -68,7 +68,7 @@
         if self.scenario.digest {
             let own = &mut self.instances[instance];
             let (first, life) =
-                (own.talk.random.random_range(0..own.talk.digest.every(self.now).0), own.life);
+                (own.talk.random.random_range(0..own.talk.digest.interval(self.now).0), own.life);
             self.at(self.now + Micros(first), Happening::Share(instance, life));
         }
     }
@@ -78,7 +78,7 @@
         if self.scenario.digest {
             let (now, own) = (self.now, &mut self.instances[instance]);
             for sign in own.core.signs() {
-                own.talk.digest.saw(now, sign.zone.0 as u8, sign.latency, sign.load);
+                own.talk.digest.record_response(now, sign.zone.0 as u8, sign.latency, sign.load);
             }
         }
     }
@@ -95,24 +95,24 @@
         let (now, others) = (self.now, self.instances.len() - 1);
         let own = &mut self.instances[instance];
         let life = own.life;
-        if others > 0 && own.talk.digest.holds(now) {
+        if others > 0 && own.talk.digest.has_data(now) {
             let drawn = own.talk.random.random_range(0..others);
             let to = drawn + usize::from(drawn >= instance);
-            let parts = own.talk.digest.give(now);
+            let parts = own.talk.digest.split_half(now);
             self.outcome.digests += 1;
             if let Some(way) = self.way_over(instance, to) {
-                let bytes = Part::write(&parts);
+                let bytes = Part::encode(&parts);
                 self.at(now + way, Happening::Handed(to, instance, bytes));
             }
         }
-        let every = self.instances[instance].talk.digest.every(now);
+        let every = self.instances[instance].talk.digest.interval(now);
         self.at(now + every, Happening::Share(instance, life));
     }
 
     pub(super) fn handed(&mut self, instance: usize, from: usize, parts: &[u8]) {
         let (now, members) = (self.now, self.instances.len());
         let digest = &mut self.instances[instance].talk.digest;
-        digest.take(now, Id(from as u32), &Part::read(parts).unwrap_or_default(), members);
+        digest.merge(now, Id(from as u32), &Part::decode(parts).unwrap_or_default(), members);
         let state = digest.fleet(now);
         self.tell(instance, Event::Fleet(state));
     }
--- a/crates/testbed/src/scale/observer.rs
+++ b/crates/testbed/src/scale/observer.rs
@@ -49,10 +49,11 @@
             return;
         }
         let Ok(datagram) = decode(self.cluster, bytes) else { return };
-        let sampled_from = usize::from(datagram.fresh);
-        for (place, update) in datagram.news.iter().enumerate().filter(|(_, update)| update.id == self.member)
+        let sampled_from = usize::from(datagram.new_updates);
+        for (place, update) in
+            datagram.updates.iter().enumerate().filter(|(_, update)| update.id == self.member)
         {
-            let own_burial = update.state == State::Dead && update.by.0 as usize == from;
+            let own_burial = update.state == State::Dead && update.reported_by.0 as usize == from;
             let sample = place >= sampled_from && update.state == State::Alive;
             if !own_burial && !sample {
                 continue;
