--- a/crates/agent-core/src/console.rs
+++ b/crates/agent-core/src/admin.rs
@@ -5,17 +5,17 @@
 use std::fmt::Write;
 
 /// The longest line that is read.
-pub const LINE_MOST: usize = 256;
+pub const MAX_LINE_BYTES: usize = 256;
 /// Callers at a time. They come every second or two; the rest is room for those that say nothing.
-pub const CALLERS_MOST: usize = 12;
+pub const MAX_SESSIONS: usize = 12;
 /// A caller that has not completed its line by then is let go.
-pub const SAY_WITHIN: Micros = Micros(6_000_000);
+pub const REQUEST_TIMEOUT: Micros = Micros(6_000_000);
 /// Prefix of every figure.
 const PREFIX: &str = "svc";
 
 /// What a line asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Call {
+pub enum AdminRequest {
     /// Whether this process takes clients.
     Ready,
     /// The figures.
@@ -26,74 +26,77 @@
     Resume,
 }
 
-impl Call {
+impl AdminRequest {
     /// Every call, with its word.
-    pub const ALL: [(&'static str, Call); 4] = [
-        ("ready", Call::Ready),
-        ("show-stat", Call::ShowStat),
-        ("drain", Call::Drain),
-        ("resume", Call::Resume),
+    pub const ALL: [(&'static str, AdminRequest); 4] = [
+        ("ready", AdminRequest::Ready),
+        ("show-stat", AdminRequest::ShowStat),
+        ("drain", AdminRequest::Drain),
+        ("resume", AdminRequest::Resume),
     ];
 }
 
 /// A line that asks for nothing that there is.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum BadCall {
+pub enum AdminRequestError {
     /// It says nothing.
     Empty,
     /// It is longer than [`LINE_MOST`], or ended before its line did.
-    NotALine,
+    LineTooLong,
     /// It is no text.
-    NotText,
+    NotUtf8,
     /// No call has this word.
-    Unknown(String),
+    UnknownCommand(String),
     /// The call takes no further words.
-    Surplus(&'static str),
+    UnexpectedArgument(&'static str),
 }
 
-impl fmt::Display for BadCall {
+impl fmt::Display for AdminRequestError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let words = || Call::ALL.map(|(word, _)| word).join(", ");
+        let words = || AdminRequest::ALL.map(|(word, _)| word).join(", ");
         match self {
-            BadCall::Empty => write!(f, "empty; {} can be asked", words()),
-            BadCall::NotALine => write!(f, "no line of at most {LINE_MOST} bytes"),
-            BadCall::NotText => f.write_str("not text"),
-            BadCall::Unknown(word) => write!(f, "no call {word:?}; {} can be asked", words()),
-            BadCall::Surplus(word) => write!(f, "{word} takes no further words"),
+            AdminRequestError::Empty => write!(f, "empty; {} can be asked", words()),
+            AdminRequestError::LineTooLong => write!(f, "no line of at most {MAX_LINE_BYTES} bytes"),
+            AdminRequestError::NotUtf8 => f.write_str("not text"),
+            AdminRequestError::UnknownCommand(word) => {
+                write!(f, "no call {word:?}; {} can be asked", words())
+            }
+            AdminRequestError::UnexpectedArgument(word) => write!(f, "{word} takes no further words"),
         }
     }
 }
 
-impl std::error::Error for BadCall {}
+impl std::error::Error for AdminRequestError {}
 
 /// Reads a line, with or without its end.
 ///
 /// # Errors
 ///
 /// It asks for nothing that there is.
-pub fn read(line: &[u8]) -> Result<Call, BadCall> {
-    let text = std::str::from_utf8(line).map_err(|_| BadCall::NotText)?;
-    if text.len() > LINE_MOST + "\r\n".len() {
-        return Err(BadCall::NotALine);
+pub fn parse(line: &[u8]) -> Result<AdminRequest, AdminRequestError> {
+    let text = std::str::from_utf8(line).map_err(|_| AdminRequestError::NotUtf8)?;
+    if text.len() > MAX_LINE_BYTES + "\r\n".len() {
+        return Err(AdminRequestError::LineTooLong);
     }
     let mut words = text.split_ascii_whitespace();
-    let first = words.next().ok_or(BadCall::Empty)?;
-    let known = Call::ALL.iter().find(|(word, _)| *word == first);
-    let (word, call) = known.ok_or_else(|| BadCall::Unknown(first.chars().take(32).collect()))?;
+    let first = words.next().ok_or(AdminRequestError::Empty)?;
+    let known = AdminRequest::ALL.iter().find(|(word, _)| *word == first);
+    let (word, call) =
+        known.ok_or_else(|| AdminRequestError::UnknownCommand(first.chars().take(32).collect()))?;
     match words.next() {
         None => Ok(*call),
-        Some(_) => Err(BadCall::Surplus(word)),
+        Some(_) => Err(AdminRequestError::UnexpectedArgument(word)),
     }
 }
 
 /// An answer: a line that begins with `200` or `400`, and what follows it.
-pub fn answer(good: bool, says: impl fmt::Display) -> String {
+pub fn format_reply(good: bool, says: impl fmt::Display) -> String {
     format!("{} {says}\n", if good { 200 } else { 400 })
 }
 
 /// Requests of a class that are over.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct ClassFigures {
+pub struct ClassStats {
     /// Its name.
     pub name: String,
     /// Served.
@@ -106,9 +109,9 @@
 
 /// What an instance shows of itself. Counts are of this process, from its start.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct Stats {
     /// By class.
-    pub classes: Vec<ClassFigures>,
+    pub classes: Vec<ClassStats>,
     /// Attempts that were written whole to a server.
     pub upstream_tries: u64,
     /// Requests that are taken and not over.
@@ -123,7 +126,7 @@
     pub load_errors: u64,
 }
 
-impl fmt::Display for Figures {
+impl fmt::Display for Stats {
     /// A line a figure, in the form `svc.name=value`.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for class in &self.classes {
@@ -148,10 +151,10 @@
     }
 }
 
-impl Figures {
+impl Stats {
     /// The whole answer to `show-stat`: its line, the figures, `EOF`.
-    pub fn answer(&self) -> String {
-        let mut text = answer(true, "figures");
+    pub fn reply(&self) -> String {
+        let mut text = format_reply(true, "figures");
         // Writing to a string cannot fail.
         let _ = writeln!(text, "{self}EOF");
         text
@@ -160,16 +163,16 @@
 
 /// Who is connected: callers that say nothing must not keep out those that do.
 #[derive(Debug, Default)]
-pub struct Callers {
+pub struct AdminSessions {
     /// By number, since when.
     waiting: Vec<(u64, Time)>,
     next: u64,
 }
 
-impl Callers {
+impl AdminSessions {
     /// One has connected. It gets a number; if all places are taken, the one that has waited longest is let go.
-    pub fn came(&mut self, now: Time) -> (u64, Option<u64>) {
-        let spared = (self.waiting.len() >= CALLERS_MOST).then(|| self.waiting.remove(0).0);
+    pub fn open(&mut self, now: Time) -> (u64, Option<u64>) {
+        let spared = (self.waiting.len() >= MAX_SESSIONS).then(|| self.waiting.remove(0).0);
         let number = self.next;
         self.next += 1;
         self.waiting.push((number, now));
@@ -177,7 +180,7 @@
     }
 
     /// One has been answered, or has left.
-    pub fn left(&mut self, number: u64) {
+    pub fn close(&mut self, number: u64) {
         self.waiting.retain(|(known, _)| *known != number);
     }
 
@@ -187,8 +190,8 @@
     }
 
     /// Those whose time is over.
-    pub fn overdue(&self, now: Time) -> Vec<u64> {
-        let over = |(_, since): &&(u64, Time)| now.since(*since) >= SAY_WITHIN;
+    pub fn expired(&self, now: Time) -> Vec<u64> {
+        let over = |(_, since): &&(u64, Time)| now.since(*since) >= REQUEST_TIMEOUT;
         self.waiting.iter().filter(over).map(|(number, _)| *number).collect()
     }
 }
@@ -199,25 +202,28 @@
 
     #[test]
     fn each_call_is_read_in_every_form_of_its_line_and_nothing_else_is() {
-        for (word, call) in Call::ALL {
+        for (word, call) in AdminRequest::ALL {
             for line in [word.to_owned(), format!("{word}\n"), format!("  {word} \r\n")] {
-                assert_eq!(read(line.as_bytes()), Ok(call), "{line:?}");
+                assert_eq!(parse(line.as_bytes()), Ok(call), "{line:?}");
             }
-            assert_eq!(read(format!("{word} now").as_bytes()), Err(BadCall::Surplus(word)));
-            assert!(read(word.to_uppercase().as_bytes()).is_err(), "words are as the page has them");
+            assert_eq!(
+                parse(format!("{word} now").as_bytes()),
+                Err(AdminRequestError::UnexpectedArgument(word))
+            );
+            assert!(parse(word.to_uppercase().as_bytes()).is_err(), "words are as the page has them");
         }
-        assert_eq!(read(b"\n"), Err(BadCall::Empty));
-        assert_eq!(read(b"GET / HTTP/1.1"), Err(BadCall::Unknown("GET".into())));
-        assert_eq!(read(&[0xff, 0xfe, b'\n']), Err(BadCall::NotText));
-        assert_eq!(read(&[b'a'; LINE_MOST + 3]), Err(BadCall::NotALine));
-        assert!(BadCall::Empty.to_string().contains("ready, show-stat, drain, resume"));
+        assert_eq!(parse(b"\n"), Err(AdminRequestError::Empty));
+        assert_eq!(parse(b"GET / HTTP/1.1"), Err(AdminRequestError::UnknownCommand("GET".into())));
+        assert_eq!(parse(&[0xff, 0xfe, b'\n']), Err(AdminRequestError::NotUtf8));
+        assert_eq!(parse(&[b'a'; MAX_LINE_BYTES + 3]), Err(AdminRequestError::LineTooLong));
+        assert!(AdminRequestError::Empty.to_string().contains("ready, show-stat, drain, resume"));
     }
 
     #[test]
     fn figures_stand_line_by_line_and_end_with_their_word() {
-        let class = ClassFigures { name: "pay".into(), passed: 812, dropped: 2, bad_gateway: 1 };
-        let figures = Figures { classes: vec![class], in_progress: 14, ..Figures::default() };
-        let text = figures.answer();
+        let class = ClassStats { name: "pay".into(), passed: 812, dropped: 2, bad_gateway: 1 };
+        let figures = Stats { classes: vec![class], in_progress: 14, ..Stats::default() };
+        let text = figures.reply();
         let lines: Vec<&str> = text.lines().collect();
         assert!(lines[0].starts_with("200"));
         assert_eq!(
@@ -231,16 +237,16 @@
 
     #[test]
     fn callers_that_say_nothing_keep_nobody_out() {
-        let mut callers = Callers::default();
-        for n in 0..CALLERS_MOST as u64 {
-            assert_eq!(callers.came(Time(n)), (n, None));
+        let mut callers = AdminSessions::default();
+        for n in 0..MAX_SESSIONS as u64 {
+            assert_eq!(callers.open(Time(n)), (n, None));
         }
-        callers.left(3);
-        assert_eq!(callers.came(Time(100)).1, None, "one has left, there is a place");
-        let (number, spared) = callers.came(Time(101));
-        assert_eq!((number, spared), (CALLERS_MOST as u64 + 1, Some(0)), "the oldest gives way");
-        assert_eq!(callers.count(), CALLERS_MOST);
-        let late = Time(SAY_WITHIN.0 + 2);
-        assert_eq!(callers.overdue(late), [1, 2], "the others have some time left");
+        callers.close(3);
+        assert_eq!(callers.open(Time(100)).1, None, "one has left, there is a place");
+        let (number, spared) = callers.open(Time(101));
+        assert_eq!((number, spared), (MAX_SESSIONS as u64 + 1, Some(0)), "the oldest gives way");
+        assert_eq!(callers.count(), MAX_SESSIONS);
+        let late = Time(REQUEST_TIMEOUT.0 + 2);
+        assert_eq!(callers.expired(late), [1, 2], "the others have some time left");
     }
 }
--- a/crates/agent-core/src/retune.rs
+++ b/crates/agent-core/src/reconfigure.rs
@@ -18,7 +18,7 @@
 /// cut short, or written by a hand that forgot a line, must not silently fall back to defaults.
 ///
 /// Of lists, each element must have what every element had: a class has the keys that all classes have.
-pub fn missing(present: &Value, newer: &Value) -> Vec<String> {
+pub fn missing_keys(present: &Value, newer: &Value) -> Vec<String> {
     let mut lacks = Vec::new();
     compare("", present, newer, &mut lacks);
     lacks
@@ -63,7 +63,7 @@
 }
 
 /// Two lists of names as one that keeps the first one's places, and the place of each of the second's.
-pub fn merge(old: &[String], new: &[String]) -> (Vec<String>, Vec<usize>) {
+pub fn merge_names(old: &[String], new: &[String]) -> (Vec<String>, Vec<usize>) {
     let mut all = old.to_vec();
     let place = |name: &String| {
         all.iter().position(|known| known == name).unwrap_or_else(|| {
@@ -78,28 +78,30 @@
 /// What a request shows of the effect that its client thinks it has: safe ones are read, keyed ones carry a key, and the
 /// rest do neither.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Form {
+pub enum ClassSignature {
     /// `GET`.
-    Read,
+    SafeMethod,
     /// `POST` with a key.
-    Keyed,
+    WithIdempotencyKey,
     /// `POST` without.
-    Bare,
+    WithoutIdempotencyKey,
 }
 
-impl Form {
+impl ClassSignature {
     /// The form of requests with this effect.
     pub fn of(effect: RetrySafety) -> Self {
         match effect {
-            RetrySafety::Idempotent => Form::Read,
-            RetrySafety::Deduplicated { .. } => Form::Keyed,
-            RetrySafety::AtMostOnce => Form::Bare,
+            RetrySafety::Idempotent => ClassSignature::SafeMethod,
+            RetrySafety::Deduplicated { .. } => ClassSignature::WithIdempotencyKey,
+            RetrySafety::AtMostOnce => ClassSignature::WithoutIdempotencyKey,
         }
     }
 
     /// Whether a request of this form is one of such an effect. A key that nobody asked for does no harm.
     fn fits(self, effect: RetrySafety) -> bool {
-        self == Form::of(effect) || (self, Form::of(effect)) == (Form::Keyed, Form::Bare)
+        self == ClassSignature::of(effect)
+            || (self, ClassSignature::of(effect))
+                == (ClassSignature::WithIdempotencyKey, ClassSignature::WithoutIdempotencyKey)
     }
 }
 
@@ -122,20 +124,20 @@
 
 /// No class fits a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unfit {
+pub enum IncompatibleClass {
     /// There is none of that name.
     Unknown,
     /// There is one, of this effect, and the request has another's form.
-    Form(RetrySafety),
+    Signature(RetrySafety),
 }
 
 /// The classes, by their places in the decisions' table.
 #[derive(Debug, Clone, Default)]
-pub struct Book {
+pub struct ClassRegistry {
     entries: Vec<Entry>,
 }
 
-impl Book {
+impl ClassRegistry {
     /// The classes of the first file, in their order.
     pub fn new(names: &[String], classes: &[Class]) -> Self {
         let entry = |(name, class): (&String, &Class)| Entry {
@@ -143,7 +145,7 @@
             class: class.clone(),
             standing: Standing::Present,
         };
-        Book { entries: names.iter().zip(classes).map(entry).collect() }
+        ClassRegistry { entries: names.iter().zip(classes).map(entry).collect() }
     }
 
     /// All places' classes, for the decisions.
@@ -171,7 +173,7 @@
     /// # Errors
     ///
     /// There is none.
-    pub fn find(&self, now: Time, name: &str, form: Form) -> Result<usize, Unfit> {
+    pub fn find(&self, now: Time, name: &str, form: ClassSignature) -> Result<usize, IncompatibleClass> {
         // The present one's form decides before a former one's, and where both are alike both bind for a while.
         let rank = |entry: &Entry| match entry.standing {
             Standing::Both { until } if now < until => Some(0),
@@ -179,7 +181,7 @@
             Standing::Former { until } if now < until => Some(2),
             Standing::Both { .. } | Standing::Former { .. } => None,
         };
-        let exact = |entry: &Entry| form == Form::of(entry.class.retry_safety);
+        let exact = |entry: &Entry| form == ClassSignature::of(entry.class.retry_safety);
         let named = || self.entries.iter().enumerate().filter(|(_, entry)| entry.name == name);
         let fits = named().filter(|(_, entry)| form.fits(entry.class.retry_safety));
         let ranked = fits.filter_map(|(place, entry)| Some(((!exact(entry), rank(entry)?), place)));
@@ -189,12 +191,12 @@
         let known = named().filter_map(|(_, entry)| Some((rank(entry)?, entry.class.retry_safety)));
         known
             .min_by_key(|(rank, _)| *rank)
-            .map_or(Err(Unfit::Unknown), |(_, effect)| Err(Unfit::Form(effect)))
+            .map_or(Err(IncompatibleClass::Unknown), |(_, effect)| Err(IncompatibleClass::Signature(effect)))
     }
 
     /// Takes in a newer file's classes. A place is used again only if `free` says that nothing refers to it. Returns the
     /// places that are new or another class's, each with the place whose experience it begins with, if any.
-    pub fn retune(
+    pub fn reconfigure(
         &mut self,
         now: Time,
         names: &[String],
@@ -218,7 +220,7 @@
             if old.is_some_and(|old| self.entries[old].class == *class) {
                 continue;
             }
-            let mut begin = |book: &mut Book, class: Class, standing: Standing| {
+            let mut begin = |book: &mut ClassRegistry, class: Class, standing: Standing| {
                 let entry = Entry { name: name.clone(), class, standing };
                 let place = book.put(now, entry, &free, &changed);
                 changed.push((place, old));
@@ -226,7 +228,9 @@
             begin(self, class.clone(), Standing::Present);
             if let Some(old) = old {
                 let before = self.entries[old].class.retry_safety;
-                if before != class.retry_safety && Form::of(before) == Form::of(class.retry_safety) {
+                if before != class.retry_safety
+                    && ClassSignature::of(before) == ClassSignature::of(class.retry_safety)
+                {
                     let both = Class { retry_safety: narrower(before, class.retry_safety), ..class.clone() };
                     begin(self, both, Standing::Both { until: now + BOTH_BIND });
                 }
@@ -279,18 +283,18 @@
 
 /// The number of attempts that binds after a change: both, and then the newer.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Attempts {
+pub struct AttemptLimitTransition {
     former: Option<(u32, Time)>,
 }
 
-impl Attempts {
+impl AttemptLimitTransition {
     /// A file with another number has been taken in the place of one with `former`.
-    pub fn changed(&mut self, former: u32, now: Time) {
+    pub fn on_limit_changed(&mut self, former: u32, now: Time) {
         self.former = Some((former, now + BOTH_BIND));
     }
 
     /// The most that a request which comes now may have beside what the newest file allows.
-    pub fn most(&self, now: Time) -> Option<u32> {
+    pub fn max_attempts(&self, now: Time) -> Option<u32> {
         self.former.filter(|(_, until)| now < *until).map(|(most, _)| most)
     }
 }
@@ -311,22 +315,22 @@
         words.iter().map(|word| (*word).to_owned()).collect()
     }
 
-    fn book() -> Book {
+    fn book() -> ClassRegistry {
         let classes = [RetrySafety::Idempotent, KEYED, RetrySafety::AtMostOnce].map(class);
-        Book::new(&names(&["read", "log", "pay"]), &classes)
+        ClassRegistry::new(&names(&["read", "log", "pay"]), &classes)
     }
 
     #[test]
     fn what_a_file_lacks_is_named_wherever_it_stands() {
         let present = json!({"a": 1, "b": {"c": 1.5, "d": "x"}, "z": null,
                              "l": [{"n": "1", "m": 1, "only": 1}, {"n": "2", "m": 2}], "p": [1, 2]});
-        assert_eq!(missing(&present, &present), Vec::<String>::new());
+        assert_eq!(missing_keys(&present, &present), Vec::<String>::new());
         let more =
             json!({"a": 2, "b": {"c": 1, "d": "y", "new": 1}, "l": [{"n": "3", "m": 0}], "p": [], "e": 1});
-        assert_eq!(missing(&present, &more), Vec::<String>::new());
+        assert_eq!(missing_keys(&present, &more), Vec::<String>::new());
         let less = json!({"b": {"c": null}, "l": [{"n": "1"}, {"n": 2, "m": 2}], "p": {}});
         assert_eq!(
-            missing(&present, &less),
+            missing_keys(&present, &less),
             [
                 "a",
                 "b.c (another kind of value)",
@@ -336,17 +340,21 @@
                 "p (another kind of value)"
             ]
         );
-        assert_eq!(missing(&present, &json!([])), [" (another kind of value)"]);
+        assert_eq!(missing_keys(&present, &json!([])), [" (another kind of value)"]);
     }
 
     #[test]
     fn a_class_that_did_not_change_keeps_its_place() {
         let mut book = book();
         let classes = [RetrySafety::Idempotent, KEYED, RetrySafety::AtMostOnce].map(class);
-        assert!(book.retune(Time(1), &names(&["read", "log", "pay"]), &classes, |_| true).is_empty());
+        assert!(book.reconfigure(Time(1), &names(&["read", "log", "pay"]), &classes, |_| true).is_empty());
         let turned = [KEYED, RetrySafety::Idempotent, RetrySafety::AtMostOnce].map(class);
-        assert!(book.retune(Time(2), &names(&["log", "read", "pay"]), &turned, |_| true).is_empty());
-        assert_eq!(book.find(Time(3), "log", Form::Keyed), Ok(1), "whatever the order");
+        assert!(book.reconfigure(Time(2), &names(&["log", "read", "pay"]), &turned, |_| true).is_empty());
+        assert_eq!(
+            book.find(Time(3), "log", ClassSignature::WithIdempotencyKey),
+            Ok(1),
+            "whatever the order"
+        );
     }
 
     /// Old clients and new ones at the same time, each by the rules that it goes by.
@@ -354,21 +362,30 @@
     fn a_request_s_form_tells_which_rules_it_was_made_for() {
         let mut book = book();
         let classes = [KEYED, RetrySafety::AtMostOnce].map(class);
-        let changed = book.retune(Time(10), &names(&["read", "pay"]), &classes, |_| true);
+        let changed = book.reconfigure(Time(10), &names(&["read", "pay"]), &classes, |_| true);
         assert_eq!(changed, [(3, Some(0))]);
         let soon = Time(10) + FORMER_KNOWN * 0.9;
-        assert_eq!(book.find(soon, "read", Form::Read), Ok(0));
-        assert_eq!(book.find(soon, "read", Form::Keyed), Ok(3));
+        assert_eq!(book.find(soon, "read", ClassSignature::SafeMethod), Ok(0));
+        assert_eq!(book.find(soon, "read", ClassSignature::WithIdempotencyKey), Ok(3));
         assert_eq!(
-            book.find(soon, "log", Form::Keyed),
+            book.find(soon, "log", ClassSignature::WithIdempotencyKey),
             Ok(1),
             "it has been dropped, and clients will hear so"
         );
         let later = Time(10) + FORMER_KNOWN * 1.1;
-        assert_eq!(book.find(later, "read", Form::Read), Err(Unfit::Form(KEYED)));
-        assert_eq!(book.find(later, "log", Form::Keyed), Err(Unfit::Unknown));
-        assert_eq!(book.find(later, "pay", Form::Keyed), Ok(2), "a key does no harm");
-        assert_eq!(book.find(later, "pay", Form::Read), Err(Unfit::Form(RetrySafety::AtMostOnce)));
+        assert_eq!(
+            book.find(later, "read", ClassSignature::SafeMethod),
+            Err(IncompatibleClass::Signature(KEYED))
+        );
+        assert_eq!(
+            book.find(later, "log", ClassSignature::WithIdempotencyKey),
+            Err(IncompatibleClass::Unknown)
+        );
+        assert_eq!(book.find(later, "pay", ClassSignature::WithIdempotencyKey), Ok(2), "a key does no harm");
+        assert_eq!(
+            book.find(later, "pay", ClassSignature::SafeMethod),
+            Err(IncompatibleClass::Signature(RetrySafety::AtMostOnce))
+        );
     }
 
     #[test]
@@ -376,10 +393,12 @@
         let mut book = book();
         let newer = RetrySafety::Deduplicated { scope: DedupScope::Zone, window: Micros(9_000_000) };
         let classes = [RetrySafety::Idempotent, newer, RetrySafety::AtMostOnce].map(class);
-        let changed = book.retune(Time(0), &names(&["read", "log", "pay"]), &classes, |_| true);
+        let changed = book.reconfigure(Time(0), &names(&["read", "log", "pay"]), &classes, |_| true);
         assert_eq!(changed, [(3, Some(1)), (4, Some(1))]);
-        let effect =
-            |at: Time| book.classes()[book.find(at, "log", Form::Keyed).expect("it is there")].retry_safety;
+        let effect = |at: Time| {
+            book.classes()[book.find(at, "log", ClassSignature::WithIdempotencyKey).expect("it is there")]
+                .retry_safety
+        };
         assert_eq!(
             effect(Time(1)),
             RetrySafety::Deduplicated { scope: DedupScope::Zone, window: Micros(7_500_000) }
@@ -395,9 +414,12 @@
         for n in 0..1000_u64 {
             now = now + FORMER_KNOWN * 1.5;
             let classes = [Class { deadline: Micros(1_000_000 + n), ..class(RetrySafety::Idempotent) }];
-            let changed = book.retune(now, &names(&["read"]), &classes, |place| place != 1);
+            let changed = book.reconfigure(now, &names(&["read"]), &classes, |place| place != 1);
             assert!(changed.iter().all(|(place, _)| *place != 1), "somebody refers to it");
-            assert_eq!(book.classes()[book.find(now, "read", Form::Read).expect("it is there")], classes[0]);
+            assert_eq!(
+                book.classes()[book.find(now, "read", ClassSignature::SafeMethod).expect("it is there")],
+                classes[0]
+            );
             most = most.max(book.len());
         }
         assert!(most <= 6, "{most} places for one class");
@@ -410,8 +432,8 @@
         for n in 0..20_u64 {
             let window = Micros(1_000_000 * (n + 1));
             let effect = RetrySafety::Deduplicated { scope: DedupScope::All, window };
-            book.retune(Time(n), &names(&["log"]), &[class(effect)], |_| true);
-            let place = book.find(Time(n), "log", Form::Keyed).expect("it is there");
+            book.reconfigure(Time(n), &names(&["log"]), &[class(effect)], |_| true);
+            let place = book.find(Time(n), "log", ClassSignature::WithIdempotencyKey).expect("it is there");
             let RetrySafety::Deduplicated { window: bound, .. } = book.classes()[place].retry_safety else {
                 panic!("keyed");
             };
@@ -422,16 +444,16 @@
 
     #[test]
     fn names_keep_their_places() {
-        let (all, places) = merge(&names(&["a", "b"]), &names(&["c", "b", "c"]));
+        let (all, places) = merge_names(&names(&["a", "b"]), &names(&["c", "b", "c"]));
         assert_eq!((all, places), (names(&["a", "b", "c"]), vec![2, 1, 2]));
     }
 
     #[test]
     fn a_higher_number_of_attempts_binds_once_the_lower_one_no_longer_does() {
-        let mut attempts = Attempts::default();
-        assert_eq!(attempts.most(Time(0)), None);
-        attempts.changed(2, Time(0));
-        assert_eq!(attempts.most(Time(1)), Some(2));
-        assert_eq!(attempts.most(Time(0) + BOTH_BIND), None);
+        let mut attempts = AttemptLimitTransition::default();
+        assert_eq!(attempts.max_attempts(Time(0)), None);
+        attempts.on_limit_changed(2, Time(0));
+        assert_eq!(attempts.max_attempts(Time(1)), Some(2));
+        assert_eq!(attempts.max_attempts(Time(0) + BOTH_BIND), None);
     }
 }
--- a/crates/agent-core/src/service.rs
+++ b/crates/agent-core/src/service.rs
@@ -14,11 +14,11 @@
 
 /// What it is there for at present.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Duty {
+pub enum ServingState {
     /// To serve.
-    Serve,
+    Serving,
     /// To finish, and to come back when it is told to: out of service since then.
-    Drain(Time),
+    Draining(Time),
     /// To finish and end.
     End {
         /// Since then.
@@ -31,54 +31,54 @@
 /// An instance's duty, and what follows from it.
 #[derive(Debug, Clone, Copy)]
 pub struct Service {
-    duty: Duty,
+    duty: ServingState,
 }
 
 impl Default for Service {
     fn default() -> Self {
-        Service { duty: Duty::Serve }
+        Service { duty: ServingState::Serving }
     }
 }
 
 impl Service {
     /// What it is there for.
-    pub fn duty(&self) -> Duty {
+    pub fn state(&self) -> ServingState {
         self.duty
     }
 
     /// It is taken out of service; false if it was already, or is ending.
     pub fn drain(&mut self, now: Time) -> bool {
-        let may = self.duty == Duty::Serve;
+        let may = self.duty == ServingState::Serving;
         if may {
-            self.duty = Duty::Drain(now);
+            self.duty = ServingState::Draining(now);
         }
         may
     }
 
     /// It is put back; false if it is ending, which nothing undoes.
     pub fn resume(&mut self) -> bool {
-        let may = !matches!(self.duty, Duty::End { .. });
+        let may = !matches!(self.duty, ServingState::End { .. });
         if may {
-            self.duty = Duty::Serve;
+            self.duty = ServingState::Serving;
         }
         may
     }
 
     /// It finishes and ends. What was known of a successor at the first word stands.
-    pub fn end(&mut self, now: Time, replaced: bool) {
-        if !matches!(self.duty, Duty::End { .. }) {
-            self.duty = Duty::End { since: now, replaced };
+    pub fn shut_down(&mut self, now: Time, replaced: bool) {
+        if !matches!(self.duty, ServingState::End { .. }) {
+            self.duty = ServingState::End { since: now, replaced };
         }
     }
 
     /// Whether it says yes to those who ask if they may send it clients.
-    pub fn ready(&self) -> bool {
-        self.duty == Duty::Serve
+    pub fn is_ready(&self) -> bool {
+        self.duty == ServingState::Serving
     }
 
     /// Whether each answer is the last on its connection, and says so.
-    pub fn last_answers(&self) -> bool {
-        self.duty != Duty::Serve
+    pub fn closes_connections(&self) -> bool {
+        self.duty != ServingState::Serving
     }
 
     /// When a connection that has been idle since `idle` is closed for the duty's sake; never while it serves.
@@ -87,11 +87,11 @@
     /// where there is time, the client is given some in which to use it once more and to be told by the answer.
     pub fn close_idle_at(&self) -> Option<Time> {
         match self.duty {
-            Duty::Serve => None,
-            Duty::Drain(since) => Some(since + DRAIN_IDLE),
-            Duty::End { since, replaced: true } => Some(since + REPLACED_IDLE),
+            ServingState::Serving => None,
+            ServingState::Draining(since) => Some(since + DRAIN_IDLE),
+            ServingState::End { since, replaced: true } => Some(since + REPLACED_IDLE),
             // The application ends too; nobody comes back over it.
-            Duty::End { since, replaced: false } => Some(since),
+            ServingState::End { since, replaced: false } => Some(since),
         }
     }
 }
@@ -105,10 +105,10 @@
     #[test]
     fn out_of_service_and_back() {
         let mut service = Service::default();
-        assert!(service.ready() && !service.last_answers() && service.close_idle_at().is_none());
+        assert!(service.is_ready() && !service.closes_connections() && service.close_idle_at().is_none());
         assert!(service.drain(Time(5)));
         assert!(!service.drain(Time(9)), "a second word changes nothing, not even the time");
-        assert!(!service.ready() && service.last_answers());
+        assert!(!service.is_ready() && service.closes_connections());
         let closed = service.close_idle_at().expect("they are closed");
         assert!(closed > Time(5) + SECOND, "whoever was told yes a moment ago still comes and asks");
         assert!(
@@ -116,27 +116,27 @@
             "and what asked then is two seconds old when it is looked at"
         );
         assert!(service.resume());
-        assert!(service.ready() && service.close_idle_at().is_none());
+        assert!(service.is_ready() && service.close_idle_at().is_none());
     }
 
     #[test]
     fn nothing_undoes_an_end() {
         let mut service = Service::default();
-        service.end(Time(7), true);
+        service.shut_down(Time(7), true);
         assert!(!service.resume() && !service.drain(Time(8)));
-        service.end(Time(9), false);
-        assert_eq!(service.duty(), Duty::End { since: Time(7), replaced: true });
-        assert!(!service.ready() && service.last_answers());
+        service.shut_down(Time(9), false);
+        assert_eq!(service.state(), ServingState::End { since: Time(7), replaced: true });
+        assert!(!service.is_ready() && service.closes_connections());
     }
 
     /// With the platform's shortest patience after SIGTERM: the longest deadline and 0.7 s.
     #[test]
     fn a_process_that_is_replaced_closes_what_is_idle_in_time_to_answer_what_still_comes() {
         let mut service = Service::default();
-        service.end(Time(0), true);
+        service.shut_down(Time(0), true);
         assert!(service.close_idle_at().expect("a time") < Time(0) + SECOND * 0.7);
         let mut alone = Service::default();
-        alone.end(Time(0), false);
+        alone.shut_down(Time(0), false);
         assert_eq!(alone.close_idle_at(), Some(Time(0)));
     }
 }
--- a/crates/agent/src/cli/call.rs
+++ b/crates/agent/src/cli/call.rs
@@ -1,7 +1,7 @@
 //! `bellcroft call`: one call over an instance's second address.
 
 use crate::exit::{self, block_on};
-use bellcroft_agent_core::console::Call;
+use bellcroft_agent_core::admin::AdminRequest;
 use bellcroft_operator_config::AgentFile;
 use serde_json::{Map, Value};
 use std::io;
@@ -33,12 +33,12 @@
 impl Word {
     fn text(self) -> &'static str {
         let call = match self {
-            Word::Ready => Call::Ready,
-            Word::ShowStat => Call::ShowStat,
-            Word::Drain => Call::Drain,
-            Word::Resume => Call::Resume,
+            Word::Ready => AdminRequest::Ready,
+            Word::ShowStat => AdminRequest::ShowStat,
+            Word::Drain => AdminRequest::Drain,
+            Word::Resume => AdminRequest::Resume,
         };
-        Call::ALL.iter().find(|(_, known)| *known == call).map_or("", |(word, _)| word)
+        AdminRequest::ALL.iter().find(|(_, known)| *known == call).map_or("", |(word, _)| word)
     }
 }
 
--- a/crates/agent/src/control_plane.rs
+++ b/crates/agent/src/control_plane.rs
@@ -8,7 +8,7 @@
 use crate::driver::Driver;
 use crate::peers::{Decisions, Peers};
 use crate::telemetry;
-use bellcroft_agent_core::retune;
+use bellcroft_agent_core::reconfigure;
 use bellcroft_telemetry::{Instance, Owner, Remote};
 use std::cell::{Ref, RefCell};
 use std::path::{Path, PathBuf};
@@ -146,7 +146,7 @@
         let platform = self.start.sources.operator.is_none() && self.start.sources.config.is_none();
         let var = |name: &str| variable(name).filter(|_| !platform || name != "PROXY_DISCOVERY");
         let mut newer = Config::load(&self.start.sources, var).map_err(|wrong| wrong.join("; "))?;
-        let lacks = retune::missing(&self.config().raw, &newer.raw);
+        let lacks = reconfigure::missing_keys(&self.config().raw, &newer.raw);
         if !lacks.is_empty() {
             return Err(format!("it lacks {}, which the present one has", lacks.join(", ")));
         }
--- a/crates/agent/src/daemon/console.rs
+++ b/crates/agent/src/daemon/console.rs
@@ -1,8 +1,10 @@
-//! The second address, for operators: one line asks, one answer follows (`bellcroft_agent_core::console` reads and words
+//! The second address, for operators: one line asks, one answer follows (`bellcroft_agent_core::admin` reads and words
 //! them). It never waits for a request, and no request for it.
 
 use crate::clock::Clock;
-use bellcroft_agent_core::console::{answer, read, BadCall, Call, Callers, LINE_MOST};
+use bellcroft_agent_core::admin::{
+    format_reply, parse, AdminRequest, AdminRequestError, AdminSessions, MAX_LINE_BYTES,
+};
 use bellcroft_net::{Listener, Stream};
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -30,13 +32,13 @@
 
 #[derive(Default)]
 struct Room {
-    callers: Callers,
+    callers: AdminSessions,
     tasks: HashMap<u64, AbortHandle>,
 }
 
 impl Room {
     fn let_go(&mut self, number: u64) {
-        self.callers.left(number);
+        self.callers.close(number);
         if let Some(task) = self.tasks.remove(&number) {
             task.abort();
         }
@@ -52,7 +54,7 @@
     pub async fn serve(
         address: SocketAddr,
         clock: Clock,
-        answers: impl Fn(Call) -> String + 'static,
+        answers: impl Fn(AdminRequest) -> String + 'static,
     ) -> io::Result<(Self, SocketAddr)> {
         let listener = Listener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -61,7 +63,7 @@
     }
 }
 
-async fn accept(listener: Listener, clock: Clock, answers: Rc<dyn Fn(Call) -> String>) {
+async fn accept(listener: Listener, clock: Clock, answers: Rc<dyn Fn(AdminRequest) -> String>) {
     let room = Rc::new(RefCell::new(Room::default()));
     let mut look = tokio::time::interval(LOOK);
     loop {
@@ -75,12 +77,12 @@
             },
             _ = look.tick() => {
                 let mut room = room.borrow_mut();
-                let overdue = room.callers.overdue(clock.now());
+                let overdue = room.callers.expired(clock.now());
                 overdue.into_iter().for_each(|number| room.let_go(number));
                 continue;
             }
         };
-        let (number, spared) = room.borrow_mut().callers.came(clock.now());
+        let (number, spared) = room.borrow_mut().callers.open(clock.now());
         if let Some(spared) = spared {
             room.borrow_mut().let_go(spared);
         }
@@ -89,7 +91,7 @@
             // A caller that leaves or says nothing is nobody's trouble.
             let _ = caller(stream, &*answers).await;
             let mut room = own.borrow_mut();
-            room.callers.left(number);
+            room.callers.close(number);
             room.tasks.remove(&number);
         });
         // The task cannot have run yet: this one has not waited since.
@@ -97,19 +99,19 @@
     }
 }
 
-async fn caller(mut stream: Stream<TcpStream>, answers: &dyn Fn(Call) -> String) -> io::Result<()> {
-    let mut line = Vec::with_capacity(LINE_MOST);
+async fn caller(mut stream: Stream<TcpStream>, answers: &dyn Fn(AdminRequest) -> String) -> io::Result<()> {
+    let mut line = Vec::with_capacity(MAX_LINE_BYTES);
     let call = loop {
         if let Some(end) = line.iter().position(|byte| *byte == b'\n') {
-            break read(&line[..end]);
+            break parse(&line[..end]);
         }
-        if line.len() > LINE_MOST {
-            break Err(BadCall::NotALine);
+        if line.len() > MAX_LINE_BYTES {
+            break Err(AdminRequestError::LineTooLong);
         }
-        let mut chunk = [0; LINE_MOST];
+        let mut chunk = [0; MAX_LINE_BYTES];
         match stream.read(&mut chunk).await? {
             // Whoever ends its side behind its word has said it.
-            0 if !line.is_empty() => break read(&line),
+            0 if !line.is_empty() => break parse(&line),
             0 => return Ok(()),
             n => line.extend_from_slice(&chunk[..n]),
         }
@@ -119,7 +121,7 @@
             await_reactor_poll().await;
             answers(call)
         }
-        Err(bad) => answer(false, bad),
+        Err(bad) => format_reply(false, bad),
     };
     stream.write_all(text.as_bytes()).await?;
     stream.shutdown().await
--- a/crates/agent/src/daemon/descriptors.rs
+++ b/crates/agent/src/daemon/descriptors.rs
@@ -5,7 +5,7 @@
 
 use super::config::Config;
 use super::control;
-use bellcroft_agent_core::console::CALLERS_MOST;
+use bellcroft_agent_core::admin::MAX_SESSIONS;
 
 /// Standard input, output and error.
 const STANDARD_STREAMS: usize = 3;
@@ -29,7 +29,7 @@
 const RESERVED: usize =
     STANDARD_STREAMS + RUNTIME + LISTENING + DISCOVERY_CONNECTIONS + ACCEPTED_AHEAD + PEERS + FILES + CLOSING;
 /// Reserved where operators are answered: the listening socket, its callers, and one that is accepted before another goes.
-const CONSOLE: usize = 1 + CALLERS_MOST + 1;
+const CONSOLE: usize = 1 + MAX_SESSIONS + 1;
 /// Reserved where there is a state directory: its lock, the status that is written and its folder, a copy of the listening
 /// socket, the control socket, and its callers.
 const STATE: usize = 5 + control::CLIENTS_MOST;
--- a/crates/agent/src/daemon/mod.rs
+++ b/crates/agent/src/daemon/mod.rs
@@ -16,9 +16,9 @@
 use crate::exit;
 use crate::front::Server;
 use crate::log::say;
-use bellcroft_agent_core::console::{answer, Call, ClassFigures, Figures};
-use bellcroft_agent_core::service::Duty;
-use bellcroft_agent_core::succession::{News, Succession};
+use bellcroft_agent_core::admin::{format_reply, AdminRequest, ClassStats, Stats};
+use bellcroft_agent_core::handover::{Handover, HandoverEvent};
+use bellcroft_agent_core::service::ServingState;
 use bellcroft_net::Listener;
 use bellcroft_telemetry::families;
 use config::Config;
@@ -129,7 +129,7 @@
     told_to_end: Cell<Option<bool>>,
     told: tokio::sync::Notify,
     /// Its part in the replacement of a process.
-    succession: Cell<Succession>,
+    succession: Cell<Handover>,
     /// Files that were turned down at a reload.
     turned_down: Cell<u64>,
     /// Connections of clients and to servers that it may hold alone.
@@ -202,33 +202,35 @@
     }
 
     /// Takes in what has become known of the process before or after this one.
-    fn hear(&self, news: News) {
+    fn hear(&self, news: HandoverEvent) {
         let mut succession = self.succession.get();
-        if succession.hear(news) {
+        if succession.handle_event(news) {
             let what = match (news, succession.role()) {
-                (News::Asked, _) => {
+                (HandoverEvent::ListenerRequested, _) => {
                     "another process takes the clients' address too; it has half of all places"
                 }
-                (News::Gave, _) => "the clients' address is from the process that served; half of all places",
-                (News::Ended, _) => "the other process has ended; all places are here",
+                (HandoverEvent::ListenerTransferred, _) => {
+                    "the clients' address is from the process that served; half of all places"
+                }
+                (HandoverEvent::SuccessorExited, _) => "the other process has ended; all places are here",
             };
             info!("{}: {what}", self.name());
             let (clients, servers) = self.places;
-            self.server.set_max_connections(succession.share(clients));
-            self.driver.hold_at_most(succession.share(servers));
+            self.server.set_max_connections(succession.connection_limit(clients));
+            self.driver.hold_at_most(succession.connection_limit(servers));
         }
         self.succession.set(succession);
     }
 
     /// The figures as they are now.
-    fn figures(&self) -> Figures {
+    fn figures(&self) -> Stats {
         let (classes, _) = self.server.tally.counts();
         let servers = self.driver.servers();
-        Figures {
+        Stats {
             in_progress: classes.iter().map(|(_, counts)| counts.open).sum(),
             classes: classes
                 .into_iter()
-                .map(|(name, counts)| ClassFigures {
+                .map(|(name, counts)| ClassStats {
                     name,
                     passed: counts.served,
                     dropped: counts.refused,
@@ -244,28 +246,30 @@
     }
 
     /// Answers a call over the second address.
-    fn call(&self, call: Call) -> String {
+    fn call(&self, call: AdminRequest) -> String {
         let now = self.driver.clock.now();
         match call {
-            Call::Ready if self.phase.get() == Phase::Ready && self.server.ready() => answer(true, "yes"),
-            Call::Ready => answer(false, "no"),
-            Call::ShowStat => self.figures().answer(),
-            Call::Drain => {
+            AdminRequest::Ready if self.phase.get() == Phase::Ready && self.server.ready() => {
+                format_reply(true, "yes")
+            }
+            AdminRequest::Ready => format_reply(false, "no"),
+            AdminRequest::ShowStat => self.figures().reply(),
+            AdminRequest::Drain => {
                 let taken = self.server.change(|service| service.drain(now));
                 if taken {
                     info!("{}: out of service by an operator's call", self.name());
                 }
                 match self.server.duty() {
-                    Duty::End { .. } => answer(false, "it is ending"),
-                    Duty::Serve | Duty::Drain(_) => answer(true, "draining"),
+                    ServingState::End { .. } => format_reply(false, "it is ending"),
+                    ServingState::Serving | ServingState::Draining(_) => format_reply(true, "draining"),
                 }
             }
-            Call::Resume => {
+            AdminRequest::Resume => {
                 if self.server.change(|service| service.resume()) {
                     info!("{}: in service by an operator's call", self.name());
-                    answer(true, "serving")
+                    format_reply(true, "serving")
                 } else {
-                    answer(false, "it is ending")
+                    format_reply(false, "it is ending")
                 }
             }
         }
@@ -457,9 +461,9 @@
     // A process that is to take another's place leaves the clients to it until it can serve them itself.
     let (mut listener, mut accepting) = (Some(listener), None);
     if let Origin::Predecessor(tie) = origin {
-        instance.hear(News::Gave);
+        instance.hear(HandoverEvent::ListenerTransferred);
         let told = instance.clone();
-        tie.watch(move || told.hear(News::Ended));
+        tie.watch(move || told.hear(HandoverEvent::SuccessorExited));
     } else {
         let taking = server.clone().accept(listener.take().unwrap_or_else(|| unreachable!("it is here")));
         accepting = Some(tokio::task::spawn_local(taking));
@@ -503,7 +507,7 @@
         }
     }
     let signalled = instance.driver.clock.now();
-    let replaced = instance.succession.get().replaced();
+    let replaced = instance.succession.get().is_replaced();
     if let Some(heirs) = &heirs {
         heirs.inherited.set(replaced);
     }
@@ -514,7 +518,7 @@
         // Whoever takes this one's place speaks under its number.
         instance.control.leave();
     }
-    server.change(|service| service.end(signalled, replaced));
+    server.change(|service| service.shut_down(signalled, replaced));
     let successor = if handover { Successor::Listening } else { Successor::None };
     shutdown::answer_all(&instance, signalled, accepting, successor).await;
     // The last counts are of all that was answered, so they leave last.
--- a/crates/agent/src/daemon/succession.rs
+++ b/crates/agent/src/daemon/succession.rs
@@ -3,7 +3,7 @@
 //! connections, and none is lost whoever stops taking from it. The tie stays open; its end is the other's end.
 
 use super::control::{admits, read_line, write};
-use bellcroft_agent_core::succession::News;
+use bellcroft_agent_core::handover::HandoverEvent;
 use bellcroft_net::Stream;
 use serde_json::{json, Value};
 use std::fs::Permissions;
@@ -109,7 +109,11 @@
     /// # Errors
     ///
     /// The socket cannot be made.
-    pub fn serve(file: PathBuf, listener: OwnedFd, tell: impl Fn(News) + 'static) -> io::Result<Self> {
+    pub fn serve(
+        file: PathBuf,
+        listener: OwnedFd,
+        tell: impl Fn(HandoverEvent) + 'static,
+    ) -> io::Result<Self> {
         let fresh = file.with_extension("new");
         let _ = std::fs::remove_file(&fresh);
         let socket = UnixListener::bind(&fresh)?;
@@ -138,9 +142,9 @@
                         write(&stream, b"{}\n", Some(copy?)).await
                     };
                     if matches!(timeout(ANSWER_WITHIN, exchange).await, Ok(Ok(()))) {
-                        tell(News::Asked);
+                        tell(HandoverEvent::ListenerRequested);
                         Tie(Stream::local(stream)).ended().await;
-                        tell(News::Ended);
+                        tell(HandoverEvent::SuccessorExited);
                     }
                 });
             }
--- a/crates/agent/src/driver.rs
+++ b/crates/agent/src/driver.rs
@@ -18,9 +18,11 @@
 use crate::upstream::{AttemptLimits, AttemptProgress, AttemptResult, Content, Upstream};
 use bellcroft_agent_core::clock_skew::ClockSkew;
 use bellcroft_agent_core::guard::{AttemptHistory, AttemptWindow, Guard, ServerGroups};
-use bellcroft_agent_core::retune::{merge, Attempts, Book, Form, Unfit};
+use bellcroft_agent_core::reconfigure::{
+    merge_names, AttemptLimitTransition, ClassRegistry, ClassSignature, IncompatibleClass,
+};
 use bellcroft_agent_core::shutdown::ShutdownSchedule;
-use bellcroft_agent_core::waking::Waking;
+use bellcroft_agent_core::stall::StallDetector;
 use bellcroft_balancer::*;
 use bellcroft_platform_settings::{fnv1a, Names};
 use bellcroft_routes::{Ids, Recent, Route, SecondCopy, Table};
@@ -161,7 +163,7 @@
     discovery: Discovery,
     routes: Rc<Table>,
     ids: Ids,
-    attempts_most: Attempts,
+    attempts_most: AttemptLimitTransition,
     /// The answer times of each class.
     recent: Vec<Recent>,
     log: Rc<RequestLog>,
@@ -174,7 +176,7 @@
     /// The names of the settings; places keep theirs.
     names: RefCell<Rc<Names>>,
     /// The classes by their places.
-    book: RefCell<Book>,
+    book: RefCell<ClassRegistry>,
     upstream: Rc<Upstream>,
     /// The calls to discovery, as operators see them.
     monitor: RefCell<Monitor>,
@@ -191,7 +193,7 @@
     /// By how many it reckons what is counted for the whole fleet, if by more than the settings say.
     reckoned: Cell<u32>,
     /// Whether decisions wait for the list, as the process had stood still; watched where peers are looked for.
-    waking: Cell<Option<Waking>>,
+    waking: Cell<Option<StallDetector>>,
 }
 
 impl Driver {
@@ -205,7 +207,7 @@
         let mut ids = Ids::default();
         let routes = Rc::new(Table::unchecked(&config.routes, &mut ids));
         let recent = config.names.classes.iter().map(|_| Recent::default()).collect();
-        let book = Book::new(&config.names.classes, &config.settings.classes);
+        let book = ClassRegistry::new(&config.names.classes, &config.settings.classes);
         let upstream = Rc::new(Upstream::new(
             connections,
             Duration::from_micros(config.names.connect_timeout.0),
@@ -238,7 +240,7 @@
             discovery: Discovery::new(config.discovery, watch_policy),
             routes,
             ids,
-            attempts_most: Attempts::default(),
+            attempts_most: AttemptLimitTransition::default(),
             recent,
             log: request_log.clone(),
         };
@@ -305,7 +307,7 @@
     /// # Errors
     ///
     /// There is none.
-    pub fn class(&self, name: &str, form: Form) -> Result<ClassId, Unfit> {
+    pub fn class(&self, name: &str, form: ClassSignature) -> Result<ClassId, IncompatibleClass> {
         self.book.borrow().find(self.clock.now(), name, form).map(ClassId)
     }
 
@@ -325,25 +327,25 @@
         let (old, now) = (self.names(), self.clock.now());
         let former = state.balancer.settings().clone();
         let mut settings = newer.settings.clone();
-        let (tenants, places) = merge(&old.tenants, &newer.names.tenants);
+        let (tenants, places) = merge_names(&old.tenants, &newer.names.tenants);
         let mut shares = former.tenants.clone();
         shares.resize(tenants.len(), Tenant::default());
         for (place, tenant) in places.iter().zip(&newer.settings.tenants) {
             shares[*place] = tenant.clone();
         }
         settings.tenants = shares;
-        let (zones, places) = merge(&old.zones, &newer.names.zones);
+        let (zones, places) = merge_names(&old.zones, &newer.names.zones);
         if let Some(place) = places.get(settings.zone.0 as usize) {
             settings.zone = ZoneId(*place as u32);
         }
         settings.balancers = settings.balancers.max(self.reckoned.get());
-        let (kinds, _) = merge(&old.kinds, &newer.names.kinds);
+        let (kinds, _) = merge_names(&old.kinds, &newer.names.kinds);
         let mut book = self.book.borrow_mut();
         let free = |place: usize| !state.balancer.references_class(ClassId(place));
-        let changed = book.retune(now, &newer.names.classes, &newer.settings.classes, free);
+        let changed = book.reconfigure(now, &newer.names.classes, &newer.settings.classes, free);
         settings.classes = book.classes();
         if settings.max_attempts != former.max_attempts {
-            state.attempts_most.changed(former.max_attempts, now);
+            state.attempts_most.on_limit_changed(former.max_attempts, now);
         }
         state.balancer.reconfigure(settings, &changed)?;
         let followed = state.discovery.follows_by_itself();
@@ -441,7 +443,7 @@
                 state.balancer.settings().classes.get(arrival.class.0).map(|class| class.retry_safety);
             let ending = self.guard.borrow().must_answer_all(now);
             let mut limits = arrival.route.as_ref().map(|route| route.limits.clone());
-            if let Some(most) = state.attempts_most.most(self.clock.now()) {
+            if let Some(most) = state.attempts_most.max_attempts(self.clock.now()) {
                 let fewer = limits.as_deref().unwrap_or(&Limits::STANDARD).clone();
                 limits = Some(Arc::new(Limits { max_attempts: fewer.max_attempts.min(most), ..fewer }));
             }
@@ -523,7 +525,7 @@
             telemetry.list_answered(self.clock.now());
         }
         if let Some(mut waking) = self.waking.get() {
-            waking.listed();
+            waking.on_endpoint_list();
             self.waking.set(Some(waking));
         }
         let update = {
@@ -584,7 +586,7 @@
     /// Looks for other instances from now on, by way of these.
     pub fn join(&self, peers: Rc<Peers>) {
         *self.peers.borrow_mut() = Some(peers);
-        self.waking.set(Some(Waking::new(self.clock.now())));
+        self.waking.set(Some(StallDetector::new(self.clock.now())));
     }
 
     /// The other instances, where they are looked for.
@@ -594,7 +596,7 @@
 
     /// How often this process has stood still.
     pub fn stalls(&self) -> u64 {
-        self.waking.get().map_or(0, |waking| waking.count())
+        self.waking.get().map_or(0, |waking| waking.stalls())
     }
 
     /// Whether decisions wait for the list. To be asked before anything is decided: whatever the kernel held for this
@@ -602,7 +604,7 @@
     fn waits(self: &Rc<Self>, state: &mut State) -> Option<Time> {
         let mut waking = self.waking.get()?;
         let now = self.clock.now();
-        if waking.beat(now) {
+        if waking.heartbeat(now) {
             warn!("this process stood still; nothing is decided before the list has come, or for 250 ms");
             let address = state.discovery.address();
             // Calls that are out are ended: their answers may be as old as the list that is held.
@@ -610,7 +612,7 @@
             self.wake.notify_one();
         }
         self.waking.set(Some(waking));
-        waking.waits(now)
+        waking.waits_until(now)
     }
 
     /// Wakes the balancer when a timer is due, and looks after idle connections; never ends.
@@ -618,7 +620,7 @@
         let mut sweep = Instant::now() + SWEEP;
         loop {
             let next = self.state.borrow().timers.peek().map(|Reverse((at, _))| self.clock.instant(*at));
-            let waits = self.waking.get().and_then(|waking| waking.waits(self.clock.now()));
+            let waits = self.waking.get().and_then(|waking| waking.waits_until(self.clock.now()));
             let waits = waits.map(|until| self.clock.instant(until));
             // What is due cannot be done while decisions wait.
             let until = waits.or(next).map_or(sweep, |at| at.min(sweep));
--- a/crates/agent/src/front/connection.rs
+++ b/crates/agent/src/front/connection.rs
@@ -1,8 +1,8 @@
 //! What a client's connection is doing, as its framing and its owner both know it, and when its client has gone.
 
 use crate::telemetry::Owing;
+use bellcroft_agent_core::body_limits::ProgressTimeout;
 use bellcroft_agent_core::guard::ConnectionState;
-use bellcroft_agent_core::passage::Patience;
 use bellcroft_balancer::Time;
 use bellcroft_net::Stream;
 use std::cell::{Cell, RefCell};
@@ -21,7 +21,7 @@
     /// The body of the present answer has been handed over; its last bytes may not be out.
     body_over: Cell<bool>,
     /// How long more of a body is waited for, and since when the client takes nothing.
-    pub(super) patience: Cell<Patience>,
+    pub(super) patience: Cell<ProgressTimeout>,
     /// The begin of the connection, which the patience counts from.
     begin: Instant,
     stuck: Cell<Option<Instant>>,
@@ -75,7 +75,7 @@
 
     /// Until when more of a body is waited for, if it is.
     pub fn body_until(&self) -> Option<Instant> {
-        self.patience.get().until().map(|at| self.begin + Duration::from_micros(at.0))
+        self.patience.get().deadline().map(|at| self.begin + Duration::from_micros(at.0))
     }
 
     /// Since when the client takes nothing of its answer.
@@ -94,7 +94,7 @@
             && self.lingers.get().is_none()
     }
 
-    pub(super) fn body(&self, change: impl FnOnce(&mut Patience, Time)) {
+    pub(super) fn body(&self, change: impl FnOnce(&mut ProgressTimeout, Time)) {
         let mut patience = self.patience.get();
         change(&mut patience, Time(self.begin.elapsed().as_micros() as u64));
         self.patience.set(patience);
--- a/crates/agent/src/front/exchange.rs
+++ b/crates/agent/src/front/exchange.rs
@@ -28,7 +28,9 @@
         client: Rc<ClientConnection>,
     ) -> Result<Response<Reply>, Infallible> {
         let (mut answer, close) = match self.handle(request, &client).await {
-            Ok(answer) => (answer, self.service.get().last_answers() || self.taken(LAST_RESPONSE_SHARE)),
+            Ok(answer) => {
+                (answer, self.service.get().closes_connections() || self.taken(LAST_RESPONSE_SHARE))
+            }
             // Who cannot word a request is not trusted with the rest of the connection.
             Err(answer) => {
                 self.tally.bad();
--- a/crates/agent/src/front/framing.rs
+++ b/crates/agent/src/front/framing.rs
@@ -7,9 +7,9 @@
 
 use super::connection::ClientConnection;
 use super::head::{frame, Frame};
+use bellcroft_agent_core::body_limits::{ProgressTimeout, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES};
 use bellcroft_agent_core::chunks::{Chunks, NotChunked};
 use bellcroft_agent_core::guard::ConnectionState;
-use bellcroft_agent_core::passage::{Patience, BODY_MOST, WHOLE_MOST};
 use bellcroft_net::Stream;
 use bytes::{Buf, BytesMut};
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -27,9 +27,9 @@
 /// What is kept of what comes behind a request that waits: the longest one that is taken whole. More is read and dropped,
 /// for a client that leaves says so behind all that it has sent, and its kernel can't deliver that word while ours takes
 /// nothing.
-const MAX_AHEAD_BYTES: usize = MAX_HEAD_BYTES + WHOLE_MOST;
+const MAX_AHEAD_BYTES: usize = MAX_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES;
 /// So much is dropped at the most; whoever sends on is no longer read.
-const MAX_DROPPED_BYTES: u64 = BODY_MOST;
+const MAX_DROPPED_BYTES: u64 = MAX_BODY_BYTES;
 
 /// How far the present request has been read.
 enum Stage {
@@ -90,7 +90,7 @@
         self.ahead.extend_from_slice(&chunk[..kept]);
         self.dropped += (n - kept) as u64;
         if matches!(self.stage, Stage::Body(_) | Stage::Chunked(_)) {
-            self.client.body(|patience, now| patience.came(n, now));
+            self.client.body(|patience, now| patience.on_bytes(n, now));
         }
         self.ended = n == 0;
         Poll::Ready(Ok(n > 0))
@@ -236,7 +236,7 @@
                 Poll::Ready(Err(e)) => return Poll::Ready(Err(e)),
                 Poll::Pending => {
                     if matches!(this.stage, Stage::Body(_) | Stage::Chunked(_)) {
-                        this.client.body(Patience::waits);
+                        this.client.body(ProgressTimeout::on_wait);
                     }
                     *this.client.waker.borrow_mut() = Some(cx.waker().clone());
                     return Poll::Pending;
--- a/crates/agent/src/front/mod.rs
+++ b/crates/agent/src/front/mod.rs
@@ -12,9 +12,9 @@
 use crate::daemon::status::Tally;
 use crate::driver::Driver;
 use crate::request_log::CloseReason;
+use bellcroft_agent_core::body_limits::BufferPool;
 use bellcroft_agent_core::guard::ConnectionState;
-use bellcroft_agent_core::passage::Store;
-use bellcroft_agent_core::service::{Duty, Service};
+use bellcroft_agent_core::service::{Service, ServingState};
 use bellcroft_net::{AcceptError, Listener, Stream};
 use capacity::{can_be_spared, LAST_RESPONSE_SHARE, STATE_CHECK_INTERVAL};
 use connection::{client_disconnected, ClientConnection};
@@ -84,7 +84,7 @@
     /// Ids of the requests that are open.
     ids: Rc<RefCell<HashSet<Box<str>>>>,
     /// What the begins of bodies that are coming may take.
-    store: Rc<RefCell<Store>>,
+    store: Rc<RefCell<BufferPool>>,
 }
 
 impl Server {
@@ -103,7 +103,7 @@
             last_connection: Cell::new(0),
             freed: Notify::new(),
             ids: Rc::default(),
-            store: Rc::new(RefCell::new(Store::new(memory))),
+            store: Rc::new(RefCell::new(BufferPool::new(memory))),
         })
     }
 
@@ -179,13 +179,13 @@
     }
 
     /// What it is there for at present.
-    pub fn duty(&self) -> Duty {
-        self.service.get().duty()
+    pub fn duty(&self) -> ServingState {
+        self.service.get().state()
     }
 
     /// Whether it says yes to those who ask if they may send it clients.
     pub fn ready(&self) -> bool {
-        self.driver.ready() && self.service.get().ready()
+        self.driver.ready() && self.service.get().is_ready()
     }
 
     /// When connections that are idle close for the sake of its duty, if they do.
--- a/crates/agent/src/front/request.rs
+++ b/crates/agent/src/front/request.rs
@@ -6,8 +6,8 @@
 use crate::driver::{Arrival, Given, COMING_MOST};
 use crate::passing::{Kept, Upload};
 use crate::upstream::{forwarded, join};
-use bellcroft_agent_core::passage::{self, Way, BODY_MOST};
-use bellcroft_agent_core::retune::{Form, Unfit};
+use bellcroft_agent_core::body_limits::{self, ForwardingMode, MAX_BODY_BYTES};
+use bellcroft_agent_core::reconfigure::{ClassSignature, IncompatibleClass};
 use bellcroft_balancer::{KeyId, Micros, RetrySafety, TenantId};
 use bellcroft_platform_settings::fnv1a;
 use http_body_util::BodyExt;
@@ -34,12 +34,12 @@
         let first = path.trim_start_matches('/').split('/').next().unwrap_or_default();
         let keyed = head.headers.get("idempotency-key").is_some_and(|key| !key.is_empty());
         let form = match (head.method == Method::POST, keyed) {
-            (true, true) => Form::Keyed,
-            (true, false) => Form::Bare,
-            (false, _) => Form::Read,
+            (true, true) => ClassSignature::WithIdempotencyKey,
+            (true, false) => ClassSignature::WithoutIdempotencyKey,
+            (false, _) => ClassSignature::SafeMethod,
         };
         let found = self.driver.class(first, form);
-        if found == Err(Unfit::Unknown) {
+        if found == Err(IncompatibleClass::Unknown) {
             return Err(plain_response(StatusCode::NOT_FOUND, "no such class of request"));
         }
         if header_text(&head.headers, "x-priority-class") != Some(first) {
@@ -66,9 +66,11 @@
             answer
         };
         let class = match found {
-            Ok(_) if form == Form::Read && head.method != Method::GET => return Err(other_method("GET")),
+            Ok(_) if form == ClassSignature::SafeMethod && head.method != Method::GET => {
+                return Err(other_method("GET"))
+            }
             Ok(class) => class,
-            Err(Unfit::Form(RetrySafety::Idempotent)) => return Err(other_method("GET")),
+            Err(IncompatibleClass::Signature(RetrySafety::Idempotent)) => return Err(other_method("GET")),
             Err(_) if head.method != Method::POST => return Err(other_method("POST")),
             Err(_) => return Err(bad("this class needs an Idempotency-Key")),
         };
@@ -101,15 +103,15 @@
     /// Takes a body whole, or the begin of one that is passed on as it comes.
     async fn read_body_start(&self, mut body: Incoming) -> Result<Given, Response<Reply>> {
         let length = body.size_hint().exact();
-        let way = passage::way(length).map_err(|_| {
-            let text = format!("a body holds at most {} MiB", BODY_MOST >> 20);
+        let way = body_limits::forwarding_mode(length).map_err(|_| {
+            let text = format!("a body holds at most {} MiB", MAX_BODY_BYTES >> 20);
             plain_response(StatusCode::PAYLOAD_TOO_LARGE, &text)
         })?;
         let kept = Kept::grant(&self.store);
         // What says of itself that it is short is taken whole however little memory there is: it can be tried again.
         let most = match (way, length) {
-            (Way::Gather, Some(length)) => length as usize,
-            (Way::Gather | Way::Pass, _) => kept.most(),
+            (ForwardingMode::Buffered, Some(length)) => length as usize,
+            (ForwardingMode::Buffered | ForwardingMode::Streamed, _) => kept.most(),
         };
         let (mut parts, mut gathered) = (Vec::new(), 0);
         loop {
@@ -124,7 +126,7 @@
                     parts.push(data);
                 }
             }
-            if gathered > most || (way == Way::Pass && gathered >= most) {
+            if gathered > most || (way == ForwardingMode::Streamed && gathered >= most) {
                 return Ok(Given::Coming(Upload::new(length, join(parts), kept, body)));
             }
         }
--- a/crates/agent/src/passing.rs
+++ b/crates/agent/src/passing.rs
@@ -1,7 +1,7 @@
 //! Bodies that are passed on as they come: a request's to a server ([`Upload`]), an answer's to a client. Neither side is
 //! read before the other one takes, so memory does not grow with a body's length.
 
-use bellcroft_agent_core::passage::{Passed, Store, TooLarge};
+use bellcroft_agent_core::body_limits::{BodyTooLarge, BufferPool, ForwardedBytes};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use std::cell::{Cell, RefCell};
@@ -14,14 +14,14 @@
 
 /// What a request has kept of its begin, given back with it.
 pub struct Kept {
-    store: Rc<RefCell<Store>>,
+    store: Rc<RefCell<BufferPool>>,
     granted: usize,
 }
 
 impl Kept {
     /// What the next one may keep.
-    pub fn grant(store: &Rc<RefCell<Store>>) -> Self {
-        Kept { store: store.clone(), granted: store.borrow_mut().grant() }
+    pub fn grant(store: &Rc<RefCell<BufferPool>>) -> Self {
+        Kept { store: store.clone(), granted: store.borrow_mut().acquire() }
     }
 
     /// How much that is.
@@ -32,7 +32,7 @@
 
 impl Drop for Kept {
     fn drop(&mut self) {
-        self.store.borrow_mut().give_back(self.granted);
+        self.store.borrow_mut().release(self.granted);
     }
 }
 
@@ -43,7 +43,7 @@
     rest: RefCell<Incoming>,
     /// What came first, as long as nothing behind it has been passed on.
     first: RefCell<Option<(Bytes, Kept)>>,
-    passed: Cell<Passed>,
+    passed: Cell<ForwardedBytes>,
     whole: Cell<Option<Instant>>,
     broken: Cell<bool>,
     /// Told when it is whole or broken.
@@ -53,7 +53,7 @@
 impl Upload {
     /// A body that has begun with `first`.
     pub fn new(length: Option<u64>, first: Bytes, kept: Kept, rest: Incoming) -> Rc<Self> {
-        let mut passed = Passed::default();
+        let mut passed = ForwardedBytes::default();
         // What has been gathered is far below what is carried.
         let _ = passed.add(first.len());
         Rc::new(Upload {
@@ -111,7 +111,7 @@
                         self.first.borrow_mut().take();
                         match fits {
                             Ok(()) => return Poll::Ready(Some(Ok(data))),
-                            Err(TooLarge) => Some(io::ErrorKind::InvalidData),
+                            Err(BodyTooLarge) => Some(io::ErrorKind::InvalidData),
                         }
                     }
                     // Trailers speak of the connection that they came over.
--- a/crates/agent/src/upstream/relay.rs
+++ b/crates/agent/src/upstream/relay.rs
@@ -3,7 +3,7 @@
 use super::connection::Connection;
 use super::pool::ConnectionPool;
 use super::response::{BodyStart, MAX_RELAYED_BYTES};
-use bellcroft_agent_core::passage::{Passed, Patience, WHOLE_MOST};
+use bellcroft_agent_core::body_limits::{ForwardedBytes, ProgressTimeout, MAX_BUFFERED_BODY_BYTES};
 use bellcroft_balancer::{Micros, Time};
 use bytes::Bytes;
 use hyper::body::{Body, Incoming};
@@ -24,11 +24,11 @@
     first: Option<Bytes>,
     rest: Incoming,
     length: Option<u64>,
-    passed: Passed,
+    passed: ForwardedBytes,
     /// A body of unknown length that is not long yet has its request's time, and no other.
     until: Instant,
     begin: Instant,
-    patience: Patience,
+    patience: ProgressTimeout,
     wake: Pin<Box<Sleep>>,
     /// None once it is over.
     connection: Option<(Rc<ConnectionPool>, Connection)>,
@@ -42,7 +42,7 @@
         length: Option<u64>,
         connection: (Rc<ConnectionPool>, Connection),
     ) -> Option<Self> {
-        let mut passed = Passed::default();
+        let mut passed = ForwardedBytes::default();
         passed.add(start.bytes.len()).ok()?;
         connection.1.progress.read_budget.set(MAX_RELAYED_BYTES);
         Some(Relay {
@@ -52,7 +52,7 @@
             passed,
             until: Instant::now(),
             begin: Instant::now(),
-            patience: Patience::of(STALL_TIMEOUT),
+            patience: ProgressTimeout::new(STALL_TIMEOUT),
             wake: Box::pin(sleep_until(Instant::now())),
             connection: Some(connection),
         })
@@ -75,7 +75,7 @@
 
     /// Whether it may still be one that the platform carries, whose time is that of its last byte.
     fn short(&self) -> bool {
-        self.length.is_none() && self.passed.total() <= WHOLE_MOST as u64
+        self.length.is_none() && self.passed.total() <= MAX_BUFFERED_BODY_BYTES as u64
     }
 
     fn now(&self) -> Time {
@@ -122,14 +122,14 @@
         if self.length == Some(self.passed.total()) {
             self.finish();
         }
-        self.patience.came(data.len(), self.now());
+        self.patience.on_bytes(data.len(), self.now());
         Ok(data)
     }
 
     /// Ready once the backend has been waited for long enough.
     fn poll_timeout(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        self.patience.waits(self.now());
-        let stalled = self.patience.until().map(|at| self.begin + Duration::from_micros(at.0));
+        self.patience.on_wait(self.now());
+        let stalled = self.patience.deadline().map(|at| self.begin + Duration::from_micros(at.0));
         let stalled = stalled.unwrap_or(self.until);
         let at = if self.short() { stalled.min(self.until) } else { stalled };
         if self.wake.deadline() != at {
--- a/crates/agent/src/upstream/response.rs
+++ b/crates/agent/src/upstream/response.rs
@@ -6,7 +6,9 @@
 use super::relay::Relay;
 use super::Upstream;
 use crate::passing::Load;
-use bellcroft_agent_core::passage::{way, Begin, BODY_MOST, WHOLE_MOST};
+use bellcroft_agent_core::body_limits::{
+    forwarding_mode, BufferingPhase, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES,
+};
 use bellcroft_balancer::{Outcome, Time};
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -20,9 +22,9 @@
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
 /// All bytes that one response may bring: its body, what its framing adds, and heads, those of 1xx responses ahead of it
 /// among them. A backend that goes on past that is noise, however well formed.
-const MAX_RESPONSE_BYTES: u64 = 2 * (WHOLE_MOST + MAX_HEAD_BYTES) as u64;
+const MAX_RESPONSE_BYTES: u64 = 2 * (MAX_BUFFERED_BODY_BYTES + MAX_HEAD_BYTES) as u64;
 /// The same for one that is passed on: pieces of a single byte each carry six of framing.
-pub const MAX_RELAYED_BYTES: u64 = 8 * BODY_MOST;
+pub const MAX_RELAYED_BYTES: u64 = 8 * MAX_BODY_BYTES;
 
 /// The start of a body: all of a short one, or as much of a long one as is kept back before it goes on.
 pub struct BodyStart {
@@ -51,7 +53,7 @@
         };
         let response = response.ok()?;
         let length = response.body().size_hint().exact();
-        if has_ambiguous_length(&response) || way(length).is_err() {
+        if has_ambiguous_length(&response) || forwarding_mode(length).is_err() {
             return None;
         }
         let outcome = outcome_of(&response);
@@ -99,10 +101,10 @@
 async fn read_start(body: &mut Incoming, length: Option<u64>) -> Option<BodyStart> {
     let head = Instant::now();
     let now = || Time(head.elapsed().as_micros() as u64);
-    let mut begin = Begin::new(length, now());
+    let mut begin = BufferingPhase::new(length, now());
     let mut parts: Vec<Bytes> = Vec::new();
     let complete = loop {
-        let next = match begin.until().filter(|_| !parts.is_empty()) {
+        let next = match begin.deadline().filter(|_| !parts.is_empty()) {
             Some(until) => timeout_at(head + Duration::from_micros(until.0), body.frame()).await,
             None => Ok(body.frame().await),
         };
@@ -111,7 +113,7 @@
             Ok(Some(frame)) => frame.ok()?.into_data().unwrap_or_default(),
             Err(_) => Bytes::new(),
         };
-        let goes_on = begin.came(more.len(), now());
+        let goes_on = begin.on_bytes(more.len(), now());
         if !more.is_empty() {
             parts.push(more);
         }
