--- a/crates/agent/src/cli/call.rs
+++ b/crates/agent/src/cli/call.rs
@@ -19,7 +19,7 @@
 
 /// What can be asked.
 #[derive(Debug, Clone, Copy, clap::ValueEnum)]
-pub enum Word {
+pub enum AdminCommand {
     /// Whether it takes clients.
     Ready,
     /// The figures.
@@ -30,19 +30,24 @@
     Resume,
 }
 
-impl Word {
+impl AdminCommand {
     fn text(self) -> &'static str {
         let call = match self {
-            Word::Ready => AdminRequest::Ready,
-            Word::ShowStat => AdminRequest::ShowStat,
-            Word::Drain => AdminRequest::Drain,
-            Word::Resume => AdminRequest::Resume,
+            AdminCommand::Ready => AdminRequest::Ready,
+            AdminCommand::ShowStat => AdminRequest::ShowStat,
+            AdminCommand::Drain => AdminRequest::Drain,
+            AdminCommand::Resume => AdminRequest::Resume,
         };
         AdminRequest::ALL.iter().find(|(_, known)| *known == call).map_or("", |(word, _)| word)
     }
 }
 
-pub fn run(word: Word, console: Option<SocketAddr>, operator: Option<PathBuf>, json: bool) -> ExitCode {
+pub fn run(
+    word: AdminCommand,
+    console: Option<SocketAddr>,
+    operator: Option<PathBuf>,
+    json: bool,
+) -> ExitCode {
     let address = match (console, operator) {
         (Some(address), _) => Some(address),
         (None, Some(operator)) => match AgentFile::read(&operator) {
--- a/crates/agent/src/cli/check.rs
+++ b/crates/agent/src/cli/check.rs
@@ -1,7 +1,7 @@
 //! `bellcroft check`.
 
 use crate::daemon::config::Config;
-use crate::daemon::{state, variable, Sources};
+use crate::daemon::{state, variable, ConfigSources};
 use crate::exit;
 use bellcroft_operator_config::AgentFile;
 use std::process::ExitCode;
@@ -9,7 +9,7 @@
 
 /// An operator's file without any platform's configuration: what can be checked is, and what can't is said. None where
 /// there is a configuration, or no operator's file.
-fn alone(sources: &Sources) -> Option<ExitCode> {
+fn alone(sources: &ConfigSources) -> Option<ExitCode> {
     let file = sources.operator.as_ref()?;
     if sources.config.is_some() || variable("PROXY_CONFIG").is_some() {
         return None;
@@ -41,7 +41,7 @@
     Some(ExitCode::SUCCESS)
 }
 
-pub fn run(sources: &Sources, explain: bool) -> ExitCode {
+pub fn run(sources: &ConfigSources, explain: bool) -> ExitCode {
     if let Some(code) = alone(sources) {
         return code;
     }
@@ -53,11 +53,11 @@
         }
     };
     let state = config.daemon.state.as_ref();
-    if let Some(long) = state.filter(|path| path.as_os_str().len() > state::PATH_MOST) {
+    if let Some(long) = state.filter(|path| path.as_os_str().len() > state::MAX_PATH_BYTES) {
         eprintln!(
             "daemon.state: {} is longer than {} bytes, the bound of a socket's path below it",
             long.display(),
-            state::PATH_MOST
+            state::MAX_PATH_BYTES
         );
         return ExitCode::from(exit::BAD_INPUT);
     }
--- a/crates/agent/src/cli/fleet.rs
+++ b/crates/agent/src/cli/fleet.rs
@@ -1,6 +1,6 @@
 //! `bellcroft fleet`.
 
-use crate::daemon::control::{self, Silent};
+use crate::daemon::control::{self, ControlError};
 use crate::daemon::state;
 use crate::exit::{self, block_on};
 use bellcroft_operator_config::FleetFile;
@@ -72,8 +72,9 @@
     });
     match done {
         Ok(Ok(code)) => code,
-        Ok(Err(Silent::NotRunning)) => {
-            let alive = fleet.members.iter().filter(|m| state::held(&crate::fleet::instance_dir(&fleet, m)));
+        Ok(Err(ControlError::NotRunning)) => {
+            let alive =
+                fleet.members.iter().filter(|m| state::is_locked(&crate::fleet::instance_dir(&fleet, m)));
             eprintln!(
                 "bellcroft: {}: no supervisor is running; {} of {} instances are. `bellcroft fleet run` adopts them",
                 dir.display(),
@@ -82,18 +83,18 @@
             );
             ExitCode::from(exit::NOT_RUNNING)
         }
-        Ok(Err(Silent::Failed(why))) | Err(why) => {
+        Ok(Err(ControlError::Failed(why))) | Err(why) => {
             eprintln!("bellcroft: {why}");
             ExitCode::from(exit::NOT_DONE)
         }
     }
 }
 
-async fn status(dir: &Path) -> Result<Value, Silent> {
-    control::ask(dir, &json!({"command": "status"})).await.map(|told| told.value)
+async fn status(dir: &Path) -> Result<Value, ControlError> {
+    control::request(dir, &json!({"command": "status"})).await.map(|told| told.value)
 }
 
-async fn show(dir: &Path, json: bool) -> Result<ExitCode, Silent> {
+async fn show(dir: &Path, json: bool) -> Result<ExitCode, ControlError> {
     let status = status(dir).await?;
     if json {
         println!("{status}");
@@ -125,9 +126,9 @@
     Ok(ExitCode::SUCCESS)
 }
 
-async fn reload(dir: &Path) -> Result<ExitCode, Silent> {
+async fn reload(dir: &Path) -> Result<ExitCode, ControlError> {
     let before = status(dir).await?["reloads"].as_u64();
-    control::ask(dir, &json!({"command": "reload"})).await?;
+    control::request(dir, &json!({"command": "reload"})).await?;
     loop {
         tokio::time::sleep(LOOK).await;
         let status = status(dir).await?;
@@ -148,13 +149,13 @@
     }
 }
 
-async fn restart(dir: &Path, program: Option<PathBuf>) -> Result<ExitCode, Silent> {
+async fn restart(dir: &Path, program: Option<PathBuf>) -> Result<ExitCode, ControlError> {
     let program = match program.map(std::path::absolute).transpose() {
         Ok(program) => program,
-        Err(e) => return Err(Silent::Failed(format!("--program: {e}"))),
+        Err(e) => return Err(ControlError::Failed(format!("--program: {e}"))),
     };
     let before = status(dir).await?["rolls"].as_u64();
-    control::ask(dir, &json!({"command": "restart", "program": program})).await?;
+    control::request(dir, &json!({"command": "restart", "program": program})).await?;
     let mut told = None;
     loop {
         tokio::time::sleep(LOOK).await;
@@ -183,10 +184,10 @@
     }
 }
 
-async fn stop(dir: &Path) -> Result<ExitCode, Silent> {
-    control::ask(dir, &json!({"command": "stop"})).await?;
+async fn stop(dir: &Path) -> Result<ExitCode, ControlError> {
+    control::request(dir, &json!({"command": "stop"})).await?;
     let mut told = None;
-    while state::held(dir) {
+    while state::is_locked(dir) {
         if let Ok(status) = status(dir).await {
             let left = status["instances"].as_array().into_iter().flatten();
             let left = left.filter(|i| i["phase"] != "stopped").count();
--- a/crates/agent/src/cli/mod.rs
+++ b/crates/agent/src/cli/mod.rs
@@ -6,7 +6,7 @@
 mod members;
 mod status;
 
-use crate::daemon::{self, Sources, Start};
+use crate::daemon::{self, ConfigSources, StartOptions};
 use crate::exit;
 use crate::log::{self, Format};
 use clap::{Args, Parser, Subcommand};
@@ -84,7 +84,7 @@
     Call {
         /// What to ask.
         #[arg(value_enum)]
-        word: call::Word,
+        word: call::AdminCommand,
         /// The instance's second address.
         #[arg(long, value_name = "ADDRESS", required_unless_present = "operator", env = "PROXY_CONSOLE")]
         console: Option<std::net::SocketAddr>,
@@ -110,9 +110,9 @@
     config: Option<PathBuf>,
 }
 
-impl From<Files> for Sources {
+impl From<Files> for ConfigSources {
     fn from(files: Files) -> Self {
-        Sources { operator: files.operator, config: files.config }
+        ConfigSources { operator: files.operator, config: files.config }
     }
 }
 
@@ -131,8 +131,8 @@
         return ExitCode::from(exit::BAD_INPUT);
     }
     match cli.command {
-        None => daemon::run(Start::default()),
-        Some(Command::Run { files, state }) => daemon::run(Start { sources: files.into(), state }),
+        None => daemon::run(StartOptions::default()),
+        Some(Command::Run { files, state }) => daemon::run(StartOptions { sources: files.into(), state }),
         Some(Command::Check { files, explain }) => check::run(&files.into(), explain),
         Some(Command::Status { state, operator, json }) => status::run(state, operator, json),
         Some(Command::Members { state, operator, json }) => members::run(state, operator, json),
--- a/crates/agent/src/cli/status.rs
+++ b/crates/agent/src/cli/status.rs
@@ -1,7 +1,7 @@
 //! `bellcroft status`.
 
-use crate::daemon::control::{self, Silent};
-use crate::daemon::state::{self, STATUS};
+use crate::daemon::control::{self, ControlError};
+use crate::daemon::state::{self, STATUS_FILE};
 use crate::daemon::status::Status;
 use crate::exit::{self, block_on};
 use bellcroft_operator_config::AgentFile;
@@ -36,13 +36,13 @@
     operator: Option<PathBuf>,
 ) -> Result<Value, ExitCode> {
     let dir = directory(state, operator)?;
-    match block_on(control::ask(&dir, &json!({"command": command}))) {
+    match block_on(control::request(&dir, &json!({"command": command}))) {
         Ok(Ok(told)) => Ok(told.value),
-        Ok(Err(Silent::NotRunning)) => {
+        Ok(Err(ControlError::NotRunning)) => {
             eprintln!("bellcroft: {}: not running", dir.display());
             Err(ExitCode::from(exit::NOT_RUNNING))
         }
-        Ok(Err(Silent::Failed(why))) | Err(why) => {
+        Ok(Err(ControlError::Failed(why))) | Err(why) => {
             eprintln!("bellcroft: {}: {why}", dir.display());
             Err(ExitCode::from(exit::NOT_DONE))
         }
@@ -54,7 +54,7 @@
         Ok(dir) => dir,
         Err(code) => return code,
     };
-    let told = match block_on(control::ask(&dir, &json!({"command": "status"}))) {
+    let told = match block_on(control::request(&dir, &json!({"command": "status"}))) {
         Ok(told) => told,
         Err(why) => {
             eprintln!("bellcroft: {why}");
@@ -77,7 +77,7 @@
                 ExitCode::from(exit::NOT_DONE)
             }
         },
-        Err(Silent::Failed(why)) if state::held(&dir) => {
+        Err(ControlError::Failed(why)) if state::is_locked(&dir) => {
             eprintln!("bellcroft: {}: runs, and does not answer: {why}", dir.display());
             ExitCode::from(exit::NOT_DONE)
         }
@@ -89,7 +89,7 @@
                 (false, Ok(status)) => println!(
                     "{}: not running; last seen {} as process {}, {} ago",
                     status.name,
-                    status.phase.word(),
+                    status.phase.as_str(),
                     status.pid,
                     ago(status.written_ms)
                 ),
@@ -102,7 +102,7 @@
 
 /// The last status that was written, if it is whole.
 fn last(dir: &Path) -> Result<Status, String> {
-    let file = dir.join(STATUS);
+    let file = dir.join(STATUS_FILE);
     let text = std::fs::read(&file).map_err(|e| format!("{}: {e}", file.display()))?;
     serde_json::from_slice(&text).map_err(|e| format!("{}: cut off or not a status: {e}", file.display()))
 }
@@ -116,7 +116,7 @@
     println!(
         "{}: {}, process {}, up {}",
         status.name,
-        status.phase.word(),
+        status.phase.as_str(),
         status.pid,
         ago(status.started_ms)
     );
--- a/crates/agent/src/control_plane.rs
+++ b/crates/agent/src/control_plane.rs
@@ -4,7 +4,7 @@
 //! The daemon constructs one beside its listeners. The scale run constructs many in one process, as the control part of
 //! hollow agents; both run the same code. Nothing here reaches into the request path.
 
-use crate::daemon::config::{Config, Sources};
+use crate::daemon::config::{Config, ConfigSources};
 use crate::driver::Driver;
 use crate::peers::{Decisions, Peers};
 use crate::telemetry;
@@ -22,9 +22,9 @@
 
 /// Where an instance finds what it goes by.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Start {
+pub(crate) struct StartOptions {
     /// Its files.
-    pub sources: Sources,
+    pub sources: ConfigSources,
     /// Its state directory, before the operator's file.
     pub state: Option<PathBuf>,
 }
@@ -38,7 +38,7 @@
 /// until [`ControlPlane::stop`].
 pub struct ControlPlane {
     config: RefCell<Config>,
-    start: Start,
+    start: StartOptions,
     driver: Rc<Driver>,
     registry: Option<Rc<Instance>>,
     remote: RefCell<Option<Remote>>,
@@ -52,10 +52,10 @@
     ///
     /// The files are wrong, or an address cannot be listened on.
     pub async fn open(operator: &Path, config: &Path) -> Result<Rc<Self>, String> {
-        let sources = Sources { operator: Some(operator.to_owned()), config: Some(config.to_owned()) };
+        let sources = ConfigSources { operator: Some(operator.to_owned()), config: Some(config.to_owned()) };
         let config = Config::load(&sources, variable).map_err(|wrong| wrong.join("; "))?;
         let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let start = Start { sources, state: None };
+        let start = StartOptions { sources, state: None };
         let plane = Self::start(config, start, PROBE_CONNECTIONS, started.as_millis() as u64).await?;
         let refreshed = Rc::downgrade(&plane);
         plane.send_telemetry(move || {
@@ -70,7 +70,7 @@
     /// [`ControlPlane::send_telemetry`].
     pub(crate) async fn start(
         config: Config,
-        start: Start,
+        start: StartOptions,
         server_connections: usize,
         started_ms: u64,
     ) -> Result<Rc<Self>, String> {
@@ -84,7 +84,7 @@
             let peers = peers.map_err(|e| format!("cannot listen on {listen} (membership): {e}"))?;
             let heard = peers.address().map_or(listen, |address| address);
             info!("{name}: peers are heard on {heard}");
-            driver.join(peers);
+            driver.set_peers(peers);
         }
         let driving = tokio::task::spawn_local(driver.clone().run());
         Ok(Rc::new(ControlPlane {
@@ -156,7 +156,7 @@
             return Err(format!("{} differs, which only a restart can take", fixed.join(", ")));
         }
         let discovery = newer.discovery;
-        self.driver.retune(&newer).map_err(|e| e.to_string())?;
+        self.driver.reconfigure(&newer).map_err(|e| e.to_string())?;
         self.driver.set_routes(&newer);
         if let Some(registry) = &self.registry {
             telemetry::budgets(registry, &newer);
@@ -165,11 +165,11 @@
             remote.change(config);
         }
         if let Some((peers, (_, config))) = self.driver.peers().zip(newer.peering.as_ref()) {
-            peers.expect(config.instances);
+            peers.set_expected_size(config.instances);
         }
         let moved = self.config.replace(newer).discovery != discovery;
         if moved || platform {
-            self.driver.relocate(discovery);
+            self.driver.set_discovery_address(discovery);
         }
         Ok(())
     }
--- a/crates/agent/src/daemon/config.rs
+++ b/crates/agent/src/daemon/config.rs
@@ -103,7 +103,7 @@
 
 /// Where the configuration is named: on the command line, in the environment, in the operator's file.
 #[derive(Debug, Clone, Default)]
-pub struct Sources {
+pub struct ConfigSources {
     /// The operator's file.
     pub operator: Option<PathBuf>,
     /// The platform's configuration, by the command line.
@@ -116,7 +116,7 @@
     /// # Errors
     ///
     /// All that is wrong with them, a line each.
-    pub fn load(sources: &Sources, var: impl Fn(&str) -> Option<String>) -> Result<Self, Vec<String>> {
+    pub fn load(sources: &ConfigSources, var: impl Fn(&str) -> Option<String>) -> Result<Self, Vec<String>> {
         let mut digest = Vec::new();
         let operator = match &sources.operator {
             Some(path) => {
--- a/crates/agent/src/daemon/control.rs
+++ b/crates/agent/src/daemon/control.rs
@@ -19,13 +19,13 @@
 use tokio::time::timeout;
 
 /// A client that has not said what it wants by then is let go.
-const SAY_WITHIN: Duration = Duration::from_secs(2);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 /// The longest line that is read of a client.
-const ASK_MOST: usize = 4 << 10;
+const MAX_REQUEST_BYTES: usize = 4 << 10;
 /// The longest answer that is read: the status of a fleet of thousands.
-const ANSWER_MOST: usize = 16 << 20;
+const MAX_REPLY_BYTES: usize = 16 << 20;
 /// Clients at a time; one more is let go at once.
-pub(crate) const CLIENTS_MOST: usize = 16;
+pub(crate) const MAX_CLIENTS: usize = 16;
 
 /// An answer.
 pub struct Reply {
@@ -66,8 +66,8 @@
     ///
     /// The socket cannot be made.
     pub fn serve(dir: &Path, answer: impl Fn(Value) -> Reply + 'static) -> io::Result<Self> {
-        let file = dir.join(super::state::CONTROL);
-        let fresh = dir.join(format!("{}.new", super::state::CONTROL));
+        let file = dir.join(super::state::CONTROL_SOCKET);
+        let fresh = dir.join(format!("{}.new", super::state::CONTROL_SOCKET));
         let _ = std::fs::remove_file(&fresh);
         let listener = UnixListener::bind(&fresh)?;
         std::fs::set_permissions(&fresh, Permissions::from_mode(0o600))?;
@@ -82,14 +82,14 @@
                     tokio::time::sleep(Duration::from_millis(20)).await;
                     continue;
                 };
-                if clients.get() >= CLIENTS_MOST {
+                if clients.get() >= MAX_CLIENTS {
                     continue;
                 }
                 clients.set(clients.get() + 1);
                 let (answer, clients) = (answer.clone(), clients.clone());
                 tokio::task::spawn_local(async move {
                     // Whoever leaves or is slow is not waited for.
-                    let _ = timeout(SAY_WITHIN, client(&stream, own, &*answer)).await;
+                    let _ = timeout(REQUEST_TIMEOUT, client(&stream, own, &*answer)).await;
                     clients.set(clients.get() - 1);
                 });
             }
@@ -100,8 +100,8 @@
 
 async fn client(stream: &UnixStream, own: u32, answer: &dyn Fn(Value) -> Reply) -> io::Result<()> {
     let peer = stream.peer_cred()?;
-    let reply = if admits(own, peer.uid()) {
-        let (line, _) = read_line(stream, ASK_MOST).await?;
+    let reply = if is_authorized(own, peer.uid()) {
+        let (line, _) = read_line(stream, MAX_REQUEST_BYTES).await?;
         match serde_json::from_slice(&line) {
             Ok(value) => answer(value),
             Err(e) => error(format!("the line is no JSON: {e}")),
@@ -115,7 +115,7 @@
 }
 
 /// Whether a user may command the process of another: its own may, and root.
-pub(super) fn admits(own: u32, peer: u32) -> bool {
+pub(super) fn is_authorized(own: u32, peer: u32) -> bool {
     peer == own || peer == 0
 }
 
@@ -180,24 +180,24 @@
 
 /// Why a control socket gave no answer.
 #[derive(Debug)]
-pub enum Silent {
+pub enum ControlError {
     /// Nobody serves it.
     NotRunning,
     /// Somebody does, and this went wrong.
     Failed(String),
 }
 
-impl fmt::Display for Silent {
+impl fmt::Display for ControlError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Silent::NotRunning => f.write_str("not running"),
-            Silent::Failed(why) => f.write_str(why),
+            ControlError::NotRunning => f.write_str("not running"),
+            ControlError::Failed(why) => f.write_str(why),
         }
     }
 }
 
 /// What a control socket answered.
-pub struct Told {
+pub struct ControlReply {
     /// What it says.
     pub value: Value,
     /// The descriptor that came along.
@@ -207,35 +207,37 @@
 }
 
 /// How long an answer is waited for.
-const ANSWER_WITHIN: Duration = Duration::from_secs(3);
+const REPLY_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Asks the control socket of a state directory.
 ///
 /// # Errors
 ///
 /// Nobody serves it, or no good answer came within 3 s; an answer `{"error": ...}` is one of these.
-pub async fn ask(dir: &Path, request: &Value) -> Result<Told, Silent> {
-    let failed = |e: io::Error| Silent::Failed(e.to_string());
+pub async fn request(dir: &Path, request: &Value) -> Result<ControlReply, ControlError> {
+    let failed = |e: io::Error| ControlError::Failed(e.to_string());
     let exchange = async {
         let stream =
-            UnixStream::connect(dir.join(super::state::CONTROL)).await.map_err(|e| match e.kind() {
-                io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused | io::ErrorKind::NotADirectory => {
-                    Silent::NotRunning
+            UnixStream::connect(dir.join(super::state::CONTROL_SOCKET)).await.map_err(|e| {
+                match e.kind() {
+                    io::ErrorKind::NotFound
+                    | io::ErrorKind::ConnectionRefused
+                    | io::ErrorKind::NotADirectory => ControlError::NotRunning,
+                    _ => failed(e),
                 }
-                _ => failed(e),
             })?;
         let pid = stream.peer_cred().map_err(failed)?.pid().and_then(|pid| u32::try_from(pid).ok());
         let mut line = request.to_string();
         line.push('\n');
         write(&stream, line.as_bytes(), None).await.map_err(failed)?;
-        let (line, descriptor) = read_line(&stream, ANSWER_MOST).await.map_err(failed)?;
-        let value: Value = serde_json::from_slice(&line).map_err(|e| Silent::Failed(e.to_string()))?;
+        let (line, descriptor) = read_line(&stream, MAX_REPLY_BYTES).await.map_err(failed)?;
+        let value: Value = serde_json::from_slice(&line).map_err(|e| ControlError::Failed(e.to_string()))?;
         match value.get("error").and_then(Value::as_str) {
-            Some(why) => Err(Silent::Failed(why.to_owned())),
-            None => Ok(Told { value, descriptor, pid }),
+            Some(why) => Err(ControlError::Failed(why.to_owned())),
+            None => Ok(ControlReply { value, descriptor, pid }),
         }
     };
-    timeout(ANSWER_WITHIN, exchange).await.unwrap_or(Err(Silent::Failed("no answer within 3 s".into())))
+    timeout(REPLY_TIMEOUT, exchange).await.unwrap_or(Err(ControlError::Failed("no answer within 3 s".into())))
 }
 
 #[cfg(test)]
@@ -244,8 +246,8 @@
 
     #[test]
     fn only_the_process_s_own_user_and_root_are_admitted() {
-        assert!(admits(1000, 1000) && admits(1000, 0) && admits(0, 0));
-        assert!(!admits(1000, 1001) && !admits(0, 1000));
+        assert!(is_authorized(1000, 1000) && is_authorized(1000, 0) && is_authorized(0, 0));
+        assert!(!is_authorized(1000, 1001) && !is_authorized(0, 1000));
     }
 
     #[tokio::test(flavor = "current_thread")]
@@ -255,7 +257,7 @@
         let local = tokio::task::LocalSet::new();
         local
             .run_until(async {
-                assert!(matches!(ask(&dir, &json!({})).await, Err(Silent::NotRunning)));
+                assert!(matches!(request(&dir, &json!({})).await, Err(ControlError::NotRunning)));
                 let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
                 let address = listener.local_addr().expect("an address");
                 let control = Control::serve(&dir, move |value| match value["command"].as_str() {
@@ -270,14 +272,16 @@
                     std::fs::metadata(dir.join("control.sock")).expect("it is there").permissions().mode();
                 assert_eq!(mode & 0o777, 0o600);
                 let mut silent = Vec::new();
-                for _ in 0..CLIENTS_MOST - 1 {
+                for _ in 0..MAX_CLIENTS - 1 {
                     silent.push(UnixStream::connect(dir.join("control.sock")).await.expect("it is taken"));
                 }
-                let told = ask(&dir, &json!({"command": "listener"})).await.unwrap_or_else(|e| panic!("{e}"));
+                let told =
+                    request(&dir, &json!({"command": "listener"})).await.unwrap_or_else(|e| panic!("{e}"));
                 assert_eq!(told.pid, Some(std::process::id()));
                 let got = std::net::TcpListener::from(told.descriptor.expect("a descriptor"));
                 assert_eq!(got.local_addr().expect("an address"), address);
-                let why = ask(&dir, &json!({"command": "else"})).await.err().expect("an error").to_string();
+                let why =
+                    request(&dir, &json!({"command": "else"})).await.err().expect("an error").to_string();
                 assert_eq!(why, "no such command");
                 // Those that say nothing are let go, and their places are free again.
                 for stream in &silent {
@@ -285,7 +289,7 @@
                     assert!(line.is_empty());
                 }
                 drop(control);
-                assert!(matches!(ask(&dir, &json!({})).await, Err(Silent::NotRunning)));
+                assert!(matches!(request(&dir, &json!({})).await, Err(ControlError::NotRunning)));
             })
             .await;
         std::fs::remove_dir_all(&dir).expect("it is ours");
--- a/crates/agent/src/daemon/descriptors.rs
+++ b/crates/agent/src/daemon/descriptors.rs
@@ -32,7 +32,7 @@
 const CONSOLE: usize = 1 + MAX_SESSIONS + 1;
 /// Reserved where there is a state directory: its lock, the status that is written and its folder, a copy of the listening
 /// socket, the control socket, and its callers.
-const STATE: usize = 5 + control::CLIENTS_MOST;
+const STATE: usize = 5 + control::MAX_CLIENTS;
 /// Reserved where counts are sent: the connection, and one that still closes.
 const REMOTE_WRITE: usize = 2;
 /// The part of the others that is the clients'.
--- a/crates/agent/src/daemon/succession.rs
+++ b/crates/agent/src/daemon/handover.rs
@@ -2,7 +2,7 @@
 //! temporary folder that both share, and gets the listening socket itself (`SCM_RIGHTS`, unix(7)). So there is one queue of
 //! connections, and none is lost whoever stops taking from it. The tie stays open; its end is the other's end.
 
-use super::control::{admits, read_line, write};
+use super::control::{is_authorized, read_line, write};
 use bellcroft_agent_core::handover::HandoverEvent;
 use bellcroft_net::Stream;
 use serde_json::{json, Value};
@@ -27,16 +27,16 @@
 
 /// The socket of an agent that serves `listen` under `name`, in the folder that its processes share. None where there is
 /// no such folder, or where the kernel chooses the port and no two processes can mean the same one.
-pub fn place(folder: Option<PathBuf>, name: &str, listen: SocketAddr) -> Option<PathBuf> {
+pub fn socket_path(folder: Option<PathBuf>, name: &str, listen: SocketAddr) -> Option<PathBuf> {
     let folder = folder.filter(|folder| folder.is_dir() && listen.port() != 0)?;
     let digest = bellcroft_platform_settings::fnv1a(&format!("{name} {listen}"));
     Some(folder.join(format!("bellcroft-{digest:016x}.sock")))
 }
 
 /// A tie to the other process.
-pub struct Tie(Stream<UnixStream>);
+pub struct HandoverStream(Stream<UnixStream>);
 
-impl Tie {
+impl HandoverStream {
     /// Waits for the other's end.
     async fn ended(self) {
         let mut chunk = [0; 64];
@@ -62,7 +62,9 @@
 /// # Errors
 ///
 /// There is one, and it did not give it.
-pub async fn ask(file: &Path) -> Result<Option<(std::net::TcpListener, Tie)>, String> {
+pub async fn request_listener(
+    file: &Path,
+) -> Result<Option<(std::net::TcpListener, HandoverStream)>, String> {
     let stream = match UnixStream::connect(file).await {
         Ok(stream) => stream,
         // Nobody, or one that has ended without its last words.
@@ -81,20 +83,22 @@
         Err(_) => return Err(format!("the process that serves did not answer within {ANSWER_WITHIN:?}")),
     };
     match descriptor {
-        Some(descriptor) => Ok(Some((std::net::TcpListener::from(descriptor), Tie(Stream::local(stream))))),
+        Some(descriptor) => {
+            Ok(Some((std::net::TcpListener::from(descriptor), HandoverStream(Stream::local(stream)))))
+        }
         None => Err(format!("the process that serves said {}", String::from_utf8_lossy(&line))),
     }
 }
 
 /// The socket over which the next process asks.
-pub struct Heirs {
+pub struct HandoverListener {
     file: PathBuf,
     task: JoinHandle<()>,
     /// The next process has made its own socket in its place.
     pub inherited: std::cell::Cell<bool>,
 }
 
-impl Drop for Heirs {
+impl Drop for HandoverListener {
     fn drop(&mut self) {
         self.task.abort();
         if !self.inherited.get() {
@@ -103,7 +107,7 @@
     }
 }
 
-impl Heirs {
+impl HandoverListener {
     /// Answers whoever asks at `file` with a copy of the listening socket, and tells what becomes known.
     ///
     /// # Errors
@@ -131,7 +135,7 @@
                 let (copy, tell) = (listener.try_clone(), tell.clone());
                 tokio::task::spawn_local(async move {
                     let exchange = async {
-                        if !admits(own, stream.peer_cred()?.uid()) {
+                        if !is_authorized(own, stream.peer_cred()?.uid()) {
                             return Err(io::ErrorKind::PermissionDenied.into());
                         }
                         let (line, _) = read_line(&stream, LINE_MOST).await?;
@@ -143,12 +147,12 @@
                     };
                     if matches!(timeout(ANSWER_WITHIN, exchange).await, Ok(Ok(()))) {
                         tell(HandoverEvent::ListenerRequested);
-                        Tie(Stream::local(stream)).ended().await;
+                        HandoverStream(Stream::local(stream)).ended().await;
                         tell(HandoverEvent::SuccessorExited);
                     }
                 });
             }
         });
-        Ok(Heirs { file, task, inherited: std::cell::Cell::new(false) })
+        Ok(HandoverListener { file, task, inherited: std::cell::Cell::new(false) })
     }
 }
--- a/crates/agent/src/daemon/mod.rs
+++ b/crates/agent/src/daemon/mod.rs
@@ -4,17 +4,17 @@
 pub(crate) mod console;
 pub(crate) mod control;
 pub(crate) mod descriptors;
+pub(crate) mod handover;
 pub(crate) mod notify;
 mod shutdown;
 pub(crate) mod state;
 pub(crate) mod status;
-pub(crate) mod succession;
 
 use crate::control_plane::ControlPlane;
-pub(crate) use crate::control_plane::{variable, Start};
+pub(crate) use crate::control_plane::{variable, StartOptions};
+use crate::downstream::Server;
 use crate::driver::Driver;
 use crate::exit;
-use crate::front::Server;
 use crate::log::say;
 use bellcroft_agent_core::admin::{format_reply, AdminRequest, ClassStats, Stats};
 use bellcroft_agent_core::handover::{Handover, HandoverEvent};
@@ -22,12 +22,12 @@
 use bellcroft_net::Listener;
 use bellcroft_telemetry::families;
 use config::Config;
-pub(crate) use config::Sources;
+pub(crate) use config::ConfigSources;
 use descriptors::DescriptorBudget;
 use notify::Notify;
 use serde_json::{json, Value};
 use shutdown::Successor;
-use state::{Refused, StateDir, Writer};
+use state::{StateDir, StateDirError, StatusWriter};
 use status::{ConfigStatus, Phase, Status};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -44,7 +44,7 @@
 const START_LOOK: Duration = Duration::from_millis(20);
 
 /// Runs an instance until it is told to end.
-pub(crate) fn run(start: Start) -> ExitCode {
+pub(crate) fn run(start: StartOptions) -> ExitCode {
     let started_ms = unix_ms();
     let mut config = match Config::load(&start.sources, variable) {
         Ok(config) => config,
@@ -58,13 +58,13 @@
     let mut state = None;
     if let Some(path) = &config.daemon.state {
         // Before anything else of the first instance's could be touched, its address among them.
-        match StateDir::take(path) {
+        match StateDir::acquire(path) {
             Ok(taken) => state = Some(taken),
-            Err(refused @ Refused::Held(_)) => {
+            Err(refused @ StateDirError::Held(_)) => {
                 say(format_args!("bellcroft: {}: {refused}", path.display()));
                 return ExitCode::from(exit::ALREADY_RUNNING);
             }
-            Err(Refused::Unusable(why)) => problems.push(why),
+            Err(StateDirError::Unusable(why)) => problems.push(why),
         }
     }
     exit::run(serve(config, start, state, problems, started_ms))
@@ -87,7 +87,7 @@
     /// A service manager or a supervisor handed it over.
     Given,
     /// The process that this one is to take the place of gave it.
-    Predecessor(succession::Tie),
+    Predecessor(handover::HandoverStream),
 }
 
 async fn listen(config: &Config, meet: Option<&Path>) -> Result<(Listener, Origin), String> {
@@ -97,7 +97,9 @@
         return Ok((listener, Origin::Given));
     }
     let predecessor = match meet {
-        Some(file) => succession::ask(file).await.map_err(|e| format!("cannot listen on {listen}: {e}"))?,
+        Some(file) => {
+            handover::request_listener(file).await.map_err(|e| format!("cannot listen on {listen}: {e}"))?
+        }
         None => None,
     };
     if let Some((given, tie)) = predecessor {
@@ -124,7 +126,7 @@
     refused: RefCell<Option<String>>,
     /// What went wrong at the start and stays so.
     problems: Vec<String>,
-    writer: RefCell<Option<Writer>>,
+    writer: RefCell<Option<StatusWriter>>,
     /// It was told over its control socket to end; true if another process takes over its listening socket.
     told_to_end: Cell<Option<bool>>,
     told: tokio::sync::Notify,
@@ -217,7 +219,7 @@
             info!("{}: {what}", self.name());
             let (clients, servers) = self.places;
             self.server.set_max_connections(succession.connection_limit(clients));
-            self.driver.hold_at_most(succession.connection_limit(servers));
+            self.driver.set_max_connections(succession.connection_limit(servers));
         }
         self.succession.set(succession);
     }
@@ -237,9 +239,9 @@
                     bad_gateway: counts.failed,
                 })
                 .collect(),
-            upstream_tries: self.driver.tries(),
+            upstream_tries: self.driver.attempts_sent(),
             known_backends: (servers.up + servers.draining) as u64,
-            skipped_backends: self.driver.avoided() as u64,
+            skipped_backends: self.driver.avoided_servers() as u64,
             loads: self.generation.get() - 1,
             load_errors: self.turned_down.get(),
         }
@@ -249,7 +251,7 @@
     fn call(&self, call: AdminRequest) -> String {
         let now = self.driver.clock.now();
         match call {
-            AdminRequest::Ready if self.phase.get() == Phase::Ready && self.server.ready() => {
+            AdminRequest::Ready if self.phase.get() == Phase::Ready && self.server.is_ready() => {
                 format_reply(true, "yes")
             }
             AdminRequest::Ready => format_reply(false, "no"),
@@ -259,7 +261,7 @@
                 if taken {
                     info!("{}: out of service by an operator's call", self.name());
                 }
-                match self.server.duty() {
+                match self.server.serving_state() {
                     ServingState::End { .. } => format_reply(false, "it is ending"),
                     ServingState::Serving | ServingState::Draining(_) => format_reply(true, "draining"),
                 }
@@ -319,7 +321,7 @@
 
     fn take_new(&self) -> Result<(), String> {
         self.control.reload()?;
-        self.server.tally.know(&self.control.config().names.classes);
+        self.server.tally.add_classes(&self.control.config().names.classes);
         Ok(())
     }
 
@@ -358,7 +360,7 @@
 /// Serves until it is told to end, and then until all that came is answered. SIGHUP has the files read again.
 async fn serve(
     config: Config,
-    start: Start,
+    start: StartOptions,
     state: Option<StateDir>,
     mut problems: Vec<String>,
     started_ms: u64,
@@ -367,7 +369,7 @@
     let mut hangup = signal(SignalKind::hangup()).map_err(|e| format!("cannot await SIGHUP: {e}"))?;
     // A state directory has a lock and a supervisor's way of its own.
     let folder = std::env::var_os("TMPDIR").map(PathBuf::from).filter(|_| state.is_none());
-    let meet = succession::place(folder, &config.name, config.listen);
+    let meet = handover::socket_path(folder, &config.name, config.listen);
     let (listener, origin) = listen(&config, meet.as_deref()).await?;
     let given = matches!(origin, Origin::Given);
     let address = listener.local_addr().map_err(|e| format!("cannot listen on {}: {e}", config.listen))?;
@@ -383,7 +385,7 @@
     let server = Server::new(driver.clone(), clients, memory);
     let copy = || listener.as_fd().try_clone_to_owned().ok();
     let (copy, heirs_copy) = (state.as_ref().and_then(|_| copy()), meet.as_ref().and_then(|_| copy()));
-    let writer = state.as_ref().and_then(|state| match Writer::start(state.path()) {
+    let writer = state.as_ref().and_then(|state| match StatusWriter::start(state.path()) {
         Ok(writer) => Some(writer),
         Err(e) => {
             problems.push(format!("no thread writes the status: {e}"));
@@ -431,7 +433,7 @@
     });
     let heir = |instance: &Rc<Instance>, meet: PathBuf, listener: OwnedFd| {
         let told = instance.clone();
-        succession::Heirs::serve(meet, listener, move |news| told.hear(news))
+        handover::HandoverListener::serve(meet, listener, move |news| told.hear(news))
     };
     let heirs = match meet.zip(heirs_copy).map(|(meet, copy)| heir(&instance, meet, copy)) {
         Some(Ok(heirs)) => Some(heirs),
@@ -474,7 +476,7 @@
     let alive_every = instance.notify.watchdog();
     let mut next_alive = alive_every.map(|every| Instant::now() + every);
     loop {
-        if instance.phase.get() == Phase::Starting && instance.driver.ready() {
+        if instance.phase.get() == Phase::Starting && instance.driver.is_ready() {
             if let Some(listener) = listener.take() {
                 accepting = Some(tokio::task::spawn_local(server.clone().accept(listener)));
             }
--- a/crates/agent/src/daemon/shutdown.rs
+++ b/crates/agent/src/daemon/shutdown.rs
@@ -3,7 +3,7 @@
 //! The times are those of [`ShutdownSchedule`]; nothing here reckons one of its own.
 
 use super::Instance;
-use crate::front::Accepting;
+use crate::downstream::Accepting;
 use bellcroft_agent_core::guard::Violation;
 use bellcroft_agent_core::shutdown::ShutdownSchedule;
 use bellcroft_balancer::{Micros, Time};
@@ -103,7 +103,7 @@
             given_up = true;
             quiet = false;
             info!(pending = instance.driver.pending(), "{}: what hangs is given up", instance.name());
-            instance.driver.give_up_all();
+            instance.driver.fail_pending_requests();
             instance.server.refuse_incomplete();
             continue;
         }
--- a/crates/agent/src/daemon/state.rs
+++ b/crates/agent/src/daemon/state.rs
@@ -14,13 +14,13 @@
 use std::time::{Duration, Instant};
 
 /// The status file's name in a state directory.
-pub const STATUS: &str = "status.json";
+pub const STATUS_FILE: &str = "status.json";
 /// The control socket's name.
-pub const CONTROL: &str = "control.sock";
+pub const CONTROL_SOCKET: &str = "control.sock";
 /// The lock's name.
 const LOCK: &str = "lock";
 /// A Unix socket's path has 107 bytes at most (`sun_path`, unix(7)), and the socket is made under a longer name.
-pub const PATH_MOST: usize = 107 - "/control.sock.new".len();
+pub const MAX_PATH_BYTES: usize = 107 - "/control.sock.new".len();
 
 /// A lock that is taken is tried again so often: whoever looks whether it is free holds it for that moment.
 const TRIES: u32 = 10;
@@ -28,19 +28,19 @@
 
 /// Why a state directory is not this process's.
 #[derive(Debug)]
-pub enum Refused {
+pub enum StateDirError {
     /// Another process holds it; its id, where its lock file tells.
     Held(Option<u32>),
     /// It cannot be used, for this reason.
     Unusable(String),
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for StateDirError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::Held(Some(id)) => write!(f, "already running as process {id}"),
-            Refused::Held(None) => write!(f, "already running"),
-            Refused::Unusable(why) => f.write_str(why),
+            StateDirError::Held(Some(id)) => write!(f, "already running as process {id}"),
+            StateDirError::Held(None) => write!(f, "already running"),
+            StateDirError::Unusable(why) => f.write_str(why),
         }
     }
 }
@@ -58,9 +58,9 @@
     /// # Errors
     ///
     /// [`Refused::Held`] if another process has it, in which case nothing has been touched.
-    pub fn take(path: &Path) -> Result<Self, Refused> {
+    pub fn acquire(path: &Path) -> Result<Self, StateDirError> {
         let unusable =
-            |what: &str, e: io::Error| Refused::Unusable(format!("{}: {what}: {e}", path.display()));
+            |what: &str, e: io::Error| StateDirError::Unusable(format!("{}: {what}: {e}", path.display()));
         match DirBuilder::new().recursive(true).mode(0o700).create(path) {
             Ok(()) => {}
             Err(e) => return Err(unusable("cannot be made", e)),
@@ -69,7 +69,7 @@
         let own = rustix::process::geteuid().as_raw();
         if about.uid() != own {
             let why = format!("{}: belongs to user {}, not to user {own}", path.display(), about.uid());
-            return Err(Refused::Unusable(why));
+            return Err(StateDirError::Unusable(why));
         }
         // A lock file that is there is enough where nothing new can be written.
         let file = path.join(LOCK);
@@ -85,7 +85,7 @@
                     tries -= 1;
                     std::thread::sleep(TRY_AGAIN);
                 }
-                Err(TryLockError::WouldBlock) => return Err(Refused::Held(holder(path))),
+                Err(TryLockError::WouldBlock) => return Err(StateDirError::Held(holder(path))),
                 Err(TryLockError::Error(e)) => return Err(unusable("lock", e)),
             }
         }
@@ -106,7 +106,7 @@
 }
 
 /// Whether some process holds this directory.
-pub fn held(path: &Path) -> bool {
+pub fn is_locked(path: &Path) -> bool {
     let Ok(lock) = File::open(path.join(LOCK)) else { return false };
     matches!(lock.try_lock_shared(), Err(TryLockError::WouldBlock))
 }
@@ -119,7 +119,7 @@
 }
 
 /// Replaces a file whole: a reader finds the old one or the new one, and a crash leaves one of them.
-pub fn replace(file: &Path, text: &[u8]) -> io::Result<()> {
+pub fn write_atomically(file: &Path, text: &[u8]) -> io::Result<()> {
     let mut name = file.file_name().unwrap_or_default().to_owned();
     name.push(".new");
     let fresh = file.with_file_name(name);
@@ -138,7 +138,7 @@
 
 /// Writes the status file from a thread of its own, so that a slow disk is waited for by nobody else. What comes while
 /// it waits replaces what has come before: only the latest status is worth writing.
-pub struct Writer {
+pub struct StatusWriter {
     shared: Arc<Shared>,
     thread: JoinHandle<()>,
 }
@@ -169,7 +169,7 @@
 /// A disk that takes longer for one small file is worth telling.
 const SLOW_DISK: Duration = Duration::from_secs(2);
 
-impl Writer {
+impl StatusWriter {
     /// A writer of `dir`'s status file.
     ///
     /// # Errors
@@ -177,12 +177,12 @@
     /// The system has no thread for it.
     pub fn start(dir: &Path) -> io::Result<Self> {
         let shared = Arc::<Shared>::default();
-        let (file, own) = (dir.join(STATUS), shared.clone());
+        let (file, own) = (dir.join(STATUS_FILE), shared.clone());
         let thread = std::thread::Builder::new()
             .name("status".into())
             .stack_size(128 << 10)
             .spawn(move || write_all(&file, &own))?;
-        Ok(Writer { shared, thread })
+        Ok(StatusWriter { shared, thread })
     }
 
     /// Has a status written, in place of one that still waits.
@@ -196,7 +196,7 @@
         let slot = self.shared.slot();
         let slow = slot.busy.is_some_and(|since| since.elapsed() >= SLOW_DISK);
         if slow {
-            Some(format!("{STATUS}: the disk does not answer"))
+            Some(format!("{STATUS_FILE}: the disk does not answer"))
         } else {
             slot.problem.clone()
         }
@@ -226,7 +226,7 @@
         };
         slot.busy = Some(Instant::now());
         drop(slot);
-        let why = replace(file, &text).err().map(|e| format!("{}: {e}", file.display()));
+        let why = write_atomically(file, &text).err().map(|e| format!("{}: {e}", file.display()));
         slot = shared.slot();
         (slot.busy, slot.problem) = (None, why);
     }
@@ -257,16 +257,16 @@
     fn a_directory_is_made_private_and_held_once() {
         let folder = Folder::new("held");
         let path = folder.0.join("a/b");
-        let state = StateDir::take(&path).expect("it is free");
+        let state = StateDir::acquire(&path).expect("it is free");
         assert_eq!(std::fs::metadata(&path).expect("it is there").mode() & 0o777, 0o700);
-        assert!(held(&path));
+        assert!(is_locked(&path));
         let own = std::process::id();
-        assert!(matches!(StateDir::take(&path), Err(Refused::Held(Some(id))) if id == own));
+        assert!(matches!(StateDir::acquire(&path), Err(StateDirError::Held(Some(id))) if id == own));
         drop(state);
-        assert!(!held(&path));
+        assert!(!is_locked(&path));
         // A wider mode is narrowed.
         std::fs::set_permissions(&path, Permissions::from_mode(0o755)).expect("it is ours");
-        let _state = StateDir::take(&path).expect("it is free again");
+        let _state = StateDir::acquire(&path).expect("it is free again");
         assert_eq!(std::fs::metadata(&path).expect("it is there").mode() & 0o777, 0o700);
     }
 
@@ -274,15 +274,15 @@
     fn a_look_at_the_lock_does_not_keep_its_owner_out() {
         let folder = Folder::new("look");
         let path = folder.0.join("state");
-        drop(StateDir::take(&path).expect("it is free"));
+        drop(StateDir::acquire(&path).expect("it is free"));
         let over = std::sync::atomic::AtomicBool::new(false);
         std::thread::scope(|scope| {
             scope.spawn(|| {
                 while !over.load(std::sync::atomic::Ordering::SeqCst) {
-                    held(&path);
+                    is_locked(&path);
                 }
             });
-            let taken: Vec<bool> = (0..200).map(|_| StateDir::take(&path).is_ok()).collect();
+            let taken: Vec<bool> = (0..200).map(|_| StateDir::acquire(&path).is_ok()).collect();
             over.store(true, std::sync::atomic::Ordering::SeqCst);
             assert!(taken.iter().all(|taken| *taken));
         });
@@ -294,7 +294,7 @@
         let file = folder.0.join("file");
         std::fs::write(&file, "x").expect("a file");
         for path in [file.clone(), file.join("below")] {
-            let why = StateDir::take(&path).expect_err("no directory").to_string();
+            let why = StateDir::acquire(&path).expect_err("no directory").to_string();
             assert!(why.contains("file"), "{why}");
         }
     }
@@ -303,19 +303,19 @@
     fn a_file_is_replaced_whole_or_not_at_all() {
         let folder = Folder::new("replace");
         let file = folder.0.join("status.json");
-        replace(&file, b"one").expect("it can be written");
-        replace(&file, b"two").expect("it can be replaced");
+        write_atomically(&file, b"one").expect("it can be written");
+        write_atomically(&file, b"two").expect("it can be replaced");
         assert_eq!(std::fs::read(&file).expect("it is there"), b"two");
         // Where the new one cannot be made, the old one stays.
         std::fs::create_dir(folder.0.join("status.json.new")).expect("a folder in its way");
-        assert!(replace(&file, b"three").is_err());
+        assert!(write_atomically(&file, b"three").is_err());
         assert_eq!(std::fs::read(&file).expect("it is there"), b"two");
     }
 
     #[tokio::test]
     async fn a_problem_is_told_and_forgotten_once_it_is_over() {
         let folder = Folder::new("problem");
-        let writer = Writer::start(&folder.0).expect("a thread");
+        let writer = StatusWriter::start(&folder.0).expect("a thread");
         let obstacle = folder.0.join("status.json.new");
         std::fs::create_dir(&obstacle).expect("a folder in its way");
         let settled = |bad: bool| {
@@ -334,6 +334,6 @@
             let _ = std::fs::remove_dir(&obstacle);
         }
         writer.finish(b"last".to_vec()).await;
-        assert_eq!(std::fs::read(folder.0.join(STATUS)).expect("it is there"), b"last");
+        assert_eq!(std::fs::read(folder.0.join(STATUS_FILE)).expect("it is there"), b"last");
     }
 }
--- a/crates/agent/src/daemon/status.rs
+++ b/crates/agent/src/daemon/status.rs
@@ -26,7 +26,7 @@
 
 impl Phase {
     /// One word for it.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Phase::Starting => "starting",
             Phase::Ready => "ready",
@@ -119,34 +119,34 @@
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum RequestOutcome {
     /// With a server's answer.
     Served,
     /// Refused.
-    Refused,
+    Rejected,
     /// With another error.
     Failed,
     /// Its client had gone.
-    Left,
+    ClientDisconnected,
 }
 
 /// Counts requests by class and outcome.
 #[derive(Debug)]
-pub struct Tally {
+pub struct RequestCounters {
     classes: Rc<RefCell<Vec<(String, Counts)>>>,
     bad: std::cell::Cell<u64>,
 }
 
-impl Tally {
+impl RequestCounters {
     /// A tally of these classes.
     pub fn new(classes: &[String]) -> Self {
-        let tally = Tally { classes: Rc::default(), bad: std::cell::Cell::new(0) };
-        tally.know(classes);
+        let tally = RequestCounters { classes: Rc::default(), bad: std::cell::Cell::new(0) };
+        tally.add_classes(classes);
         tally
     }
 
     /// These classes show from now on, at zero if nothing was counted yet. One that settings drop keeps its counts.
-    pub fn know(&self, classes: &[String]) {
+    pub fn add_classes(&self, classes: &[String]) {
         for name in classes {
             self.place(name);
         }
@@ -162,16 +162,16 @@
     }
 
     /// A request of the class has been taken; how it ended is told to what this returns.
-    pub fn taken(&self, class: &str) -> Owed {
+    pub fn on_request(&self, class: &str) -> PendingGuard {
         let class = self.place(class);
         let counts = &mut self.classes.borrow_mut()[class].1;
         counts.taken += 1;
         counts.open += 1;
-        Owed { classes: self.classes.clone(), class, ended: Ended::Left }
+        PendingGuard { classes: self.classes.clone(), class, ended: RequestOutcome::ClientDisconnected }
     }
 
     /// A request was wrong.
-    pub fn bad(&self) {
+    pub fn on_bad_request(&self) {
         self.bad.set(self.bad.get() + 1);
     }
 
@@ -183,29 +183,29 @@
 
 /// A request that has been counted as taken. If this ends with nothing said, its client had left.
 #[derive(Debug)]
-pub struct Owed {
+pub struct PendingGuard {
     classes: Rc<RefCell<Vec<(String, Counts)>>>,
     class: usize,
-    ended: Ended,
+    ended: RequestOutcome,
 }
 
-impl Owed {
+impl PendingGuard {
     /// How it ended.
-    pub fn ended(mut self, how: Ended) {
+    pub fn finish(mut self, how: RequestOutcome) {
         self.ended = how;
     }
 }
 
-impl Drop for Owed {
+impl Drop for PendingGuard {
     fn drop(&mut self) {
         let mut classes = self.classes.borrow_mut();
         let counts = &mut classes[self.class].1;
         counts.open -= 1;
         match self.ended {
-            Ended::Served => counts.served += 1,
-            Ended::Refused => counts.refused += 1,
-            Ended::Failed => counts.failed += 1,
-            Ended::Left => counts.left += 1,
+            RequestOutcome::Served => counts.served += 1,
+            RequestOutcome::Rejected => counts.refused += 1,
+            RequestOutcome::Failed => counts.failed += 1,
+            RequestOutcome::ClientDisconnected => counts.left += 1,
         }
     }
 }
@@ -216,16 +216,16 @@
 
     #[test]
     fn each_request_is_counted_once_whatever_becomes_of_it() {
-        let tally = Tally::new(&["a".to_owned(), "b".to_owned()]);
-        let first = tally.taken("b");
-        let second = tally.taken("b");
-        tally.taken("b").ended(Ended::Refused);
+        let tally = RequestCounters::new(&["a".to_owned(), "b".to_owned()]);
+        let first = tally.on_request("b");
+        let second = tally.on_request("b");
+        tally.on_request("b").finish(RequestOutcome::Rejected);
         assert_eq!(tally.counts().0[1].1, Counts { taken: 3, open: 2, refused: 1, ..Counts::default() });
-        first.ended(Ended::Served);
+        first.finish(RequestOutcome::Served);
         drop(second);
         let expected = Counts { taken: 3, served: 1, refused: 1, left: 1, ..Counts::default() };
         assert_eq!(tally.counts().0, [("a".to_owned(), Counts::default()), ("b".to_owned(), expected)]);
-        drop(tally.taken("c"));
+        drop(tally.on_request("c"));
         assert_eq!(tally.counts().0[2].1.left, 1, "a class that new settings bring");
     }
 }
--- a/crates/agent/src/discovery/mod.rs
+++ b/crates/agent/src/discovery/mod.rs
@@ -42,7 +42,7 @@
     }
 
     /// It is asked like this from its next call on.
-    pub fn retune(&mut self, policy: WatchPolicy) {
+    pub fn reconfigure(&mut self, policy: WatchPolicy) {
         self.policy = policy;
     }
 
@@ -52,7 +52,7 @@
     }
 
     /// Discovery has moved: calls to the old address, and their connections, end.
-    pub fn relocate(&mut self, address: SocketAddr) {
+    pub fn set_address(&mut self, address: SocketAddr) {
         self.address = address;
         for call in [self.watch.take(), self.fetch.take()].into_iter().flatten() {
             call.abort();
@@ -61,7 +61,7 @@
 
     /// Begins a watch for what is newer than `seq`, or ends the one there is. With no `seq` it begins with the
     /// whole list.
-    pub fn follow(&mut self, driver: &Rc<Driver>, active: bool, seq: Option<u64>) {
+    pub fn watch(&mut self, driver: &Rc<Driver>, active: bool, seq: Option<u64>) {
         if let Some(watch) = self.watch.take() {
             watch.abort();
         }
--- a/crates/agent/src/front/connection.rs
+++ b/crates/agent/src/downstream/connection.rs
@@ -1,6 +1,6 @@
 //! What a client's connection is doing, as its framing and its owner both know it, and when its client has gone.
 
-use crate::telemetry::Owing;
+use crate::telemetry::PendingTimer;
 use bellcroft_agent_core::body_limits::ProgressTimeout;
 use bellcroft_agent_core::guard::ConnectionState;
 use bellcroft_balancer::Time;
@@ -29,7 +29,7 @@
     pub(super) lingers: Cell<Option<Instant>>,
     pub(super) waker: RefCell<Option<Waker>>,
     /// The answer whose last byte has not left.
-    owing: Cell<Option<Owing>>,
+    owing: Cell<Option<PendingTimer>>,
     /// A request has been answered over it.
     used: Cell<bool>,
 }
@@ -111,7 +111,7 @@
     }
 
     /// The present request's answer is the next that is written.
-    pub fn owe(&self, owing: Owing) {
+    pub fn owe(&self, owing: PendingTimer) {
         self.owing.set(Some(owing));
     }
 
--- a/crates/agent/src/front/exchange.rs
+++ b/crates/agent/src/downstream/exchange.rs
@@ -5,8 +5,8 @@
 use super::request::header_text;
 use super::response::{plain_response, response_for};
 use super::{Server, LAST_RESPONSE_SHARE};
-use crate::daemon::status::Ended;
-use crate::driver::{Answer, Arrival, Driver};
+use crate::daemon::status::RequestOutcome;
+use crate::driver::{Driver, FinalResponse, IncomingRequest};
 use bellcroft_balancer::RequestId;
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CONNECTION};
@@ -33,7 +33,7 @@
             }
             // Who cannot word a request is not trusted with the rest of the connection.
             Err(answer) => {
-                self.tally.bad();
+                self.tally.on_bad_request();
                 if let Some(telemetry) = &self.driver.telemetry {
                     telemetry.bad();
                 }
@@ -59,7 +59,7 @@
             ));
         }
         if request.uri().path() == "/ready" {
-            return Ok(if self.ready() {
+            return Ok(if self.is_ready() {
                 plain_response(StatusCode::OK, "ready")
             } else {
                 plain_response(StatusCode::SERVICE_UNAVAILABLE, "not ready")
@@ -75,13 +75,13 @@
         let Some(open) = self.claim_id(&arrival) else {
             return Err(plain_response(StatusCode::CONFLICT, "a request with this X-Request-ID is open"));
         };
-        let (mut deadline, wait) = (arrival.deadline, arrival.wait);
-        let mut client_deadline = arrival.client_waits;
+        let (mut deadline, wait) = (arrival.deadline, arrival.response_timeout);
+        let mut client_deadline = arrival.client_deadline;
         let upload = arrival.body.upload().cloned();
         if upload.is_none() {
             client.whole();
         }
-        let counted = self.tally.taken(&self.driver.class_name(arrival.class));
+        let counted = self.tally.on_request(&self.driver.class_name(arrival.class));
         let (id, mut answer, owing) = self.driver.submit(arrival);
         // When the client leaves, hyper drops this future, and the guard tells the balancer.
         let _owed = PendingGuard(&self.driver, id);
@@ -90,12 +90,12 @@
             tokio::select! {
                 biased;
                 answer = &mut answer => early = Some(Ok(answer)),
-                () = upload.ended() => {
-                    if let Some(whole) = upload.whole() {
+                () = upload.finished() => {
+                    if let Some(whole) = upload.completed_at() {
                         client.whole();
                         deadline = whole + wait;
                         client_deadline = deadline;
-                        self.driver.whole(id, deadline);
+                        self.driver.on_body_complete(id, deadline);
                     }
                 }
             }
@@ -108,14 +108,18 @@
         let (how, mut response) = match answer {
             Ok(Ok(answer)) => (
                 match answer {
-                    Answer::Served(..) => Ended::Served,
-                    Answer::Refused(_) => Ended::Refused,
-                    Answer::Failed(_) => Ended::Failed,
+                    FinalResponse::Served(..) => RequestOutcome::Served,
+                    FinalResponse::Rejected(_) => RequestOutcome::Rejected,
+                    FinalResponse::Failed(_) => RequestOutcome::Failed,
                 },
                 response_for(answer),
             ),
-            Ok(Err(_)) => (Ended::Failed, plain_response(StatusCode::BAD_GATEWAY, "no answer was decided")),
-            Err(_) => (Ended::Failed, plain_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time")),
+            Ok(Err(_)) => {
+                (RequestOutcome::Failed, plain_response(StatusCode::BAD_GATEWAY, "no answer was decided"))
+            }
+            Err(_) => {
+                (RequestOutcome::Failed, plain_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time"))
+            }
         };
         response.body_mut().ends(Ending::new(counted, owing, how, open));
         Ok(response)
@@ -129,7 +133,7 @@
 
     /// Marks a request's id as open; none if it is already. Ids are new with every request, and a second one would
     /// disturb the first.
-    fn claim_id(&self, arrival: &Arrival) -> Option<OpenId> {
+    fn claim_id(&self, arrival: &IncomingRequest) -> Option<OpenId> {
         let id: Box<str> = header_text(&arrival.headers, "x-request-id").unwrap_or_default().into();
         let new = self.ids.borrow_mut().insert(id.clone());
         new.then(|| OpenId(self.ids.clone(), id))
@@ -150,6 +154,6 @@
 
 impl Drop for PendingGuard<'_> {
     fn drop(&mut self) {
-        self.0.gone(self.1);
+        self.0.on_client_disconnected(self.1);
     }
 }
--- a/crates/agent/src/front/mod.rs
+++ b/crates/agent/src/downstream/mod.rs
@@ -9,7 +9,7 @@
 mod request;
 mod response;
 
-use crate::daemon::status::Tally;
+use crate::daemon::status::RequestCounters;
 use crate::driver::Driver;
 use crate::request_log::CloseReason;
 use bellcroft_agent_core::body_limits::BufferPool;
@@ -68,7 +68,7 @@
 pub struct Server {
     driver: Rc<Driver>,
     /// What became of the requests.
-    pub tally: Tally,
+    pub tally: RequestCounters,
     service: Cell<Service>,
     /// Told of each change of the above.
     changed: watch::Sender<()>,
@@ -91,7 +91,7 @@
     /// Serves at most `connections` at a time.
     pub fn new(driver: Rc<Driver>, connections: usize, memory: usize) -> Rc<Self> {
         Rc::new(Server {
-            tally: Tally::new(&driver.names().classes),
+            tally: RequestCounters::new(&driver.names().classes),
             driver,
             service: Cell::default(),
             changed: watch::Sender::new(()),
@@ -179,13 +179,13 @@
     }
 
     /// What it is there for at present.
-    pub fn duty(&self) -> ServingState {
+    pub fn serving_state(&self) -> ServingState {
         self.service.get().state()
     }
 
     /// Whether it says yes to those who ask if they may send it clients.
-    pub fn ready(&self) -> bool {
-        self.driver.ready() && self.service.get().is_ready()
+    pub fn is_ready(&self) -> bool {
+        self.driver.is_ready() && self.service.get().is_ready()
     }
 
     /// When connections that are idle close for the sake of its duty, if they do.
@@ -312,5 +312,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/front.rs"]
+#[path = "../../tests/unit/downstream.rs"]
 mod tests;
--- a/crates/agent/src/front/reply.rs
+++ b/crates/agent/src/downstream/reply.rs
@@ -2,8 +2,8 @@
 
 use super::connection::ClientConnection;
 use super::OpenId;
-use crate::daemon::status::{self, Ended};
-use crate::telemetry::Owing;
+use crate::daemon::status::{self, RequestOutcome};
+use crate::telemetry::PendingTimer;
 use crate::upstream::Relay;
 use bellcroft_telemetry::Over;
 use bytes::Bytes;
@@ -15,29 +15,34 @@
 
 /// A request whose answer is on its way to its client: it is counted, and its id is free again, once that is out.
 pub struct Ending {
-    counted: Option<status::Owed>,
-    owing: Option<Owing>,
-    how: Ended,
+    counted: Option<status::PendingGuard>,
+    owing: Option<PendingTimer>,
+    how: RequestOutcome,
     _id: OpenId,
 }
 
 impl Ending {
     /// An answer that is decided and ends like this, if it ends whole.
-    pub fn new(counted: status::Owed, owing: Option<Owing>, how: Ended, id: OpenId) -> Self {
+    pub fn new(
+        counted: status::PendingGuard,
+        owing: Option<PendingTimer>,
+        how: RequestOutcome,
+        id: OpenId,
+    ) -> Self {
         Ending { counted: Some(counted), owing, how, _id: id }
     }
 
     /// The answer is over: `how` it ended; its last byte is on its way to the socket.
-    fn over(&mut self, how: Ended, client: &ClientConnection) {
+    fn over(&mut self, how: RequestOutcome, client: &ClientConnection) {
         if let Some(counted) = self.counted.take() {
-            counted.ended(how);
+            counted.finish(how);
         }
         if let Some(mut owing) = self.owing.take() {
-            owing.decided(match how {
-                Ended::Served => Over::Served,
-                Ended::Refused => Over::Refused,
-                Ended::Failed => Over::Failed,
-                Ended::Left => Over::Left,
+            owing.set_outcome(match how {
+                RequestOutcome::Served => Over::Served,
+                RequestOutcome::Rejected => Over::Refused,
+                RequestOutcome::Failed => Over::Failed,
+                RequestOutcome::ClientDisconnected => Over::Left,
             });
             client.owe(owing);
         }
@@ -82,7 +87,7 @@
         }
     }
 
-    fn over(&mut self, how: Option<Ended>) {
+    fn over(&mut self, how: Option<RequestOutcome>) {
         if let (Some(mut ending), Some(client)) = (self.ending.take(), &self.client) {
             let how = how.unwrap_or(ending.how);
             ending.over(how, client);
@@ -114,7 +119,7 @@
         match &next {
             Poll::Ready(None) => self.over(None),
             // The client can tell: its answer ends short of its length, or with no last chunk.
-            Poll::Ready(Some(Err(_))) => self.over(Some(Ended::Failed)),
+            Poll::Ready(Some(Err(_))) => self.over(Some(RequestOutcome::Failed)),
             Poll::Ready(Some(Ok(_))) if self.is_end_stream() => self.over(None),
             Poll::Ready(Some(Ok(_))) | Poll::Pending => {}
         }
--- a/crates/agent/src/front/request.rs
+++ b/crates/agent/src/downstream/request.rs
@@ -3,8 +3,8 @@
 use super::reply::Reply;
 use super::response::plain_response;
 use super::Server;
-use crate::driver::{Arrival, Given, COMING_MOST};
-use crate::passing::{Kept, Upload};
+use crate::driver::{IncomingRequest, RequestBody, MAX_UPLOAD_TIME};
+use crate::streaming_body::{ReplayBuffer, StreamingBody};
 use crate::upstream::{forwarded, join};
 use bellcroft_agent_core::body_limits::{self, ForwardingMode, MAX_BODY_BYTES};
 use bellcroft_agent_core::reconfigure::{ClassSignature, IncompatibleClass};
@@ -26,7 +26,7 @@
 
 impl Server {
     /// Reads a request, whole or as much of it as is taken before it goes on; the error is the answer to a bad one.
-    pub(super) async fn read(&self, request: Request<Incoming>) -> Result<Arrival, Response<Reply>> {
+    pub(super) async fn read(&self, request: Request<Incoming>) -> Result<IncomingRequest, Response<Reply>> {
         let bad = |why: &str| plain_response(StatusCode::BAD_REQUEST, why);
         let (head, body) = request.into_parts();
         let names = self.driver.names();
@@ -81,16 +81,16 @@
         let query = head.uri.query().unwrap_or_default();
         let key = query.split('&').find_map(|pair| pair.strip_prefix("key="));
         let cost = header_text(&head.headers, "x-cost").and_then(|cost| cost.parse::<f64>().ok());
-        Ok(Arrival {
+        Ok(IncomingRequest {
             class,
             tenant,
             key: key.map(|key| KeyId(fnv1a(key))),
             cost_hint: cost.filter(|us| *us > 0.0 && us.is_finite()).map(|us| Micros::from_ms(us / 1e3)),
-            repeat: header_text(&head.headers, "x-retried") == Some("1"),
-            deadline: whole + if body.upload().is_some() { COMING_MOST } else { wait - room },
-            wait: wait - room,
-            whole,
-            client_waits: whole + wait,
+            is_retry: header_text(&head.headers, "x-retried") == Some("1"),
+            deadline: whole + if body.upload().is_some() { MAX_UPLOAD_TIME } else { wait - room },
+            response_timeout: wait - room,
+            received_at: whole,
+            client_deadline: whole + wait,
             request_id: header_text(&head.headers, "x-request-id").unwrap_or_default().into(),
             route,
             headers: forwarded(&head.headers),
@@ -101,22 +101,22 @@
     }
 
     /// Takes a body whole, or the begin of one that is passed on as it comes.
-    async fn read_body_start(&self, mut body: Incoming) -> Result<Given, Response<Reply>> {
+    async fn read_body_start(&self, mut body: Incoming) -> Result<RequestBody, Response<Reply>> {
         let length = body.size_hint().exact();
         let way = body_limits::forwarding_mode(length).map_err(|_| {
             let text = format!("a body holds at most {} MiB", MAX_BODY_BYTES >> 20);
             plain_response(StatusCode::PAYLOAD_TOO_LARGE, &text)
         })?;
-        let kept = Kept::grant(&self.store);
+        let kept = ReplayBuffer::acquire(&self.store);
         // What says of itself that it is short is taken whole however little memory there is: it can be tried again.
         let most = match (way, length) {
             (ForwardingMode::Buffered, Some(length)) => length as usize,
-            (ForwardingMode::Buffered | ForwardingMode::Streamed, _) => kept.most(),
+            (ForwardingMode::Buffered | ForwardingMode::Streamed, _) => kept.capacity(),
         };
         let (mut parts, mut gathered) = (Vec::new(), 0);
         loop {
             match body.frame().await {
-                None => return Ok(Given::Whole(join(parts))),
+                None => return Ok(RequestBody::Complete(join(parts))),
                 Some(Err(_)) => {
                     return Err(plain_response(StatusCode::BAD_REQUEST, "the body did not come whole"))
                 }
@@ -127,7 +127,7 @@
                 }
             }
             if gathered > most || (way == ForwardingMode::Streamed && gathered >= most) {
-                return Ok(Given::Coming(Upload::new(length, join(parts), kept, body)));
+                return Ok(RequestBody::Streaming(StreamingBody::new(length, join(parts), kept, body)));
             }
         }
     }
--- a/crates/agent/src/front/response.rs
+++ b/crates/agent/src/downstream/response.rs
@@ -1,16 +1,16 @@
 //! How answers are worded to a client.
 
 use super::reply::Reply;
-use crate::driver::Answer;
+use crate::driver::FinalResponse;
 use crate::upstream::Content;
 use bytes::Bytes;
 use hyper::header::{HeaderName, HeaderValue, CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
 /// The answer to a client that a decision makes.
-pub(super) fn response_for(answer: Answer) -> Response<Reply> {
+pub(super) fn response_for(answer: FinalResponse) -> Response<Reply> {
     match answer {
-        Answer::Served(kind, content) => {
+        FinalResponse::Served(kind, content) => {
             let mut response = Response::new(match content {
                 Content::Whole(body) => Reply::whole(body),
                 Content::Passing(relay) => Reply::passing(relay),
@@ -18,7 +18,7 @@
             response.headers_mut().extend(kind.map(|kind| (CONTENT_TYPE, kind)));
             response
         }
-        Answer::Refused(after) => {
+        FinalResponse::Rejected(after) => {
             let mut response =
                 plain_response(StatusCode::TOO_MANY_REQUESTS, "refused; trying again is harmless");
             let after =
@@ -26,7 +26,7 @@
             response.headers_mut().extend(after.map(|after: HeaderValue| (RETRY_AFTER, after)));
             response
         }
-        Answer::Failed(status) => plain_response(status, "failed"),
+        FinalResponse::Failed(status) => plain_response(status, "failed"),
     }
 }
 
--- a/crates/agent/src/driver.rs
+++ b/crates/agent/src/driver/mod.rs
@@ -11,10 +11,10 @@
 use crate::discovery::monitor::{DiscoveryStatus, Monitor};
 use crate::discovery::policy::WatchPolicy;
 use crate::discovery::Discovery;
-use crate::passing::{Load, Upload};
-use crate::peers::{named, Decisions, Peers};
+use crate::peers::{name_hash, Decisions, Peers};
 use crate::request_log::{AnswerReason, RequestLog};
-use crate::telemetry::{FirstByte, Owing, NO_ROUTE};
+use crate::streaming_body::{OutgoingBody, StreamingBody};
+use crate::telemetry::{FirstByte, PendingTimer, NO_ROUTE};
 use crate::upstream::{AttemptLimits, AttemptProgress, AttemptResult, Content, Upstream};
 use bellcroft_agent_core::clock_skew::ClockSkew;
 use bellcroft_agent_core::guard::{AttemptHistory, AttemptWindow, Guard, ServerGroups};
@@ -45,38 +45,38 @@
 const FIRST_ANSWER_TIME: Micros = Micros(500_000);
 
 /// Idle connections are looked through this often.
-const SWEEP: Duration = Duration::from_millis(500);
+const IDLE_SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Entries of the list that are left out are told once each, this many at most: a list may bring new ones for ever.
 const MAX_REPORTED_ENTRIES: usize = 200;
 
 /// A server's name and number are kept this long after it has left: longer than the balancer remembers the number,
 /// so that a name that shares it by chance is not taken for the one that left.
-const NAMES_KEPT: Duration = Duration::from_secs(30);
+const SERVER_NAME_RETENTION: Duration = Duration::from_secs(30);
 
 /// A request's body.
-pub enum Given {
+pub enum RequestBody {
     /// It has come whole.
-    Whole(Bytes),
+    Complete(Bytes),
     /// It is coming, and passed on as it comes.
-    Coming(Rc<Upload>),
+    Streaming(Rc<StreamingBody>),
 }
 
-impl Given {
+impl RequestBody {
     /// One that is still coming.
-    pub fn upload(&self) -> Option<&Rc<Upload>> {
+    pub fn upload(&self) -> Option<&Rc<StreamingBody>> {
         match self {
-            Given::Whole(_) => None,
-            Given::Coming(upload) => Some(upload),
+            RequestBody::Complete(_) => None,
+            RequestBody::Streaming(upload) => Some(upload),
         }
     }
 }
 
 /// The longest that a request's body may be on its way; it must keep coming all that time.
-pub const COMING_MOST: Duration = Duration::from_secs(900);
+pub const MAX_UPLOAD_TIME: Duration = Duration::from_secs(900);
 
 /// A request as the application sent it.
-pub struct Arrival {
+pub struct IncomingRequest {
     /// Its method.
     pub method: Method,
     /// Its path and query.
@@ -84,7 +84,7 @@
     /// The headers that go on.
     pub headers: HeaderMap,
     /// Its body.
-    pub body: Given,
+    pub body: RequestBody,
     /// Its class.
     pub class: ClassId,
     /// Its tenant.
@@ -94,15 +94,15 @@
     /// A guess at its work.
     pub cost_hint: Option<Micros>,
     /// The client says that it is a repeat.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// When its answer must be on its way; of one that is coming, when it must have come.
     pub deadline: Instant,
     /// How long its answer may take from its last byte on.
-    pub wait: Duration,
+    pub response_timeout: Duration,
     /// When it had come whole, or as much of it as is taken before it goes on.
-    pub whole: Instant,
+    pub received_at: Instant,
     /// Until when its client waits.
-    pub client_waits: Instant,
+    pub client_deadline: Instant,
     /// Its `X-Request-ID`.
     pub request_id: Rc<str>,
     /// Its route, as it was when it came.
@@ -110,19 +110,19 @@
 }
 
 /// The one final answer to a request.
-pub enum Answer {
+pub enum FinalResponse {
     /// A backend's answer: its content type and its body.
     Served(Option<HeaderValue>, Content),
     /// Refused by the balancer; trying again is harmless, and makes sense after this long.
-    Refused(Option<Micros>),
+    Rejected(Option<Micros>),
     /// Failed, with no promise.
     Failed(StatusCode),
 }
 
 /// A request that is owed its answer.
-struct Open {
-    answer: oneshot::Sender<Answer>,
-    parts: Rc<Arrival>,
+struct PendingRequest {
+    answer: oneshot::Sender<FinalResponse>,
+    parts: Rc<IncomingRequest>,
     sends: u32,
     history: AttemptHistory,
     timed_out: bool,
@@ -141,7 +141,7 @@
     actions: Vec<Action>,
     timers: BinaryHeap<Reverse<(Time, u64)>>,
     next_request: u64,
-    open: HashMap<RequestId, Open>,
+    open: HashMap<RequestId, PendingRequest>,
     attempts: HashMap<(RequestId, u32), Rc<AttemptProgress>>,
     servers: HashMap<String, ServerId>,
     names: HashMap<ServerId, String>,
@@ -272,7 +272,7 @@
             // The decisions take a list that is pushed to come by itself; over sockets nothing does.
             if state.discovery.follows_by_itself() {
                 let seq = state.known_version();
-                state.discovery.follow(&driver, true, seq);
+                state.discovery.watch(&driver, true, seq);
             }
         }
         driver.pump();
@@ -285,7 +285,7 @@
     }
 
     /// Whether there is a backend to send to.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         !self.state.borrow().up.is_empty()
     }
 
@@ -321,7 +321,7 @@
     /// # Errors
     ///
     /// The decisions cannot work with them; nothing has changed then.
-    pub fn retune(self: &Rc<Self>, newer: &Config) -> Result<(), SettingsError> {
+    pub fn reconfigure(self: &Rc<Self>, newer: &Config) -> Result<(), SettingsError> {
         newer.settings.check()?;
         let mut state = self.state.borrow_mut();
         let (old, now) = (self.names(), self.clock.now());
@@ -350,14 +350,14 @@
         state.balancer.reconfigure(settings, &changed)?;
         let followed = state.discovery.follows_by_itself();
         let watch_policy = watch_policy(state.balancer.settings());
-        state.discovery.retune(watch_policy);
+        state.discovery.reconfigure(watch_policy);
         if followed != state.discovery.follows_by_itself() {
             let seq = state.known_version();
-            state.discovery.follow(self, true, seq);
+            state.discovery.watch(self, true, seq);
         }
         state.recent.resize_with(book.len(), Recent::default);
         changed.iter().for_each(|(place, _)| state.recent[*place] = Recent::default());
-        self.upstream.retune(
+        self.upstream.reconfigure(
             Duration::from_micros(newer.names.connect_timeout.0),
             Duration::from_micros(newer.names.keepalive.0),
             newer.names.report_fields.clone(),
@@ -393,12 +393,12 @@
     }
 
     /// Gives every request that has no answer a failure, for the process ends before their deadlines.
-    pub fn give_up_all(self: &Rc<Self>) {
+    pub fn fail_pending_requests(self: &Rc<Self>) {
         {
             let mut state = self.state.borrow_mut();
             let open: Vec<RequestId> = state.open.keys().copied().collect();
             for request in open {
-                let answer = Answer::Failed(StatusCode::GATEWAY_TIMEOUT);
+                let answer = FinalResponse::Failed(StatusCode::GATEWAY_TIMEOUT);
                 state.answer(request, answer, AnswerReason::ProcessEnds);
                 state.queue.push_back(Event::ClientDisconnected { request });
             }
@@ -407,18 +407,18 @@
     }
 
     /// Servers of the list that get nothing at present, or less than their share.
-    pub fn avoided(&self) -> usize {
+    pub fn avoided_servers(&self) -> usize {
         self.state.borrow().balancer.avoided_servers(self.clock.now())
     }
 
     /// Attempts that were written whole to a server.
-    pub fn tries(&self) -> u64 {
-        self.upstream.tries()
+    pub fn attempts_sent(&self) -> u64 {
+        self.upstream.attempts_sent()
     }
 
     /// From now on it may hold so many connections to servers.
-    pub fn hold_at_most(&self, connections: usize) {
-        self.upstream.hold_at_most(connections);
+    pub fn set_max_connections(&self, connections: usize) {
+        self.upstream.set_max_connections(connections);
     }
 
     /// Connections to servers, and how many there may be.
@@ -429,8 +429,8 @@
     /// Hands a request to the balancer; its answer comes over the channel. Whoever writes that answer tells the third.
     pub fn submit(
         self: &Rc<Self>,
-        arrival: Arrival,
-    ) -> (RequestId, oneshot::Receiver<Answer>, Option<Owing>) {
+        arrival: IncomingRequest,
+    ) -> (RequestId, oneshot::Receiver<FinalResponse>, Option<PendingTimer>) {
         let (answer, receiver) = oneshot::channel();
         let (id, owing) = {
             let mut state = self.state.borrow_mut();
@@ -451,7 +451,7 @@
                 tenant: arrival.tenant,
                 key: arrival.key,
                 cost_hint: arrival.cost_hint,
-                is_retry: arrival.repeat,
+                is_retry: arrival.is_retry,
                 streaming: arrival.body.upload().is_some(),
                 limits,
                 // What is coming can go one way at a time.
@@ -466,21 +466,22 @@
             };
             let owing = self.telemetry.clone().map(|telemetry| {
                 let (class, route) = (arrival.class.0, route_of(&arrival));
-                let until = self.clock.at(arrival.client_waits);
+                let until = self.clock.at(arrival.client_deadline);
                 telemetry.taken(id.0, class, arrival.tenant.map(|t| t.0), route, until);
-                Owing::new(telemetry, self.clock, id, class, arrival.whole)
+                PendingTimer::new(telemetry, self.clock, id, class, arrival.received_at)
             });
             let history = AttemptHistory::new(effect.unwrap_or(RetrySafety::AtMostOnce));
-            let open = Open { answer, parts: Rc::new(arrival), sends: 0, history, timed_out: false };
+            let open =
+                PendingRequest { answer, parts: Rc::new(arrival), sends: 0, history, timed_out: false };
             state.open.insert(id, open);
             if ending {
                 // Nothing of it has gone out, and nothing will.
-                state.answer(id, Answer::Refused(None), AnswerReason::ProcessEnds);
+                state.answer(id, FinalResponse::Rejected(None), AnswerReason::ProcessEnds);
             } else {
                 state.queue.push_back(Event::Request(request));
             }
             if let Some(peers) = &*self.peers.borrow() {
-                peers.asked();
+                peers.on_request_received();
             }
             (id, owing)
         };
@@ -489,7 +490,7 @@
     }
 
     /// The last byte of a request that was coming has come; its answer must be on its way by `deadline`.
-    pub fn whole(self: &Rc<Self>, id: RequestId, deadline: Instant) {
+    pub fn on_body_complete(self: &Rc<Self>, id: RequestId, deadline: Instant) {
         {
             let mut state = self.state.borrow_mut();
             let Some(sends) = state.open.get(&id).map(|open| open.sends) else { return };
@@ -507,7 +508,7 @@
 
     /// The client no longer waits, or must not wait longer. Attempts that are out whole go on, and their
     /// outcomes still count; what has not been written stays unwritten.
-    pub fn gone(self: &Rc<Self>, id: RequestId) {
+    pub fn on_client_disconnected(self: &Rc<Self>, id: RequestId) {
         {
             let mut state = self.state.borrow_mut();
             let Some(open) = state.open.remove(&id) else { return };
@@ -579,12 +580,12 @@
     }
 
     /// Discovery has moved: the new one is watched from its whole list on. What is known stands until that comes.
-    pub fn relocate(self: &Rc<Self>, address: SocketAddr) {
+    pub fn set_discovery_address(self: &Rc<Self>, address: SocketAddr) {
         self.state.borrow_mut().ask_anew(self, address);
     }
 
     /// Looks for other instances from now on, by way of these.
-    pub fn join(&self, peers: Rc<Peers>) {
+    pub fn set_peers(&self, peers: Rc<Peers>) {
         *self.peers.borrow_mut() = Some(peers);
         self.waking.set(Some(StallDetector::new(self.clock.now())));
     }
@@ -617,7 +618,7 @@
 
     /// Wakes the balancer when a timer is due, and looks after idle connections; never ends.
     pub async fn run(self: Rc<Self>) {
-        let mut sweep = Instant::now() + SWEEP;
+        let mut sweep = Instant::now() + IDLE_SWEEP_INTERVAL;
         loop {
             let next = self.state.borrow().timers.peek().map(|Reverse((at, _))| self.clock.instant(*at));
             let waits = self.waking.get().and_then(|waking| waking.waits_until(self.clock.now()));
@@ -642,7 +643,7 @@
             self.pump();
             if Instant::now() >= sweep {
                 self.upstream.sweep();
-                sweep = Instant::now() + SWEEP;
+                sweep = Instant::now() + IDLE_SWEEP_INTERVAL;
             }
         }
     }
@@ -659,7 +660,7 @@
             }
             state.actions = actions;
             if let Some(peers) = &*self.peers.borrow() {
-                peers.saw(state.balancer.signals());
+                peers.record_responses(state.balancer.signals());
             }
         }
     }
@@ -676,14 +677,14 @@
             }
             Action::Shed { request, retry_after } => {
                 if let Some(peers) = &*self.peers.borrow() {
-                    peers.refused();
+                    peers.on_request_rejected();
                 }
-                state.answer(request, Answer::Refused(retry_after), AnswerReason::Refused);
+                state.answer(request, FinalResponse::Rejected(retry_after), AnswerReason::Refused);
             }
             Action::Fail { request } => {
                 let late = state.open.get(&request).is_some_and(|open| open.timed_out);
                 let status = if late { StatusCode::GATEWAY_TIMEOUT } else { StatusCode::BAD_GATEWAY };
-                state.answer(request, Answer::Failed(status), AnswerReason::Failed);
+                state.answer(request, FinalResponse::Failed(status), AnswerReason::Failed);
             }
             Action::SetTimer { at, timer } => {
                 let first = state.timers.peek().is_none_or(|Reverse((next, _))| at < *next);
@@ -696,7 +697,7 @@
             Action::CloseIdle { server } => self.upstream.close_idle(server),
             Action::Watch { active } => {
                 let seq = state.known_version();
-                state.discovery.follow(self, active, seq);
+                state.discovery.watch(self, active, seq);
             }
             Action::FetchEndpoints => state.discovery.fetch(self),
             // A way to talk to each other is there where the operator's file has one.
@@ -704,7 +705,7 @@
                 let server = payload.try_into().map(u32::from_be_bytes).map(ServerId);
                 let name = server.ok().and_then(|server| state.names.get(&server));
                 if let (Some(peers), Some(to), Some(name)) = (&*self.peers.borrow(), to, name) {
-                    peers.tell(to, name);
+                    peers.send_hint(to, name);
                 }
             }
             Action::Log { text } => info!(target: "bellcroft::decisions", "{text}"),
@@ -744,7 +745,7 @@
                 start_by: self.clock.instant(window.start_by),
                 end_by: self.clock.instant(window.end_by),
             },
-            max_timeout: upload.as_ref().map(|_| open.parts.wait),
+            max_timeout: upload.as_ref().map(|_| open.parts.response_timeout),
             connect: route.and_then(|route| route.connect_timeout).map(time),
             first_byte: route.and_then(|route| route.first_byte_timeout).map(time),
         };
@@ -760,8 +761,9 @@
         tokio::task::spawn_local(async move {
             let ended = driver.upstream.attempt(server, outgoing, &limits, &progress).await;
             // The backend's time begins with the last byte of what it is to do.
-            let sent =
-                upload.as_ref().map_or(sent, |upload| upload.whole().unwrap_or_else(Instant::now).max(sent));
+            let sent = upload
+                .as_ref()
+                .map_or(sent, |upload| upload.completed_at().unwrap_or_else(Instant::now).max(sent));
             driver.request_log.attempt_ended(&id, attempt, ended.outcome, sent.elapsed());
             driver.ended((request, attempt), (class, server), ended, sent);
         });
@@ -786,13 +788,15 @@
             }
             state.attempts.remove(&key);
             if let Some((kind, body)) = ended.answer {
-                state.answer(key.0, Answer::Served(kind, body), AnswerReason::Served);
+                state.answer(key.0, FinalResponse::Served(kind, body), AnswerReason::Served);
             }
             if let Some(open) = state.open.get_mut(&key.0) {
                 open.history.on_outcome(key.1, ended.outcome);
                 open.timed_out = ended.outcome == Outcome::TimedOut;
             }
-            let spent = |open: &Open| open.parts.body.upload().is_some_and(|upload| upload.spent());
+            let spent = |open: &PendingRequest| {
+                open.parts.body.upload().is_some_and(|upload| upload.is_partly_sent())
+            };
             if state.open.get(&key.0).is_some_and(spent) {
                 state.queue.push_back(Event::AttemptsExhausted { request: key.0 });
             }
@@ -916,7 +920,7 @@
     fn hint(self: Rc<Self>, from: PeerId, name: u64, lone: bool) {
         {
             let mut state = self.state.borrow_mut();
-            let known = state.names.iter().find(|(_, own)| named(own) == name).map(|(server, _)| *server);
+            let known = state.names.iter().find(|(_, own)| name_hash(own) == name).map(|(server, _)| *server);
             let Some(server) = known else { return };
             let mut payload = server.0.to_be_bytes().to_vec();
             payload.extend(lone.then_some(UNCONFIRMED_HINT));
@@ -960,8 +964,8 @@
     /// Has discovery tell its whole list, over calls that begin now.
     fn ask_anew(&mut self, driver: &Rc<Driver>, address: SocketAddr) {
         self.seq = None;
-        self.discovery.relocate(address);
-        self.discovery.follow(driver, true, None);
+        self.discovery.set_address(address);
+        self.discovery.watch(driver, true, None);
     }
 
     /// The list says when a server started (Unix time in milliseconds; 0 for long ago).
@@ -996,7 +1000,7 @@
     }
 
     /// Gives a request its final answer. What of it has not been written to a backend stays unwritten.
-    fn answer(&mut self, id: RequestId, answer: Answer, reason: AnswerReason) {
+    fn answer(&mut self, id: RequestId, answer: FinalResponse, reason: AnswerReason) {
         let Some(open) = self.open.remove(&id) else { return };
         self.log.answered(&open.parts.request_id, reason);
         self.stop_unwritten(id, open.sends);
@@ -1026,7 +1030,7 @@
             }
         }
         self.left.extend(lines.iter().filter(gone).map(|l| (l.server, now)));
-        let old = |at: &Instant| now.duration_since(*at) >= NAMES_KEPT;
+        let old = |at: &Instant| now.duration_since(*at) >= SERVER_NAME_RETENTION;
         let old: Vec<ServerId> = self.left.iter().filter(|(_, at)| old(at)).map(|(s, _)| *s).collect();
         for server in &old {
             self.left.remove(server);
@@ -1062,7 +1066,7 @@
 }
 
 /// The name of a request's route.
-fn route_of(arrival: &Arrival) -> &str {
+fn route_of(arrival: &IncomingRequest) -> &str {
     arrival.route.as_ref().map_or(NO_ROUTE, |route| &route.name)
 }
 
@@ -1074,10 +1078,10 @@
 }
 
 /// What goes to a backend: the request unchanged. How long it may take is told when it is written.
-fn outgoing(parts: &Arrival) -> Request<Load> {
+fn outgoing(parts: &IncomingRequest) -> Request<OutgoingBody> {
     let (load, length) = match &parts.body {
-        Given::Whole(bytes) => (Load::Whole(bytes.clone()), Some(bytes.len() as u64)),
-        Given::Coming(upload) => (Load::coming(upload), upload.length()),
+        RequestBody::Complete(bytes) => (OutgoingBody::Complete(bytes.clone()), Some(bytes.len() as u64)),
+        RequestBody::Streaming(upload) => (OutgoingBody::streaming(upload), upload.length()),
     };
     let mut request = Request::new(load);
     *request.method_mut() = parts.method.clone();
--- a/crates/agent/src/fleet/mod.rs
+++ b/crates/agent/src/fleet/mod.rs
@@ -7,7 +7,7 @@
 mod process;
 mod prove;
 
-use crate::daemon::state::{Refused, StateDir, Writer};
+use crate::daemon::state::{StateDir, StateDirError, StatusWriter};
 use crate::daemon::{control, notify::Notify};
 use crate::exit;
 use crate::log::say;
@@ -92,11 +92,11 @@
             return ExitCode::from(exit::BAD_INPUT);
         }
     };
-    let state = match StateDir::take(&fleet.state) {
+    let state = match StateDir::acquire(&fleet.state) {
         Ok(state) => state,
         Err(refused) => {
             say(format_args!("bellcroft: {}: {refused}", fleet.state.display()));
-            let held = matches!(refused, Refused::Held(_));
+            let held = matches!(refused, StateDirError::Held(_));
             return ExitCode::from(if held { exit::ALREADY_RUNNING } else { exit::BAD_INPUT });
         }
     };
@@ -199,7 +199,8 @@
     let answer = move |value: Value| command(&answering, &told, &value);
     let _control = control::Control::serve(state.path(), answer)
         .map_err(|e| format!("cannot make the control socket: {e}"))?;
-    let writer = Writer::start(state.path()).map_err(|e| format!("no thread writes the status: {e}"))?;
+    let writer =
+        StatusWriter::start(state.path()).map_err(|e| format!("no thread writes the status: {e}"))?;
     {
         let mut fleet = fleet.borrow_mut();
         info!("fleet of {}: {} run already", fleet.slots.len(), found.len());
@@ -461,7 +462,7 @@
         let dir = slot.dir.clone();
         tokio::task::spawn_local(async move {
             let drain = json!({"command": "drain", "handover": true});
-            if control::ask(&dir, &drain).await.is_err() {
+            if control::request(&dir, &drain).await.is_err() {
                 process.signal(Signal::TERM);
             }
         });
@@ -471,7 +472,7 @@
         self.reload.asked += 1;
         let (news, dir) = (self.news.clone(), self.slots[id.0].dir.clone());
         tokio::task::spawn_local(async move {
-            let told = control::ask(&dir, &json!({"command": "reload"})).await;
+            let told = control::request(&dir, &json!({"command": "reload"})).await;
             let _ = news.send(News::Reloaded(id, told.map(drop).map_err(|e| e.to_string())));
         });
     }
--- a/crates/agent/src/fleet/process.rs
+++ b/crates/agent/src/fleet/process.rs
@@ -125,7 +125,7 @@
 /// socket, never a file's, and it is asked again once its pidfd is open: if it still answers, the pidfd is its own.
 pub async fn adopt(dir: &Path) -> Left {
     for _ in 0..ADOPT_TRIES {
-        if !state::held(dir) {
+        if !state::is_locked(dir) {
             return Left::Nothing;
         }
         if let Some((process, listener)) = find(dir).await {
@@ -138,9 +138,9 @@
 }
 
 async fn find(dir: &Path) -> Option<(Process, Option<TcpListener>)> {
-    let first = control::ask(dir, &json!({"command": "status"})).await.ok()?.pid?;
+    let first = control::request(dir, &json!({"command": "status"})).await.ok()?.pid?;
     let handle = open(first).ok()?;
-    let again = control::ask(dir, &json!({"command": "listener"})).await.ok()?;
+    let again = control::request(dir, &json!({"command": "listener"})).await.ok()?;
     if again.pid != Some(first) {
         return None;
     }
--- a/crates/agent/src/fleet/prove.rs
+++ b/crates/agent/src/fleet/prove.rs
@@ -20,7 +20,7 @@
 
 /// The status of the process that holds this directory, if it is `pid`.
 pub async fn status(dir: &Path, pid: u32) -> Option<Status> {
-    let told = control::ask(dir, &json!({"command": "status"})).await.ok()?;
+    let told = control::request(dir, &json!({"command": "status"})).await.ok()?;
     if told.pid != Some(pid) {
         return None;
     }
--- a/crates/agent/src/peers/hints.rs
+++ b/crates/agent/src/peers/hints.rs
@@ -2,7 +2,7 @@
 //! which its list first named them.
 
 /// A server's name as hints have it: FNV-1a, 64 bits.
-pub fn named(name: &str) -> u64 {
+pub fn name_hash(name: &str) -> u64 {
     bellcroft_platform_settings::fnv1a(name)
 }
 
--- a/crates/agent/src/peers/mod.rs
+++ b/crates/agent/src/peers/mod.rs
@@ -26,7 +26,7 @@
 /// After a socket's failure, it is read again after this.
 const PAUSE: Duration = Duration::from_millis(20);
 
-pub use hints::named;
+pub use hints::name_hash;
 
 /// What the decisions hear of peers, as advice.
 pub trait Decisions {
@@ -176,14 +176,14 @@
     }
 
     /// Tells a peer's decisions that the server of this name is doubted here, if that peer is here.
-    pub fn tell(&self, to: PeerId, name: &str) {
-        let (mut sent, payload) = (false, hints::write(named(name)));
+    pub fn send_hint(&self, to: PeerId, name: &str) {
+        let (mut sent, payload) = (false, hints::write(name_hash(name)));
         self.turn(|core, now, out| sent = core.send_hint(now, Id(to.0), payload, out));
         self.count(|counts| if sent { counts.told.0 += 1 } else { counts.told.1 += 1 });
     }
 
     /// What this instance's decisions have seen of answers, to be shared.
-    pub fn saw(&self, signs: impl ExactSizeIterator<Item = Signal>) {
+    pub fn record_responses(&self, signs: impl ExactSizeIterator<Item = Signal>) {
         // Most of what happens shows nothing.
         if signs.len() == 0 {
             return;
@@ -194,12 +194,12 @@
     }
 
     /// A request has come to this instance.
-    pub fn asked(&self) {
+    pub fn on_request_received(&self) {
         self.count_in(Digest::record_request);
     }
 
     /// One of those was refused.
-    pub fn refused(&self) {
+    pub fn on_request_rejected(&self) {
         self.count_in(Digest::record_rejection);
     }
 
@@ -215,7 +215,7 @@
     }
 
     /// From now on there are to be so many.
-    pub fn expect(&self, instances: u32) {
+    pub fn set_expected_size(&self, instances: u32) {
         self.turn(|core, now, _| core.set_expected_size(now, instances));
         self.settle();
         self.wake.notify_one();
@@ -227,7 +227,7 @@
     }
 
     /// What the protocol and this side of it have counted.
-    pub fn figures(&self) -> (Stats, Counts) {
+    pub fn stats(&self) -> (Stats, Counts) {
         (self.core.borrow().stats(), self.counts.get())
     }
 
--- a/crates/agent/src/passing.rs
+++ b/crates/agent/src/streaming_body.rs
@@ -13,36 +13,36 @@
 use tokio::time::Instant;
 
 /// What a request has kept of its begin, given back with it.
-pub struct Kept {
+pub struct ReplayBuffer {
     store: Rc<RefCell<BufferPool>>,
     granted: usize,
 }
 
-impl Kept {
+impl ReplayBuffer {
     /// What the next one may keep.
-    pub fn grant(store: &Rc<RefCell<BufferPool>>) -> Self {
-        Kept { store: store.clone(), granted: store.borrow_mut().acquire() }
+    pub fn acquire(store: &Rc<RefCell<BufferPool>>) -> Self {
+        ReplayBuffer { store: store.clone(), granted: store.borrow_mut().acquire() }
     }
 
     /// How much that is.
-    pub fn most(&self) -> usize {
+    pub fn capacity(&self) -> usize {
         self.granted
     }
 }
 
-impl Drop for Kept {
+impl Drop for ReplayBuffer {
     fn drop(&mut self) {
         self.store.borrow_mut().release(self.granted);
     }
 }
 
 /// A request's body that is passed on as it comes. One attempt at a time reads it.
-pub struct Upload {
+pub struct StreamingBody {
     /// Its length, if it was told.
     length: Option<u64>,
     rest: RefCell<Incoming>,
     /// What came first, as long as nothing behind it has been passed on.
-    first: RefCell<Option<(Bytes, Kept)>>,
+    first: RefCell<Option<(Bytes, ReplayBuffer)>>,
     passed: Cell<ForwardedBytes>,
     whole: Cell<Option<Instant>>,
     broken: Cell<bool>,
@@ -50,13 +50,13 @@
     ended: Notify,
 }
 
-impl Upload {
+impl StreamingBody {
     /// A body that has begun with `first`.
-    pub fn new(length: Option<u64>, first: Bytes, kept: Kept, rest: Incoming) -> Rc<Self> {
+    pub fn new(length: Option<u64>, first: Bytes, kept: ReplayBuffer, rest: Incoming) -> Rc<Self> {
         let mut passed = ForwardedBytes::default();
         // What has been gathered is far below what is carried.
         let _ = passed.add(first.len());
-        Rc::new(Upload {
+        Rc::new(StreamingBody {
             length,
             rest: RefCell::new(rest),
             first: RefCell::new(Some((first, kept))),
@@ -73,22 +73,22 @@
     }
 
     /// When its last byte had come.
-    pub fn whole(&self) -> Option<Instant> {
+    pub fn completed_at(&self) -> Option<Instant> {
         self.whole.get()
     }
 
     /// It ended before it was whole, by its client's fault.
-    pub fn broken(&self) -> bool {
+    pub fn is_broken(&self) -> bool {
         self.broken.get()
     }
 
     /// A part of it is gone: nothing can begin anew with it.
-    pub fn spent(&self) -> bool {
+    pub fn is_partly_sent(&self) -> bool {
         self.first.borrow().is_none()
     }
 
     /// Waits until it is whole or broken.
-    pub async fn ended(&self) {
+    pub async fn finished(&self) {
         while self.whole.get().is_none() && !self.broken.get() {
             self.ended.notified().await;
         }
@@ -131,22 +131,22 @@
 }
 
 /// What an attempt sends.
-pub enum Load {
+pub enum OutgoingBody {
     /// A body that is here whole; none once it has been taken.
-    Whole(Bytes),
+    Complete(Bytes),
     /// One that is coming; first what is kept of it.
-    Coming(Rc<Upload>, Option<Bytes>),
+    Streaming(Rc<StreamingBody>, Option<Bytes>),
 }
 
-impl Load {
+impl OutgoingBody {
     /// An attempt's view of a body that is coming. It begins with what is kept, and is for nothing if that is gone.
-    pub fn coming(upload: &Rc<Upload>) -> Self {
+    pub fn streaming(upload: &Rc<StreamingBody>) -> Self {
         let first = upload.first.borrow().as_ref().map(|(first, _)| first.clone());
-        Load::Coming(upload.clone(), first)
+        OutgoingBody::Streaming(upload.clone(), first)
     }
 }
 
-impl Body for Load {
+impl Body for OutgoingBody {
     type Data = Bytes;
     type Error = io::Error;
 
@@ -155,9 +155,9 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
         let next = match &mut *self {
-            Load::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            Load::Whole(bytes) => Poll::Ready(Some(Ok(std::mem::take(bytes)))),
-            Load::Coming(upload, first) => match first.take().filter(|first| !first.is_empty()) {
+            OutgoingBody::Complete(bytes) if bytes.is_empty() => Poll::Ready(None),
+            OutgoingBody::Complete(bytes) => Poll::Ready(Some(Ok(std::mem::take(bytes)))),
+            OutgoingBody::Streaming(upload, first) => match first.take().filter(|first| !first.is_empty()) {
                 Some(first) => Poll::Ready(Some(Ok(first))),
                 None => upload.poll_rest(cx),
             },
@@ -166,13 +166,13 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Load::Whole(bytes) if bytes.is_empty())
+        matches!(self, OutgoingBody::Complete(bytes) if bytes.is_empty())
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Load::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            Load::Coming(upload, _) => upload.length.map(SizeHint::with_exact).unwrap_or_default(),
+            OutgoingBody::Complete(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            OutgoingBody::Streaming(upload, _) => upload.length.map(SizeHint::with_exact).unwrap_or_default(),
         }
     }
 }
--- a/crates/agent/src/telemetry.rs
+++ b/crates/agent/src/telemetry.rs
@@ -77,7 +77,7 @@
     for stance in QuorumState::ALL {
         gauge(&families::STANCE, &[stance.as_str()], f64::from(stance.as_str() == status.stance));
     }
-    let (figures, counts) = peers.figures();
+    let (figures, counts) = peers.stats();
     let count = |family: &'static Family, label: &str, total: u64| {
         let counter = registry.counter(family, &[label]);
         counter.inc_by((total as f64 - counter.get()).max(0.0));
@@ -141,7 +141,7 @@
 }
 
 /// A request that is not over yet. Dropped before its answer has left, it was left by its client.
-pub struct Owing {
+pub struct PendingTimer {
     instance: Rc<Instance>,
     clock: Clock,
     id: RequestId,
@@ -151,14 +151,14 @@
     out: bool,
 }
 
-impl Owing {
+impl PendingTimer {
     /// A request that came whole at `from`.
     pub fn new(instance: Rc<Instance>, clock: Clock, id: RequestId, class: usize, from: Instant) -> Self {
-        Owing { instance, clock, id, class, from, over: Over::Left, out: false }
+        PendingTimer { instance, clock, id, class, from, over: Over::Left, out: false }
     }
 
     /// Its answer is decided and on its way to the socket.
-    pub fn decided(&mut self, over: Over) {
+    pub fn set_outcome(&mut self, over: Over) {
         self.over = over;
     }
 
@@ -168,7 +168,7 @@
     }
 }
 
-impl Drop for Owing {
+impl Drop for PendingTimer {
     fn drop(&mut self) {
         let over = if self.out { self.over } else { Over::Left };
         let now = Instant::now();
--- a/crates/agent/src/upstream/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -5,7 +5,7 @@
 use super::pool::SpareConnections;
 use super::relay::Relay;
 use super::Upstream;
-use crate::passing::{Load, Upload};
+use crate::streaming_body::{OutgoingBody, StreamingBody};
 use crate::telemetry::FirstByte;
 use bellcroft_agent_core::guard::AttemptWindow;
 use bellcroft_balancer::{Outcome, ServerId};
@@ -36,7 +36,7 @@
 
 impl AttemptLimits {
     /// Tells the backend how long the agent will wait from now on.
-    fn tell_timeout(&self, request: &mut Request<Load>, now: Instant) {
+    fn tell_timeout(&self, request: &mut Request<OutgoingBody>, now: Instant) {
         let left = self.window.end_by.saturating_duration_since(now);
         let timeout = self.max_timeout.map_or(left, |most| left.min(most));
         if let Ok(timeout) = HeaderValue::from_str(&format!("{}u", timeout.as_micros().max(1))) {
@@ -80,7 +80,7 @@
     /// Notified of its first byte.
     first_byte: Cell<Option<FirstByte>>,
     /// Its body, if that is still coming when it starts.
-    upload: Option<Rc<Upload>>,
+    upload: Option<Rc<StreamingBody>>,
     /// A time for its end that has become known since it started.
     deadline: Cell<Option<Instant>>,
     deadline_changed: Notify,
@@ -88,14 +88,14 @@
 
 impl AttemptProgress {
     /// An attempt that has not started.
-    pub fn new(first_byte: Option<FirstByte>, upload: Option<Rc<Upload>>) -> Self {
+    pub fn new(first_byte: Option<FirstByte>, upload: Option<Rc<StreamingBody>>) -> Self {
         AttemptProgress { first_byte: Cell::new(first_byte), upload, ..AttemptProgress::default() }
     }
 
     /// Its last byte may be written: from here on it may have run.
     pub fn may_have_run(&self) -> bool {
         // Of a body that did not tell its length, the last byte is known only when it has come.
-        let upload_complete = || self.upload.as_ref().is_some_and(|u| u.whole().is_some());
+        let upload_complete = || self.upload.as_ref().is_some_and(|u| u.completed_at().is_some());
         let written = |(stream, end): &(Rc<StreamProgress>, u64)| {
             stream.written.get() >= *end || (*end == u64::MAX && upload_complete())
         };
@@ -130,14 +130,14 @@
 
     /// Its body can't be completed, by its client's fault.
     fn upload_broken(&self) -> bool {
-        self.upload.as_ref().is_some_and(|upload| upload.broken())
+        self.upload.as_ref().is_some_and(|upload| upload.is_broken())
     }
 
     /// Prepares a connection for its request; the end of that in the count of bytes, the maximum if that is not known.
     fn start_on(
         &self,
         connection: &Connection,
-        request: &Request<Load>,
+        request: &Request<OutgoingBody>,
         window: AttemptWindow<Instant>,
     ) -> u64 {
         let stream = &connection.progress;
@@ -156,7 +156,7 @@
     pub async fn attempt(
         &self,
         server: ServerId,
-        request: Request<Load>,
+        request: Request<OutgoingBody>,
         limits: &AttemptLimits,
         progress: &AttemptProgress,
     ) -> AttemptResult {
@@ -186,7 +186,7 @@
     async fn send_attempt(
         &self,
         server: ServerId,
-        mut request: Request<Load>,
+        mut request: Request<OutgoingBody>,
         limits: &AttemptLimits,
         progress: &AttemptProgress,
     ) -> Option<AttemptResult> {
@@ -237,7 +237,7 @@
 
 /// The bytes of a request as they are written, or a few less: short of them, its last byte is not written. None where its
 /// body has not told its length.
-fn request_length(request: &Request<Load>) -> Option<u64> {
+fn request_length(request: &Request<OutgoingBody>) -> Option<u64> {
     let line =
         request.method().as_str().len() + request.uri().path().len() + " ".len() + " HTTP/1.1\r\n".len();
     let headers: usize =
--- a/crates/agent/src/upstream/connection.rs
+++ b/crates/agent/src/upstream/connection.rs
@@ -2,7 +2,7 @@
 
 use super::metered_stream::{MeteredStream, StreamProgress};
 use super::response::MAX_HEAD_BYTES;
-use crate::passing::Load;
+use crate::streaming_body::OutgoingBody;
 use bellcroft_balancer::ServerId;
 use bellcroft_net::{connect, ConnectError};
 use hyper::client::conn::http1::{Builder, SendRequest};
@@ -42,7 +42,7 @@
 /// One open connection; dropping it closes it.
 pub struct Connection {
     /// Takes requests.
-    pub sender: SendRequest<Load>,
+    pub sender: SendRequest<OutgoingBody>,
     /// What has been written and may be read.
     pub progress: Rc<StreamProgress>,
     /// Where it leads.
--- a/crates/agent/src/upstream/mod.rs
+++ b/crates/agent/src/upstream/mod.rs
@@ -48,7 +48,7 @@
     }
 
     /// Goes by other settings from now on.
-    pub fn retune(&self, connect_timeout: Duration, keepalive: Duration, report_fields: Vec<String>) {
+    pub fn reconfigure(&self, connect_timeout: Duration, keepalive: Duration, report_fields: Vec<String>) {
         self.pool.reconfigure(connect_timeout, keepalive);
         *self.report_fields.borrow_mut() = report_fields;
     }
@@ -74,12 +74,12 @@
     }
 
     /// From now on it may hold so many connections; what is in flight beyond that goes on.
-    pub fn hold_at_most(&self, max_connections: usize) {
-        self.pool.hold_at_most(max_connections);
+    pub fn set_max_connections(&self, max_connections: usize) {
+        self.pool.set_max_connections(max_connections);
     }
 
     /// Attempts that were written completely to a backend.
-    pub fn tries(&self) -> u64 {
+    pub fn attempts_sent(&self) -> u64 {
         self.pool.written_attempts()
     }
 
--- a/crates/agent/src/upstream/pool.rs
+++ b/crates/agent/src/upstream/pool.rs
@@ -93,7 +93,7 @@
     }
 
     /// From now on it may hold so many connections; what is in flight beyond that goes on.
-    pub fn hold_at_most(&self, max_connections: usize) {
+    pub fn set_max_connections(&self, max_connections: usize) {
         self.max_connections.set(max_connections);
         while self.open_connections.get() > max_connections && self.evict_oldest_idle() {}
     }
--- a/crates/agent/src/upstream/probe.rs
+++ b/crates/agent/src/upstream/probe.rs
@@ -4,7 +4,7 @@
 use super::load_report::parse_load_report;
 use super::pool::SpareConnections;
 use super::Upstream;
-use crate::passing::Load;
+use crate::streaming_body::OutgoingBody;
 use bellcroft_balancer::{Outcome, ServerId};
 use bytes::Bytes;
 use hyper::Request;
@@ -23,7 +23,7 @@
 
     async fn send_probe(&self, server: ServerId) -> AttemptResult {
         let path = if self.report_fields.borrow().is_empty() { "/health" } else { "/status/load" };
-        let request = Request::get(path).header("host", "backend").body(Load::Whole(Bytes::new()));
+        let request = Request::get(path).header("host", "backend").body(OutgoingBody::Complete(Bytes::new()));
         let by = Instant::now() + PROBE_TIMEOUT;
         let connection = self.pool.acquire(server, by, SpareConnections::Forbidden).await;
         let (connection, request) = match (connection, request) {
--- a/crates/agent/src/upstream/response.rs
+++ b/crates/agent/src/upstream/response.rs
@@ -5,7 +5,7 @@
 use super::load_report::parse_load_report;
 use super::relay::Relay;
 use super::Upstream;
-use crate::passing::Load;
+use crate::streaming_body::OutgoingBody;
 use bellcroft_agent_core::body_limits::{
     forwarding_mode, BufferingPhase, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES,
 };
@@ -39,7 +39,7 @@
     pub(super) async fn exchange(
         &self,
         mut connection: Connection,
-        request: Request<Load>,
+        request: Request<OutgoingBody>,
         first_byte_timeout: Option<Duration>,
     ) -> Option<AttemptResult> {
         connection.progress.read_budget.set(MAX_RESPONSE_BYTES);
