--- a/crates/agent-core/src/admin.rs
+++ b/crates/agent-core/src/admin.rs
@@ -41,7 +41,7 @@
 pub enum AdminRequestError {
     /// It says nothing.
     Empty,
-    /// It is longer than [`LINE_MOST`], or ended before its line did.
+    /// It is longer than [`MAX_LINE_BYTES`], or ended before its line did.
     LineTooLong,
     /// It is no text.
     NotUtf8,
--- a/crates/agent-core/src/body_limits.rs
+++ b/crates/agent-core/src/body_limits.rs
@@ -21,7 +21,7 @@
 /// How a body is taken in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ForwardingMode {
-    /// It is, or may be, short: gather it up to [`WHOLE_MOST`] and see.
+    /// It is, or may be, short: gather it up to [`MAX_BUFFERED_BODY_BYTES`] and see.
     Buffered,
     /// It is long by its own word.
     Streamed,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -8,9 +8,9 @@
 //!   of one's own that fails makes a member dead here. What is passed on keeps the name of who saw it.
 //! - Whoever was stalled doubts itself first: on waking it accuses nobody until it has heard the others again.
 //! - What is counted for the whole fleet is reckoned by the roster or the largest number lately believed
-//!   ([`Membership::reckoned`]), never by who happens to answer.
+//!   ([`Membership::effective_size`]), never by who happens to answer.
 //!
-//! Nothing is kept on a disk. A member's [`Version`] begins with its start's wall clock, so a restart beats what was
+//! Nothing is kept on a disk. A member's [`Incarnation`] begins with its start's wall clock, so a restart beats what was
 //! said of the life before; where a clock has been set back, the member hears of its former life and goes past it.
 
 mod config;
--- a/crates/membership/src/stats.rs
+++ b/crates/membership/src/stats.rs
@@ -16,7 +16,7 @@
 }
 
 impl RejectReason {
-    /// The reasons' words, by their places in [`Figures::refused`].
+    /// The reasons' words, by their places in [`Stats::rejected`].
     pub const LABELS: [&'static str; 8] =
         ["length", "version", "cluster", "spoilt", "meaning", "stranger", "former", "own"];
 
@@ -41,7 +41,7 @@
     pub sent: (u64, u64),
     /// Datagrams taken, and their bytes.
     pub accepted: (u64, u64),
-    /// Datagrams refused, by [`Refused::WORDS`].
+    /// Datagrams refused, by [`RejectReason::LABELS`].
     pub rejected: [u64; 8],
     /// Probes sent and failed.
     pub probes: (u64, u64),
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -86,7 +86,7 @@
     Send(SocketAddr, Vec<u8>),
     /// Something has changed.
     Change(Change),
-    /// A member's decisions tell this one's something; [`crate::Hearsay`] says how far that goes.
+    /// A member's decisions tell this one's something; [`crate::PeerReports`] says how far that goes.
     Hint(Id, Vec<u8>),
     /// The state of the whole fleet's servers, as far as it is known here now.
     Fleet(FleetState),
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -87,7 +87,7 @@
     },
     /// A half of what the sender holds of the digest.
     Digest {
-        /// Its parts, as [`crate::Part::write`] has them.
+        /// Its parts, as [`crate::Part::encode`] has them.
         #[serde(with = "serde_bytes")]
         parts: Vec<u8>,
     },
