--- /dev/null
+++ b/crates/balancer/src/api/endpoint.rs
@@ -0,0 +1,61 @@
+//! Endpoints and updates of the endpoint list.
+
+use super::{DedupGroupId, MachineTypeId, ServerId, Time, ZoneId};
+
+/// The lifecycle state of a server in the endpoint list.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub enum Status {
+    /// Accepts requests.
+    Serving,
+    /// Completes the requests in flight; must not receive new ones.
+    Draining,
+    /// Removed from the list.
+    Gone,
+}
+
+/// An entry of the endpoint list.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Endpoint {
+    /// The server.
+    pub server: ServerId,
+    /// Its zone.
+    pub zone: ZoneId,
+    /// Its machine type.
+    pub machine_type: MachineTypeId,
+    /// Its deduplication group.
+    pub dedup_group: DedupGroupId,
+    /// Its lifecycle state.
+    pub status: Status,
+    /// Its relative weight; see [`Settings::weights`](crate::Settings::weights).
+    pub weight: f64,
+    /// When it last started, if that was recent.
+    pub started_at: Option<Time>,
+}
+
+impl Endpoint {
+    /// A serving endpoint past slow start, in zone 0, machine type 0 and deduplication group 0.
+    pub fn serving(server: ServerId) -> Self {
+        Endpoint {
+            server,
+            zone: ZoneId(0),
+            machine_type: MachineTypeId(0),
+            dedup_group: DedupGroupId(0),
+            status: Status::Serving,
+            weight: 1.0,
+            started_at: None,
+        }
+    }
+}
+
+/// An update of the endpoint list.
+#[derive(Debug, Clone, PartialEq)]
+pub enum EndpointUpdate {
+    /// The changed entries only.
+    Delta(Vec<Endpoint>),
+    /// The full list; a server that is missing from it has been removed.
+    Snapshot(Vec<Endpoint>),
+    /// The full list as cached before a restart; may be stale.
+    SavedSnapshot(Vec<Endpoint>),
+    /// The fetch or the watch failed; the last known list stays valid.
+    Failed,
+}
--- /dev/null
+++ b/crates/balancer/src/api/settings_error.rs
@@ -0,0 +1,52 @@
+//! The error of invalid settings.
+
+use std::fmt;
+
+/// Why settings are invalid.
+#[derive(Debug, Clone, PartialEq)]
+#[non_exhaustive]
+pub enum SettingsError {
+    /// No request class is defined; at least one is required.
+    NoClasses,
+    /// A number is negative, infinite or NaN.
+    BadNumber {
+        /// The name of the setting.
+        setting: &'static str,
+        /// Its value.
+        value: f64,
+    },
+    /// A tenant's fraction is outside 0 to 1.
+    BadShare {
+        /// Its value.
+        value: f64,
+    },
+    /// A duration that must be positive is zero.
+    ZeroDuration {
+        /// The name of the setting.
+        setting: &'static str,
+    },
+    /// The maximum number of attempts is zero.
+    NoAttempts,
+}
+
+impl fmt::Display for SettingsError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            SettingsError::NoClasses => write!(f, "settings name no request class; at least one is needed"),
+            SettingsError::BadNumber { setting, value } => {
+                write!(f, "setting {setting} is {value}; a finite number of zero or more is needed")
+            }
+            SettingsError::BadShare { value } => {
+                write!(f, "a tenant's share (fraction) is {value}; a number from 0 to 1 is needed")
+            }
+            SettingsError::ZeroDuration { setting } => {
+                write!(f, "setting {setting} is zero; it must be longer")
+            }
+            SettingsError::NoAttempts => {
+                write!(f, "settings allow no attempt for a request; at least one is needed")
+            }
+        }
+    }
+}
+
+impl std::error::Error for SettingsError {}
--- a/crates/balancer/src/decisions/mod.rs
+++ b/crates/balancer/src/decisions/mod.rs
@@ -1,4 +1,4 @@
-//! Every decision of the balancer; its interface (settings, events, actions) is in `src/api.rs`.
+//! Every decision of the balancer; its interface (settings, events, actions) is in `src/api/`.
 //!
 //! In the order of a request's life: `admission` takes it in, `selection` decides whether and where it goes, `dispatch`
 //! sends it, `retry_safety` says what may still be done with it, `outcomes` decides what follows an answer and gives the one
--- a/crates/balancer/src/decisions/server_health.rs
+++ b/crates/balancer/src/decisions/server_health.rs
@@ -63,7 +63,7 @@
             }
         }
         let s = &mut self.servers[flight.server];
-        if outcome.was_said() {
+        if outcome.proves_reachable() {
             s.last_answer = now;
             self.zones.insert(s.listed.zone, Way { answered: now, ..Way::default() });
         }
