--- a/crates/balancer/src/decisions/dispatch.rs
+++ b/crates/balancer/src/decisions/dispatch.rs
@@ -1,82 +1,130 @@
-//! Sends attempts and second copies.
+//! Sends attempts to the selected server.
 
+use super::selection::Selection;
 use super::tuning::*;
 use crate::api::*;
-use crate::records::*;
+use crate::state::*;
 
-/// Second copies go out only at this level or more of the common one.
-const COPY_LEVEL: f64 = 0.9;
-/// The longest that a process may be held up between reading its clock and writing.
+/// The longest pause of the process between reading the clock and writing to the connection that is allowed for.
 const MAX_STALL: Micros = Micros(150_000);
+/// Time constant of the work sent, as a fraction of the time that a server in slow start withstands overload.
+const SENT_WORK_WINDOW: f64 = 0.5;
 
-impl Balancer {
-    pub(super) fn send(&mut self, now: Time, pick: &Pick, server: usize, out: &mut Vec<Action>) {
-        let (id, class) = (pick.id, pick.class);
-        let cold = self.warmth(&self.servers[server], now) < 1.0;
-        let start_time = self.start_time();
-        let Some(live) = self.live.get_mut(&id) else { return };
-        let s = &mut self.servers[server];
-        let attempt = live.attempts.len() as u32;
-        let limits = live.request.limits();
-        let timeout_at = live.deadline.min(now + limits.attempt_timeout);
-        let patience = (live.wanted_by.since(now) * CONNECT_SHARE).max(CONNECT_LEAST);
-        let mut write_by = timeout_at.min(now + start_time.min(patience));
-        let first = live.attempts.iter().find(|a| a.fate != Fate::NeverRan);
-        if let (Some(first), RetrySafety::Deduplicated { window, .. }) =
-            (first, self.settings.classes[class].retry_safety)
-        {
-            write_by = write_by.min(first.sent + window);
+/// Attempts in flight by the number of their concurrency limit.
+#[derive(Default)]
+pub(crate) struct ConcurrencyUsage(Vec<u32>);
+
+impl ConcurrencyUsage {
+    fn acquire(&mut self, limits: &Limits) {
+        for limit in &limits.concurrency_limits {
+            let slot = limit.id as usize;
+            self.0.resize(self.0.len().max(slot + 1), 0);
+            self.0[slot] += 1;
+        }
+    }
+
+    pub(super) fn release(&mut self, limits: &Limits) {
+        for limit in &limits.concurrency_limits {
+            self.0[limit.id as usize] -= 1;
         }
-        for bound in &limits.concurrency_limits {
-            let place = bound.id as usize;
-            self.occupied.resize(self.occupied.len().max(place + 1), 0);
-            self.occupied[place] += 1;
+    }
+
+    /// Whether all limits admit another attempt.
+    pub(super) fn has_capacity(&self, limits: &Limits) -> bool {
+        let is_below = |limit: &ConcurrencyLimit| {
+            self.0.get(limit.id as usize).is_none_or(|in_flight| *in_flight < limit.max_in_flight)
+        };
+        limits.concurrency_limits.iter().all(is_below)
+    }
+}
+
+impl Balancer {
+    pub(super) fn send(
+        &mut self,
+        now: Time,
+        selection: &Selection,
+        server: usize,
+        actions: &mut Vec<Action>,
+    ) {
+        let id = selection.id;
+        let Some(pending) = self.requests.get(&id) else { return };
+        let timeout_at = pending.deadline.min(now + pending.request.limits().attempt_timeout);
+        let write_by = self.write_deadline(now, pending, timeout_at);
+        let attempt = AttemptNo(pending.attempts.len() as u32);
+        self.concurrency.acquire(pending.request.limits());
+        if let (false, Some(delay)) = (selection.is_hedge, pending.request.hedge_after) {
+            self.hedges.insert((now + delay, id));
+            actions.push(Action::SetTimer { at: now + delay, timer: HEDGE_TIMER });
         }
-        if let (false, Some(after)) = (pick.copy, live.request.hedge_after) {
-            self.copies.insert((now + after, id));
-            out.push(Action::SetTimer { at: now + after, timer: COPY });
+        self.record_sent_work(now, server, selection.work_ms);
+        self.record_attempt(now, AttemptKey { request: id, attempt }, server);
+        actions.push(Action::Send {
+            request: id,
+            attempt,
+            server: self.servers[server].endpoint.server,
+            timeout_at,
+            write_by,
+        });
+    }
+
+    /// The latest time for the first byte of an attempt: within the connect timeout, the drain grace period and the
+    /// deduplication window of an earlier attempt.
+    fn write_deadline(&self, now: Time, pending: &PendingRequest, timeout_at: Time) -> Time {
+        let objective_left = pending.objective_deadline.since(now);
+        let connect_timeout = (objective_left * CONNECT_TIMEOUT_FRACTION).max(MIN_CONNECT_TIMEOUT);
+        let write_by = timeout_at.min(now + self.max_start_delay().min(connect_timeout));
+        let retry_safety = self.settings.classes[pending.request.class.0].retry_safety;
+        match (pending.first_that_may_have_run(), retry_safety) {
+            (Some(first), RetrySafety::Deduplicated { window, .. }) => write_by.min(first.sent_at + window),
+            _ => write_by,
         }
-        live.held_since = None;
-        let limits = live.request.limits.clone();
-        let (zone, cell) = (s.listed.zone, s.listed.dedup_group);
-        live.attempts.push(Attempt { server, zone, cell, sent: now, fate: Fate::Out });
-        let coming = live.request.streaming;
-        s.in_flight += u32::from(!coming);
-        s.sent_since += 1;
-        let share = pick.work / self.warm.max(1) as f64;
-        let (sent, work) = if cold { (&mut s.cold_sent, pick.work) } else { (&mut self.warm_sent, share) };
-        sent.add(now, 0.5 * self.settings.fall_after.ms(), work);
-        let trial = s.suspicion.is_some();
-        s.suspicion.iter_mut().for_each(|q| q.on_trial = true);
-        let again = attempt > 0;
-        let flight = Flight { server, class, sent: now, trial, again, counted: false, coming, limits };
-        self.flights.insert((id, attempt), flight);
-        let (attempt, server) = (AttemptNo(attempt), s.listed.server);
-        out.push(Action::Send { request: id, attempt, server, timeout_at, write_by });
     }
 
-    /// How long after its decision an attempt may begin. Its server may be told to drain just after the decision, and the
-    /// process may be held up between its last look at the clock and the write: the drain grace period covers both.
-    fn start_time(&self) -> Micros {
+    /// How long after its decision an attempt may start. The drain grace period covers both a drain just after the
+    /// decision and a stall of the process before the write.
+    fn max_start_delay(&self) -> Micros {
         let grace = self.settings.drain_grace_period;
-        grace.saturating_sub(MAX_STALL).max(CONNECT_LEAST.min(grace))
+        grace.saturating_sub(MAX_STALL).max(MIN_CONNECT_TIMEOUT.min(grace))
+    }
+
+    fn record_sent_work(&mut self, now: Time, server: usize, work_ms: f64) {
+        let is_warm = self.warmth(&self.servers[server], now) >= 1.0;
+        let window_ms = SENT_WORK_WINDOW * self.settings.fall_after.ms();
+        let server = &mut self.servers[server];
+        server.sends_since_report += 1;
+        if is_warm {
+            self.slow_start.record_warm_work(now, window_ms, work_ms);
+        } else {
+            server.slow_start_work.add(now, window_ms, work_ms);
+        }
     }
 
-    /// Sends the second copies that are due. They are the first to stop when capacity is short: while
-    /// requests are held back or answers come slowly, a copy is one more in the queue.
-    pub(super) fn send_copies(&mut self, now: Time, out: &mut Vec<Action>) {
-        while let Some(&(at, id)) = self.copies.first().filter(|(at, _)| *at <= now) {
-            self.copies.remove(&(at, id));
-            let Some(live) = self.live.get(&id) else { continue };
-            let limits = live.request.limits.clone().unwrap_or_default();
-            let alone = live.attempts.iter().filter(|a| a.fate == Fate::Out).count() == 1;
-            let short = !self.held.is_empty() || self.level.min(self.open(now)) < COPY_LEVEL;
-            let paid =
-                self.affords(&limits, false) && limits.hedge_budgets.iter().all(|b| self.saved(b) >= 1.0);
-            if alone && !short && paid && !self.hopeless(now, live) && self.place(now, id, out) {
-                self.pay(&limits, false);
-                limits.hedge_budgets.iter().for_each(|b| self.save(b, self.saved(b) - 1.0));
-            }
+    fn record_attempt(&mut self, now: Time, key: AttemptKey, index: usize) {
+        let Some(pending) = self.requests.get_mut(&key.request) else { return };
+        let server = &mut self.servers[index];
+        pending.queued_since = None;
+        pending.attempts.push(Attempt {
+            server: index,
+            zone: server.endpoint.zone,
+            dedup_group: server.endpoint.dedup_group,
+            sent_at: now,
+            state: AttemptState::InFlight,
+        });
+        let is_streaming = pending.request.streaming;
+        server.in_flight += u32::from(!is_streaming);
+        if let Some(ejection) = &mut server.ejection {
+            ejection.trial_in_flight = true;
         }
+        let attempt = InFlightAttempt {
+            server: index,
+            class: pending.request.class.0,
+            sent_at: now,
+            is_trial: server.ejection.is_some(),
+            is_retry: key.attempt.0 > 0,
+            counted_as_late: false,
+            is_streaming,
+            limits: pending.request.limits.clone(),
+        };
+        self.in_flight.insert(key, attempt);
     }
 }
--- a/crates/balancer/src/decisions/endpoints.rs
+++ b/crates/balancer/src/decisions/endpoints.rs
@@ -1,52 +1,75 @@
-//! Takes in the list of servers.
+//! Updates of the endpoint list.
 
 use super::tuning::*;
 use crate::api::*;
-use crate::records::*;
+use crate::state::*;
+
+/// The minimum of the jitter factor of the watch's backoff; the maximum is 1.
+const MIN_JITTER: f64 = 0.5;
+/// The maximum backoff of the watch, as a fraction of the poll interval.
+const MAX_BACKOFF_FRACTION: f64 = 0.5;
 
 impl Balancer {
-    pub(super) fn list(&mut self, now: Time, update: EndpointUpdate, out: &mut Vec<Action>) {
-        let (lines, complete) = match update {
-            EndpointUpdate::Failed => {
-                let jitter = 0.5 + 0.5 * self.rng.f64();
-                let left =
-                    MAX_WATCH_RETRY_DELAY.saturating_sub(TICK_IDLE).saturating_sub(now.since(self.asked_at));
-                self.ask_at = Some(now + self.ask_pause.min(left.max(MIN_WATCH_RETRY_DELAY)) * jitter);
-                self.ask_pause = (self.ask_pause * 2.0).min(self.settings.poll_interval * 0.5);
-                return;
+    pub(super) fn on_endpoint_update(
+        &mut self,
+        now: Time,
+        update: EndpointUpdate,
+        actions: &mut Vec<Action>,
+    ) {
+        let (endpoints, is_complete) = match update {
+            EndpointUpdate::Failed => return self.schedule_watch_retry(now),
+            EndpointUpdate::Delta(endpoints) => (endpoints, false),
+            EndpointUpdate::Snapshot(endpoints) | EndpointUpdate::SavedSnapshot(endpoints) => {
+                (endpoints, true)
             }
-            EndpointUpdate::Delta(lines) => (lines, false),
-            EndpointUpdate::Snapshot(lines) | EndpointUpdate::SavedSnapshot(lines) => (lines, true),
         };
-        self.ask_pause = MIN_WATCH_RETRY_DELAY;
-        if complete {
-            for s in &mut self.servers {
-                s.listed.status = Status::Gone;
+        self.watch.backoff = MIN_WATCH_RETRY_DELAY;
+        if is_complete {
+            for server in &mut self.servers {
+                server.endpoint.status = Status::Gone;
             }
         }
-        for line in lines {
-            let server = line.server;
-            match self.index.get(&server) {
-                Some(&i) => {
-                    let s = &mut self.servers[i];
-                    if line.started_at.is_some() && line.started_at != s.listed.started_at {
-                        // A new process: what was learned of the old one says nothing, and it is cold.
-                        let (in_flight, last_answer) = (s.in_flight, s.last_answer);
-                        *s = Server { in_flight, last_answer, ..Server::new(line, LIMIT_FIRST, now) };
-                    } else {
-                        s.listed = line;
-                    }
-                }
-                None => self.admit(Server::new(line, LIMIT_FIRST, now)),
-            }
+        for endpoint in endpoints {
+            self.apply_endpoint(now, endpoint);
+        }
+        self.forget_removed_servers(now);
+        self.update_serving();
+        self.update_slow_start(now);
+        self.drain_queue(now, actions);
+    }
+
+    fn schedule_watch_retry(&mut self, now: Time) {
+        let jitter = MIN_JITTER + (1.0 - MIN_JITTER) * self.rng.f64();
+        let watched_for = now.since(self.watch.started_at);
+        let left = MAX_WATCH_RETRY_DELAY.saturating_sub(IDLE_TICK_INTERVAL).saturating_sub(watched_for);
+        let delay = self.watch.backoff.min(left.max(MIN_WATCH_RETRY_DELAY)) * jitter;
+        self.watch.retry_at = Some(now + delay);
+        let max_backoff = self.settings.poll_interval * MAX_BACKOFF_FRACTION;
+        self.watch.backoff = (self.watch.backoff * 2.0).min(max_backoff);
+    }
+
+    fn apply_endpoint(&mut self, now: Time, endpoint: Endpoint) {
+        let Some(&slot) = self.index.get(&endpoint.server) else {
+            return self.add_server(Server::new(endpoint, INITIAL_LIMIT, now));
+        };
+        let server = &mut self.servers[slot];
+        let has_restarted =
+            endpoint.started_at.is_some() && endpoint.started_at != server.endpoint.started_at;
+        if has_restarted {
+            // A new process: nothing that was learned of the old one applies, and it is in slow start.
+            let (in_flight, last_response) = (server.in_flight, server.last_response);
+            *server = Server { in_flight, last_response, ..Server::new(endpoint, INITIAL_LIMIT, now) };
+        } else {
+            server.endpoint = endpoint;
         }
-        self.forget(now);
-        let servers = &self.servers;
-        self.serving = (0..servers.len()).filter(|&i| servers[i].listed.status == Status::Serving).collect();
-        self.memory.retain(|&m| servers[m].listed.status == Status::Serving);
-        self.most = self.most.max(self.serving.len());
-        self.blind = self.settings.balancers as usize > self.most;
-        self.weigh_cold(now);
-        self.pump(now, out);
+    }
+
+    fn update_serving(&mut self) {
+        let is_serving = |slot: usize| self.servers[slot].endpoint.status == Status::Serving;
+        let serving = (0..self.servers.len()).filter(|&slot| is_serving(slot)).collect();
+        self.remembered.retain(|&slot| is_serving(slot));
+        self.serving = serving;
+        self.max_serving = self.max_serving.max(self.serving.len());
+        self.sparse = self.settings.balancers as usize > self.max_serving;
     }
 }
--- a/crates/balancer/src/decisions/fleet_load.rs
+++ b/crates/balancer/src/decisions/fleet_load.rs
@@ -1,75 +1,143 @@
-//! How loaded the fleet is, by this balancer's own answers and by what its peers tell.
+//! The load of the fleet, from this balancer's own responses and from what its peers share. Latencies are fractions of the
+//! latency objective.
 
 use super::tuning::*;
 use crate::api::*;
-use crate::records::*;
+use crate::state::*;
 
-/// A blind balancer lets all in while an answer is expected to take this share of its aim, and next to none
-/// when it would take the other.
-const EASY: f64 = 0.38;
-const JAMMED: f64 = 0.65;
-/// Both are at least these multiples of what answers usually take: where work fills its aim, that is no jam.
-/// A jam that lasts must not pass for usual: past this share of the aim nothing is.
-const USUAL_MOST: f64 = 0.5;
-const EASY_USUAL: f64 = 1.2;
-const JAMMED_USUAL: f64 = 1.7;
-/// What it believes of the fleet's present state fades over this many milliseconds, over twice as many if it
-/// asks often (`OFTEN` a second) and can renew it; what a held request costs over the other.
-const STATE_MS: f64 = 250.0;
-const COST_MS: f64 = 2000.0;
-const OFTEN: f64 = 5.0;
-/// Signs that count as much as knowing nothing, and the most that one sign says, as a share of the aim.
-const SIGNS: f64 = 1.0;
-const SIGN_MOST: f64 = 1.2;
-/// Others are believed up to `MEASURED` times what was measured here by so many signs; by fewer, up to more.
-const OWN_ENOUGH: f64 = 2.0;
-/// What servers are seen to hold is believed up to this multiple of the answer times measured of late.
-const MEASURED: f64 = 2.5;
+/// A sparse balancer admits all requests up to this expected latency.
+const FULL_ADMISSION_LATENCY: f64 = 0.38;
+/// It admits next to none from this expected latency on.
+const NO_ADMISSION_LATENCY: f64 = 0.65;
+/// The usual latency is taken to be at most this: lasting congestion must not become the baseline.
+const MAX_USUAL_LATENCY: f64 = 0.5;
+/// Full admission holds at least up to this multiple of the usual latency: for some classes a high latency is normal.
+const FULL_ADMISSION_MULTIPLE: f64 = 1.2;
+/// Next to no admission holds at the earliest at this multiple of the usual latency.
+const NO_ADMISSION_MULTIPLE: f64 = 1.7;
+/// Time constant of the fleet's state in milliseconds; up to twice as much at a high request rate, which renews it.
+const STATE_TIME_CONSTANT_MS: f64 = 250.0;
+/// Time constant of the cost per request in flight, in milliseconds.
+const COST_TIME_CONSTANT_MS: f64 = 2000.0;
+/// The request rate per second from which on the time constant of the state is doubled.
+const HIGH_REQUEST_RATE: f64 = 5.0;
+/// The number of samples that weighs as much as the usual latency.
+const PRIOR_SAMPLES: f64 = 1.0;
+/// The maximum latency that a single sample's load may predict.
+const MAX_PREDICTED_LATENCY: f64 = 1.2;
+/// The number of own samples from which on peers' samples are limited to `MAX_LOAD_RATIO` times the own latency; with fewer,
+/// the limit is up to three times as high.
+const ENOUGH_OWN_SAMPLES: f64 = 2.0;
+/// The range of the factor on that limit.
+const OWN_SCARCITY: (f64, f64) = (1.0, 3.0);
+/// The maximum ratio of the latency that the load predicts to the latency measured.
+const MAX_LOAD_RATIO: f64 = 2.5;
+/// Guards divisions by decayed counts.
+const MIN_SAMPLES: f64 = 1e-3;
+/// Guards divisions by decayed loads and costs.
+const MIN_DIVISOR: f64 = 1e-9;
 
-impl Balancer {
-    /// The part of its work that a blind balancer lets in, by the answer time that it expects: what servers
-    /// were seen to hold of late, times what a held request has cost. A constant error of the reports cancels
-    /// out, and where there are none the answer times are left. Few and old signs weigh little against the
-    /// usual.
-    pub(super) fn open(&self, now: Time) -> f64 {
-        let usual = median(self.class_pace.iter().copied()).unwrap_or(0.0).min(USUAL_MOST);
-        let (signs, seen) = self.seen(now);
-        let expected = (seen + SIGNS * usual) / (signs + SIGNS);
-        let (easy, jammed) = (EASY.max(EASY_USUAL * usual), JAMMED.max(JAMMED_USUAL * usual));
-        ((jammed - expected) / (jammed - easy)).clamp(LEVEL_LEAST, 1.0)
+/// An estimate of the fleet's latency.
+struct Estimate {
+    /// The decayed number of samples that it is based on.
+    samples: f64,
+    /// The sum of the samples' latencies.
+    latency_sum: f64,
+}
+
+/// Recent samples of the fleet's latency and load, for a sparse balancer.
+#[derive(Default)]
+pub(crate) struct FleetLoad {
+    samples: DecayingSum,
+    latency: DecayingSum,
+    load: DecayingSum,
+    /// Latencies and loads over a longer time; their quotient is the cost of a request in flight.
+    cost_latency: DecayingSum,
+    cost_load: DecayingSum,
+    /// The state that the host has last aggregated over all balancers.
+    shared: FleetState,
+    shared_at: Time,
+}
+
+impl FleetLoad {
+    pub(super) fn set_shared(&mut self, now: Time, state: FleetState) {
+        (self.shared_at, self.shared) = (now, state);
+    }
+
+    /// The latency that one request in flight at a server has caused recently.
+    fn cost(&self, now: Time) -> f64 {
+        self.cost_latency.at(now) / self.cost_load.at(now).max(MIN_DIVISOR)
     }
 
-    /// The signs of late and the answer times they speak for: its own, or the whole fleet's where its own are
-    /// fewer; they are among those. Peers' words must not outweigh several own answers.
-    pub(super) fn seen(&self, now: Time) -> (f64, f64) {
-        let (signs, (at, fleet)) = (self.signs.now(now), self.fleet);
-        let sure = fleet.weight * (-now.since(at).ms() / STATE_MS).exp();
-        if sure > signs {
-            let own =
-                self.measured.now(now) / signs.max(1e-3) * (OWN_ENOUGH / signs.max(1e-3)).clamp(1.0, 3.0);
-            let own = if signs > 0.0 { own } else { f64::MAX };
-            return (sure, sure * fleet.load.min(MEASURED * fleet.latency.min(own)));
+    /// The estimate from this balancer's samples, or the shared one if that is based on more; it includes the own samples.
+    fn estimate(&self, now: Time) -> Estimate {
+        let own_samples = self.samples.at(now);
+        let shared_samples =
+            self.shared.weight * (-now.since(self.shared_at).ms() / STATE_TIME_CONSTANT_MS).exp();
+        if shared_samples > own_samples {
+            let latency_sum = shared_samples * self.bounded_shared_latency(now, own_samples);
+            return Estimate { samples: shared_samples, latency_sum };
         }
-        (signs, (self.holding.now(now) * self.cost(now)).min(MEASURED * self.measured.now(now)))
+        let predicted = self.load.at(now) * self.cost(now);
+        Estimate { samples: own_samples, latency_sum: predicted.min(MAX_LOAD_RATIO * self.latency.at(now)) }
     }
 
-    /// Takes in how long an answer took, as a share of its aim, and what its server holds.
-    pub(super) fn sign(&mut self, now: Time, zone: ZoneId, used: f64, told: Option<f64>) {
-        let signs = self.signs.now(now);
-        let holds =
-            told.map_or(if signs > 0.0 { self.holding.now(now) / signs } else { 1.0 }, |told| told + 1.0);
-        let life = STATE_MS * (1.0 + (self.rate() / OFTEN).min(1.0));
-        self.took.add(now, COST_MS, used);
-        self.held_then.add(now, COST_MS, holds);
-        self.signs.add(now, life, 1.0);
-        self.measured.add(now, life, used);
-        let holds = holds.min(SIGN_MOST / self.cost(now).max(1e-9));
-        self.holding.add(now, life, holds);
-        self.tell_sign(Signal { zone, latency: used, load: holds * self.cost(now) });
+    /// The latency by the shared state. Peers must not outweigh several own responses.
+    fn bounded_shared_latency(&self, now: Time, own_samples: f64) -> f64 {
+        let own_latency = if own_samples > 0.0 {
+            let own_samples = own_samples.max(MIN_SAMPLES);
+            let (min, max) = OWN_SCARCITY;
+            self.latency.at(now) / own_samples * (ENOUGH_OWN_SAMPLES / own_samples).clamp(min, max)
+        } else {
+            f64::MAX
+        };
+        self.shared.load.min(MAX_LOAD_RATIO * self.shared.latency.min(own_latency))
+    }
+
+    /// Adds a sample; `reported_load` is the number of requests at the server. Returns the latency that the load predicts.
+    fn add(&mut self, now: Time, latency: f64, reported_load: Option<f64>, state_ms: f64) -> f64 {
+        let samples = self.samples.at(now);
+        let load = match reported_load {
+            Some(load) => load + 1.0,
+            None if samples > 0.0 => self.load.at(now) / samples,
+            None => 1.0,
+        };
+        self.cost_latency.add(now, COST_TIME_CONSTANT_MS, latency);
+        self.cost_load.add(now, COST_TIME_CONSTANT_MS, load);
+        self.samples.add(now, state_ms, 1.0);
+        self.latency.add(now, state_ms, latency);
+        let cost = self.cost(now);
+        let load = load.min(MAX_PREDICTED_LATENCY / cost.max(MIN_DIVISOR));
+        self.load.add(now, state_ms, load);
+        load * cost
+    }
+}
+
+impl Balancer {
+    /// The fraction of its work that a sparse balancer admits, by the expected latency: the recent load of the servers times
+    /// the cost of a request in flight. A constant error of the load reports cancels out; without reports, the latencies
+    /// remain. Few and old samples weigh little against the usual latency.
+    pub(super) fn admitted_fraction(&self, now: Time) -> f64 {
+        let baselines = self.classes.iter().map(|stats| stats.baseline_latency);
+        let usual = median(baselines).unwrap_or(0.0).min(MAX_USUAL_LATENCY);
+        let estimate = self.fleet_load.estimate(now);
+        let expected = (estimate.latency_sum + PRIOR_SAMPLES * usual) / (estimate.samples + PRIOR_SAMPLES);
+        let full = FULL_ADMISSION_LATENCY.max(FULL_ADMISSION_MULTIPLE * usual);
+        let none = NO_ADMISSION_LATENCY.max(NO_ADMISSION_MULTIPLE * usual);
+        ((none - expected) / (none - full)).clamp(MIN_ADMITTED, 1.0)
     }
 
-    /// What a held request has cost of late, as a share of the aim.
-    pub(super) fn cost(&self, now: Time) -> f64 {
-        self.took.now(now) / self.held_then.now(now).max(1e-9)
+    /// Adds a sample of the fleet's state and shares it with the peers.
+    pub(super) fn record_fleet_sample(
+        &mut self,
+        now: Time,
+        zone: ZoneId,
+        latency: f64,
+        reported_load: Option<f64>,
+    ) {
+        let rate = self.traffic.requests_per_s();
+        let state_ms = STATE_TIME_CONSTANT_MS * (1.0 + (rate / HIGH_REQUEST_RATE).min(1.0));
+        let load = self.fleet_load.add(now, latency, reported_load, state_ms);
+        self.record_signal(Signal { zone, latency, load });
     }
 }
--- a/crates/balancer/src/decisions/mod.rs
+++ b/crates/balancer/src/decisions/mod.rs
@@ -1,15 +1,20 @@
-//! Every decision of the balancer; its interface (settings, events, actions) is in `src/api/`.
+//! All decisions of the balancer; its interface (settings, events, actions) is in `src/api/`, its state in `src/state/`.
 //!
-//! In the order of a request's life: `admission` takes it in, `selection` decides whether and where it goes, `dispatch`
-//! sends it, `retry_safety` says what may still be done with it, `outcomes` decides what follows an answer and gives the one
-//! final answer, `server_health` learns from it. `timers` looks after silent servers, held requests and the list.
+//! In the order of a request's lifecycle: `admission` admits, queues or sheds it, `selection` chooses a server, `dispatch`
+//! sends it, `retry_safety` limits what may still be done with it, `outcomes` retries it or gives its final response, and
+//! `server_health` learns from the attempt. `timers` runs the periodic checks.
 
 mod admission;
 mod dispatch;
+mod ejection;
 mod endpoints;
 mod fleet_load;
+mod hedging;
 mod outcomes;
+mod overdue;
 mod probes;
+mod protection;
+mod queue;
 mod reports;
 mod retry_budget;
 mod retry_safety;
@@ -17,70 +22,77 @@
 mod server_health;
 mod slow_start;
 mod timers;
+mod traffic;
 mod tuning;
 
 use crate::api::*;
-use crate::records::*;
+use crate::state::*;
 use tuning::*;
 
-/// How an attempt ended, after how long, and the report that came with it.
-type Ended = (Outcome, Micros, Option<Vec<f64>>);
+pub(crate) use dispatch::ConcurrencyUsage;
+pub(crate) use fleet_load::FleetLoad;
+pub(crate) use retry_budget::RetryBalances;
+pub(crate) use slow_start::SlowStart;
+pub(crate) use traffic::Traffic;
 
-/// An attempt, and the place of its server.
-type Away = ((RequestId, u32), usize);
+/// How an attempt ended.
+struct AttemptResult {
+    outcome: Outcome,
+    elapsed: Micros,
+    report: Option<Vec<f64>>,
+    /// The request has its final response.
+    closed: bool,
+}
 
 impl Balancer {
-    /// A balancer for these settings; equal seeds and events give equal actions.
+    /// A balancer with these settings; equal settings, seeds and events yield equal actions.
+    ///
+    /// # Errors
+    ///
+    /// Invalid settings.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
-        let mut blank = Balancer::blank(settings, seed);
-        (blank.tell_bytes, blank.ask_pause) = (TELL_SAVED, MIN_WATCH_RETRY_DELAY);
-        Ok(blank)
+        Ok(Balancer::empty(settings, seed, HINT_BUDGET_MAX))
     }
 
-    /// To be called once, before the first event.
-    pub fn start(&mut self, now: Time, out: &mut Vec<Action>) {
+    /// Starts the timers and the watch; to be called once, before the first event.
+    pub fn start(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.settings.discovery == Discovery::OnRequest {
-            out.push(Action::Watch { active: true });
+            actions.push(Action::Watch { active: true });
         }
-        self.set_tick(now, TICK_IDLE, out);
+        self.set_tick(now, IDLE_TICK_INTERVAL, actions);
     }
 
-    /// Takes in what has happened by `now` and appends what is to be done about it.
-    pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
+    /// Handles an event that occurred at `now` and appends the resulting actions.
+    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Request(request) => self.arrive(now, request, out),
-            Event::BodyComplete { request, time_left } => self.whole(now, request, time_left),
-            Event::AttemptsExhausted { request } => {
-                self.live.entry(request).and_modify(|live| live.spent = true);
-            }
-            Event::FirstByte { request, attempt } => {
-                if let Some(live) = self.live.get_mut(&request) {
-                    live.bound = (attempt.0 as usize) < live.attempts.len();
-                }
-            }
+            Event::Request(request) => self.on_request(now, request, actions),
+            Event::BodyComplete { request, time_left } => self.on_body_complete(now, request, time_left),
+            Event::AttemptsExhausted { request } => self.on_attempts_exhausted(request),
+            Event::FirstByte { request, attempt } => self.on_first_byte(request, attempt),
             Event::Outcome { request, attempt, outcome, elapsed, report, closed } => {
-                self.outcome(now, (request, attempt.0), (outcome, elapsed, report), closed, out);
+                let result = AttemptResult { outcome, elapsed, report, closed };
+                self.on_attempt_finished(now, AttemptKey { request, attempt }, result, actions);
             }
             Event::ClientDisconnected { request } => {
-                self.live.remove(&request);
+                self.requests.remove(&request);
             }
-            Event::Timer(TICK) => self.tick(now, out),
-            Event::Timer(ASKED) => self.choose_asked(now, out),
-            Event::Timer(COPY) => self.send_copies(now, out),
-            Event::Timer(_) => {}
-            Event::PeerMessage { payload, .. } => self.hear(now, &payload),
-            Event::Fleet(state) => self.fleet = (now, state),
+            Event::Timer(timer) => self.on_timer(now, timer, actions),
+            Event::PeerMessage { payload, .. } => self.on_peer_hint(now, &payload),
+            Event::Fleet(state) => self.fleet_load.set_shared(now, state),
             Event::HealthChecked { server, outcome, report, .. } => {
-                let Some(&s) = self.index.get(&server) else { return };
-                match report {
-                    Some(report) => self.read_report(now, s, &report),
-                    None if outcome != Outcome::Success => self.suspect(now, s, "silent to probes", out),
-                    None => {}
-                }
-                self.choose_asked(now, out);
+                self.on_health_checked(now, server, outcome, report, actions);
             }
-            Event::Endpoints(update) => self.list(now, update, out),
+            Event::Endpoints(update) => self.on_endpoint_update(now, update, actions),
+        }
+    }
+
+    fn on_timer(&mut self, now: Time, timer: TimerId, actions: &mut Vec<Action>) {
+        match timer {
+            TICK_TIMER => self.on_tick(now, actions),
+            PROBE_TIMER => self.select_probed(now, actions),
+            HEDGE_TIMER => self.send_hedges(now, actions),
+            _ => {}
         }
     }
 }
--- /dev/null
+++ b/crates/balancer/src/decisions/protection.rs
@@ -0,0 +1,44 @@
+//! Which request classes are shed last.
+
+use crate::state::*;
+
+impl Balancer {
+    /// Divides the classes into protected ones and those that are shed first. Shedding a set of classes costs their weights
+    /// and, once, the part of the objective that depends on the worst class; the set with the least cost per unit of freed
+    /// work is shed first.
+    pub(super) fn update_protected_classes(&mut self) {
+        let class_count = self.settings.classes.len();
+        let mut by_value: Vec<usize> =
+            (0..class_count).filter(|&class| self.class_work(class) > 0.0).collect();
+        let value_per_work = |class: usize| self.class_value(class) / self.class_work(class);
+        by_value.sort_by(|&a, &b| value_per_work(a).total_cmp(&value_per_work(b)));
+        let total: f64 = by_value.iter().map(|&class| self.class_value(class)).sum();
+        let objective = &self.settings.objective;
+        let (mut cost, mut freed) = (objective.worst_class * total, 0.0);
+        let (mut least_cost, mut shed_first) = (f64::INFINITY, 0);
+        for (i, &class) in by_value.iter().enumerate() {
+            cost += (objective.whole + objective.worst_window) * self.class_value(class);
+            freed += self.class_work(class);
+            if cost / freed < least_cost {
+                (least_cost, shed_first) = (cost / freed, i + 1);
+            }
+        }
+        self.classes.iter_mut().for_each(|stats| stats.is_protected = false);
+        for &class in &by_value[shed_first..] {
+            self.classes[class].is_protected = true;
+        }
+    }
+
+    /// The recent work of a class, in milliseconds of server time.
+    pub(super) fn class_work(&self, class: usize) -> f64 {
+        self.traffic.of_class(class) * self.usual_ms(class)
+    }
+
+    /// The value of the recent requests of a class.
+    fn class_value(&self, class: usize) -> f64 {
+        let settings = &self.settings;
+        let amount =
+            if settings.weight_by_work { self.class_work(class) } else { self.traffic.of_class(class) };
+        settings.classes[class].priority_weight * amount
+    }
+}
--- a/crates/balancer/src/decisions/reports.rs
+++ b/crates/balancer/src/decisions/reports.rs
@@ -1,43 +1,49 @@
-//! Load reports of servers and messages of peers.
+//! Load reports of servers and hints of peers.
 
 use super::tuning::*;
 use crate::api::*;
-use crate::records::*;
+use crate::state::*;
 
-/// What one peer alone has said is believed for less.
-const DOUBT_LONE: Micros = Micros(2_000_000);
-/// A good answer of a server stands against hearsay for so long.
-const VOUCHED: Micros = Micros(1_000_000);
+/// How long a server stays deprioritized after a hint that only one peer has sent.
+const UNCONFIRMED_HINT_TTL: Micros = Micros(2_000_000);
+/// Hints about a server are ignored for this long after it has ended its deprioritization by a good response.
+const RECOVERY_GRACE: Micros = Micros(1_000_000);
+/// Reported loads from this value on are invalid.
+const MAX_REPORTED_LOAD: f64 = 1e4;
 
 impl Balancer {
-    /// Hearsay makes a known server doubted for a short while and nothing else: old, lost or false news is
-    /// harmless. Own evidence wins: one that has just answered well here is not doubted for it.
-    pub(super) fn hear(&mut self, now: Time, payload: &[u8]) {
-        let Some((id, rest)) = payload.split_first_chunk() else { return };
-        let (id, life) = match rest {
-            [] => (u32::from_be_bytes(*id), DOUBT_HEARD),
-            [UNCONFIRMED_HINT] => (u32::from_be_bytes(*id), DOUBT_LONE),
+    /// A hint deprioritizes a known server for a few seconds and has no other effect, so that old, lost or false hints are
+    /// harmless. The payload is a server's number in big-endian order, followed by [`UNCONFIRMED_HINT`] or nothing; any
+    /// other payload is ignored. Own evidence takes precedence: a server that has just responded well is not deprioritized.
+    pub(super) fn on_peer_hint(&mut self, now: Time, payload: &[u8]) {
+        let Some((id, marker)) = payload.split_first_chunk() else { return };
+        let ttl = match marker {
+            [] => HINT_TTL,
+            [UNCONFIRMED_HINT] => UNCONFIRMED_HINT_TTL,
             _ => return,
         };
-        if let Some(&s) = self.index.get(&ServerId(id)) {
-            let s = &mut self.servers[s];
-            // That a good answer ends a doubt is all that moves this into the past.
-            if s.doubted_until <= now && now.since(s.doubted_until) < VOUCHED && s.samples > 0 {
-                return;
-            }
-            s.doubted_until = s.doubted_until.max(now + life);
-            self.memory.retain(|&m| self.servers[m].doubted_until <= now);
+        let Some(&server) = self.index.get(&ServerId(u32::from_be_bytes(*id))) else { return };
+        let server = &mut self.servers[server];
+        // Only a good response sets `deprioritized_until` to a time that has passed.
+        let since_recovery = now.since(server.deprioritized_until);
+        if server.deprioritized_until <= now && since_recovery < RECOVERY_GRACE && server.samples > 0 {
+            return;
         }
+        server.deprioritized_until = server.deprioritized_until.max(now + ttl);
+        self.remembered.retain(|&remembered| self.servers[remembered].deprioritized_until <= now);
     }
 
-    pub(super) fn read_report(&mut self, now: Time, server: usize, report: &Report) {
-        let place = |field| self.settings.report_fields.iter().position(|f| *f == field);
-        let told = place(LoadReportField::InFlight).or_else(|| place(LoadReportField::Queue));
-        // What no server can hold is no news: a negative load must not make it look empty.
-        if let Some(&value) = told.and_then(|i| report.get(i)).filter(|v| (0.0..1e4).contains(*v)) {
-            let s = &mut self.servers[server];
-            (s.reported, s.reported_at, s.sent_since) = (value, Some(now), 0);
-            self.crowd += PACE_GAIN * (s.reported - self.crowd);
+    /// Takes the server's load from a report; a load that is negative, NaN or too high is ignored, or a server with a broken
+    /// report would look idle.
+    pub(super) fn on_load_report(&mut self, now: Time, server: usize, report: &Report) {
+        let position = |field| self.settings.report_fields.iter().position(|reported| *reported == field);
+        let position = position(LoadReportField::InFlight).or_else(|| position(LoadReportField::Queue));
+        let Some(&load) = position.and_then(|position| report.get(position)) else { return };
+        if !(0.0..MAX_REPORTED_LOAD).contains(&load) {
+            return;
         }
+        let server = &mut self.servers[server];
+        (server.reported_load, server.reported_at, server.sends_since_report) = (load, Some(now), 0);
+        self.average_reported_load += LATENCY_GAIN * (load - self.average_reported_load);
     }
 }
--- a/crates/balancer/src/decisions/retry_budget.rs
+++ b/crates/balancer/src/decisions/retry_budget.rs
@@ -1,14 +1,19 @@
-//! The budgets that further attempts and second copies are paid from.
+//! Retry budgets, which retries and hedged requests are charged to.
 
 use crate::api::*;
-use crate::records::*;
 
-/// Each request earns this much of a further attempt, saved up to the burst.
-const RETRY_EARN: f64 = 0.1;
-const RETRY_BURST: f64 = 10.0;
+/// Retries that each request earns where a route has no budget of its own.
+const DEFAULT_RATIO: f64 = 0.1;
+/// Maximum balance of the default budget, in retries.
+const DEFAULT_BURST: f64 = 10.0;
+/// The budget of requests whose route has none.
+const DEFAULT_BUDGET: RetryBudget =
+    RetryBudget { id: 0, ratio: DEFAULT_RATIO, burst: DEFAULT_BURST, strict: false };
+/// Maximum balance at a sparse balancer: many balancers with a full burst each would spend it in the same incident.
+const MAX_SPARSE_BURST: f64 = 1.0;
 
 impl Limits {
-    /// What the rules and the settings allow, with the budget of further attempts that all requests share.
+    /// No limits beyond those of the settings, with the default retry budget that all requests share.
     pub const STANDARD: Limits = Limits {
         timeout: Micros(u64::MAX),
         attempt_timeout: Micros(u64::MAX),
@@ -22,47 +27,59 @@
     };
 }
 
-/// What pays where a route names no budget of its own.
-const COMMON: RetryBudget = RetryBudget { id: 0, ratio: RETRY_EARN, burst: RETRY_BURST, strict: false };
-
-pub(super) fn budgets(limits: &Limits) -> &[RetryBudget] {
+fn budgets(limits: &Limits) -> &[RetryBudget] {
     if limits.budgets.is_empty() {
-        &[COMMON]
+        &[DEFAULT_BUDGET]
     } else {
         &limits.budgets
     }
 }
 
-impl Balancer {
-    /// A request earns its part of a further attempt. Many balancers that each save up a burst would all
-    /// spend it in the same jam.
-    pub(super) fn earn(&mut self, limits: &Limits) {
+/// Balances of the retry budgets, in retries, by the number of the budget; `None` stands for the full burst.
+#[derive(Default)]
+pub(crate) struct RetryBalances(Vec<Option<f64>>);
+
+impl RetryBalances {
+    /// Adds what one request earns.
+    pub(super) fn deposit(&mut self, limits: &Limits, is_sparse: bool) {
         for budget in budgets(limits).iter().chain(&limits.hedge_budgets) {
-            let burst = if self.blind { budget.burst.min(1.0) } else { budget.burst };
-            let saved = (self.saved(budget) + budget.ratio).min(burst);
-            self.save(budget, saved);
+            let burst = if is_sparse { budget.burst.min(MAX_SPARSE_BURST) } else { budget.burst };
+            let balance = (self.balance(budget) + budget.ratio).min(burst);
+            self.set_balance(budget, balance);
         }
     }
 
-    pub(super) fn saved(&self, budget: &RetryBudget) -> f64 {
-        self.saved.get(budget.id as usize).copied().flatten().unwrap_or(budget.burst)
+    fn balance(&self, budget: &RetryBudget) -> f64 {
+        self.0.get(budget.id as usize).copied().flatten().unwrap_or(budget.burst)
+    }
+
+    fn set_balance(&mut self, budget: &RetryBudget, balance: f64) {
+        let slot = budget.id as usize;
+        self.0.resize(self.0.len().max(slot + 1), None);
+        self.0[slot] = Some(balance);
     }
 
-    pub(super) fn save(&mut self, budget: &RetryBudget, saved: f64) {
-        let place = budget.id as usize;
-        self.saved.resize(self.saved.len().max(place + 1), None);
-        self.saved[place] = Some(saved);
+    /// Whether the budgets allow a retry. After an attempt that never ran, only strict budgets are charged.
+    pub(super) fn can_afford(&self, limits: &Limits, never_ran: bool) -> bool {
+        budgets(limits).iter().all(|budget| (never_ran && !budget.strict) || self.balance(budget) >= 1.0)
+    }
+
+    pub(super) fn charge(&mut self, limits: &Limits, never_ran: bool) {
+        for budget in budgets(limits).iter().filter(|budget| !never_ran || budget.strict) {
+            self.set_balance(budget, self.balance(budget) - 1.0);
+        }
     }
 
-    /// Whether the budgets bear a further attempt. One that follows an attempt which never ran is `free`, but
-    /// where a route says otherwise.
-    pub(super) fn affords(&self, limits: &Limits, free: bool) -> bool {
-        budgets(limits).iter().all(|b| (free && !b.strict) || self.saved(b) >= 1.0)
+    /// Whether the budgets of retries and of hedged requests allow a hedged request.
+    pub(super) fn can_afford_hedge(&self, limits: &Limits) -> bool {
+        self.can_afford(limits, false)
+            && limits.hedge_budgets.iter().all(|budget| self.balance(budget) >= 1.0)
     }
 
-    pub(super) fn pay(&mut self, limits: &Limits, free: bool) {
-        for budget in budgets(limits).iter().filter(|b| !free || b.strict) {
-            self.save(budget, self.saved(budget) - 1.0);
+    pub(super) fn charge_hedge(&mut self, limits: &Limits) {
+        self.charge(limits, false);
+        for budget in &limits.hedge_budgets {
+            self.set_balance(budget, self.balance(budget) - 1.0);
         }
     }
 }
--- a/crates/balancer/src/decisions/retry_safety.rs
+++ b/crates/balancer/src/decisions/retry_safety.rs
@@ -1,43 +1,60 @@
-//! What may still be done with a request, by its effect and what its attempts may have done.
+//! What may still be done with a request, given its retry safety and what its attempts may have done.
 
 use crate::api::*;
-use crate::records::*;
+use crate::state::*;
 
 impl Balancer {
-    /// What the rules still allow; the whole of "no effect happens twice" is here.
-    pub(super) fn lawful(&self, live: &Live, now: Time) -> Lawful {
-        let class = &self.settings.classes[live.request.class.0];
-        let out = live.attempts.iter().any(|a| a.fate == Fate::Out);
-        let first = live.attempts.iter().find(|a| a.fate != Fate::NeverRan);
-        let limits = live.request.limits();
-        let full = live.attempts.len() >= self.settings.max_attempts.min(limits.max_attempts) as usize;
-        let shut = full
-            || live.bound
-            || live.spent
-            || now >= live.deadline
-            || (out && (live.request.streaming || !self.settings.hedging));
-        let send = match (first, class.retry_safety) {
-            _ if shut => Reach::Nowhere,
-            (None, _) | (_, RetrySafety::Idempotent) => Reach::Anywhere,
-            (Some(_), RetrySafety::AtMostOnce) => Reach::Nowhere,
-            (Some(first), RetrySafety::Deduplicated { window, .. }) if now > first.sent + window => {
-                Reach::Nowhere
-            }
-            (Some(first), RetrySafety::Deduplicated { scope: group, .. }) => match group {
-                DedupScope::All => Reach::Anywhere,
-                DedupScope::Zone => Reach::Zone(first.zone),
-                DedupScope::Group => Reach::Cell(first.cell),
-            },
+    /// Which sends and which final responses can't make a request run twice. This is the only place that decides it.
+    pub(super) fn allowed_actions(&self, now: Time, pending: &PendingRequest) -> AllowedActions {
+        let retry_safety = self.settings.classes[pending.request.class.0].retry_safety;
+        let first = pending.first_that_may_have_run();
+        let send = if self.can_send_again(now, pending) {
+            send_scope(now, pending, retry_safety, first)
+        } else {
+            SendScope::Nowhere
         };
-        let send = match (send, live.attempts.first().filter(|_| limits.same_zone)) {
-            (Reach::Anywhere, Some(first)) => Reach::Zone(first.zone),
-            _ => send,
-        };
-        let refuse = match (first, class.retry_safety) {
+        let is_unprocessed_or_deduplicated = match (first, retry_safety) {
             (None, _) | (_, RetrySafety::Idempotent) => true,
             (Some(_), RetrySafety::AtMostOnce) => false,
-            (Some(_), RetrySafety::Deduplicated { scope: group, .. }) => group == DedupScope::All,
+            (Some(_), RetrySafety::Deduplicated { scope, .. }) => scope == DedupScope::All,
         };
-        Lawful { send, refuse: refuse && !live.bound }
+        AllowedActions { send, reject: is_unprocessed_or_deduplicated && !pending.is_bound }
+    }
+
+    /// Whether attempts and time are left, apart from retry safety.
+    fn can_send_again(&self, now: Time, pending: &PendingRequest) -> bool {
+        let max_attempts = self.settings.max_attempts.min(pending.request.limits().max_attempts);
+        let may_run_beside_another = self.settings.hedging && !pending.request.streaming;
+        pending.attempts.len() < max_attempts as usize
+            && !pending.is_bound
+            && !pending.is_exhausted
+            && now < pending.deadline
+            && (!pending.has_attempt_in_flight() || may_run_beside_another)
+    }
+}
+
+fn send_scope(
+    now: Time,
+    pending: &PendingRequest,
+    retry_safety: RetrySafety,
+    first_that_may_have_run: Option<&Attempt>,
+) -> SendScope {
+    let scope = match (first_that_may_have_run, retry_safety) {
+        (None, _) | (_, RetrySafety::Idempotent) => SendScope::Anywhere,
+        (Some(_), RetrySafety::AtMostOnce) => SendScope::Nowhere,
+        (Some(first), RetrySafety::Deduplicated { window, .. }) if now > first.sent_at + window => {
+            SendScope::Nowhere
+        }
+        (Some(first), RetrySafety::Deduplicated { scope, .. }) => match scope {
+            DedupScope::All => SendScope::Anywhere,
+            DedupScope::Zone => SendScope::Zone(first.zone),
+            DedupScope::Group => SendScope::Group(first.dedup_group),
+        },
+    };
+    match (scope, pending.attempts.first()) {
+        (SendScope::Anywhere, Some(first)) if pending.request.limits().same_zone => {
+            SendScope::Zone(first.zone)
+        }
+        _ => scope,
     }
 }
--- a/crates/balancer/src/decisions/server_health.rs
+++ b/crates/balancer/src/decisions/server_health.rs
@@ -1,196 +1,234 @@
-//! What is learned of servers: their pace, their limits, and which of them are suspect.
+//! What is learned from finished attempts: latencies, concurrency limits and reachability. Latencies are fractions of the
+//! latency objective.
 
 use super::tuning::*;
 use crate::api::*;
-use crate::records::*;
+use crate::state::*;
 
-/// Weight of a new answer in its class's pace; a slower one counts a quarter.
-const CLASS_GAIN: f64 = 0.04;
-/// A server is slow at this multiple of the fleet's median pace; under it, counts alone shift the load.
-const SLOW: f64 = 3.0;
-/// Answers needed before a server can be called slow; one costly request is no evidence.
-const SLOW_SAMPLES: u32 = 4;
-/// Failures in a row, with no success between, that make a server suspect.
-const FAILURES: u32 = 3;
-/// Failed connects to a zone in a row, to any of its servers, that tell of a cut link and not of a dead
-/// server.
-const ZONE_FAILURES: u32 = 2;
-/// At most this share of the serving fleet is suspect; beyond it the trouble is not the servers'.
-const SUSPECT_SHARE: f64 = 0.75;
-/// The share of its aim that an answer should take: over it a server's limit shrinks, under it it grows.
-const TARGET: f64 = 0.25;
-/// What an answer past its aim leaves of a server's limit.
-const LATE_CUT: f64 = 0.85;
-/// A limit in full use grows by this much in the time that it takes to use it once.
-const GROWTH: f64 = 0.1;
-/// And shrinks by this much of its overshoot an answer; 0.04 and 0.08 cost more than they save.
-const SHRINK: f64 = 0.02;
-/// The common level loses this share of itself in a round trip of slow answers (over twice the target), and
-/// gains `LEVEL_UP` of its root in one of good ones: a quarter of slow answers holds it, low levels catch up.
-const LEVEL_CUT: f64 = 0.6;
-const LEVEL_UP: f64 = 0.2;
-/// All balancers together try a doubted server, or the way to a zone, once in this time.
-const TRIAL_EACH: Micros = Micros(5_000);
+/// Gain of a new response in the baseline of its class; see [`exponential_average`].
+const BASELINE_GAIN: f64 = 0.04;
+/// A server is slow at this multiple of the median latency; below it, its concurrency limit shifts the load.
+const SLOW_MULTIPLE: f64 = 3.0;
+/// The lower bound of the median for the judgement of a trial.
+const MIN_TRIAL_MEDIAN: f64 = 0.1;
+/// Responses before a server can be slow; a single expensive request is no evidence.
+const MIN_SLOW_SAMPLES: u32 = 4;
+/// Consecutive failures that eject a server.
+const EJECTION_FAILURES: u32 = 3;
+/// Consecutive connection failures to servers of a zone that make it unreachable, instead of a single server.
+const UNREACHABLE_ZONE_FAILURES: u32 = 2;
+/// The latency that a concurrency limit aims at: above it the limit shrinks, below it the limit grows.
+const TARGET_LATENCY: f64 = 0.25;
+/// The factor on a server's limit after a response past its objective.
+const LATE_DECREASE: f64 = 0.85;
+/// The growth of a limit in full use, per time that it takes to use it once.
+const LIMIT_INCREASE: f64 = 0.1;
+/// A limit grows only if this fraction of it is in use.
+const MIN_LIMIT_USE: f64 = 0.7;
+/// The decrease of a limit per response, relative to the overshoot; 0.04 and 0.08 cost more than they save.
+const LIMIT_DECREASE: f64 = 0.02;
+/// The maximum overshoot that a single response counts for.
+const MAX_OVERSHOOT: f64 = 2.0;
+/// The limit scale loses this fraction of itself in a round trip of slow responses, those over twice the target.
+const SCALE_DECREASE: f64 = 0.6;
+/// The limit scale gains this fraction of its root in a round trip of good responses: with a quarter of slow responses it
+/// stays level, and low scales recover quickly.
+const SCALE_INCREASE: f64 = 0.2;
+/// The upper bound of a sample of a server's slowness.
+const MAX_SLOWNESS: f64 = 8.0;
+/// The lower bound of a server's slowness.
+const MIN_SLOWNESS: f64 = 0.05;
+/// The lower bound of a baseline that is a divisor.
+const MIN_BASELINE: f64 = 0.001;
 
 impl Balancer {
+    /// Updates the statistics of the fleet, the zone and the server after an attempt has ended.
     pub(super) fn learn(
         &mut self,
         now: Time,
-        flight: &Flight,
+        attempt: &InFlightAttempt,
         outcome: Outcome,
         elapsed: Micros,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        let aim = self.settings.classes[flight.class].latency_objective.ms();
-        let least = 1.0 / f64::from(self.settings.balancers.max(1));
-        let (median, own) = (self.median, self.servers[flight.server].in_flight);
-        let used = match outcome {
-            Outcome::Success => (elapsed.ms() / aim).min(LATE),
-            // Called back is not stopped: the work may still stand in the server's queue.
-            Outcome::TimedOut | Outcome::Rejected | Outcome::Cancelled => LATE,
-            _ => 0.0,
-        };
-        let s = &self.servers[flight.server];
-        // A blind balancer takes the first full one for chance, and silence behind a cut for no jam.
-        let chance = (outcome == Outcome::Rejected && !flight.again)
-            || (outcome == Outcome::TimedOut && self.cut_off(s, now));
-        let (told, zone) = (s.reported_at.filter(|at| *at == now).map(|_| s.reported), s.listed.zone);
-        if used > 0.0 && !flight.counted {
-            match (self.blind, chance) {
-                (false, _) => self.set_level(used),
-                (true, false) => self.sign(now, zone, used, told),
-                (true, true) => {}
-            }
-        }
-        let s = &mut self.servers[flight.server];
-        if outcome.proves_reachable() {
-            s.last_answer = now;
-            self.zones.insert(s.listed.zone, Way { answered: now, ..Way::default() });
+        let latency = self.latency_sample(attempt.class, outcome, elapsed);
+        if latency > 0.0 && !attempt.counted_as_late {
+            self.learn_fleet_latency(now, attempt, outcome, latency);
         }
+        self.learn_reachability(now, attempt.server, outcome);
         match outcome {
-            // A full server is no sick one: it is only sent less.
+            // A full server is not faulty: it is only sent less.
             Outcome::NotSent | Outcome::Cancelled | Outcome::TimedOut | Outcome::Rejected => {}
-            Outcome::Success => {
-                s.failures = 0;
-                if used < 1.0 {
-                    s.doubted_until = now;
-                }
-                lean(&mut self.class_pace[flight.class], used, CLASS_GAIN);
-                lean(&mut s.stretch, (used / self.class_pace[flight.class].max(0.001)).min(8.0), CLASS_GAIN);
-                s.stretch = s.stretch.max(0.05);
-                let current = &mut self.class_now[flight.class];
-                *current += PACE_GAIN * (used - *current);
-            }
-            Outcome::ConnectFailed => {
-                s.failures += 1;
-                // One that is refused is a server's; one that meets silence may be the way's.
-                self.zones.entry(s.listed.zone).or_default().failures += u32::from(elapsed >= HUSH);
-            }
-            Outcome::ServerError | Outcome::ConnectionReset => s.failures += 1,
+            Outcome::Success => self.learn_success(now, attempt, latency),
+            Outcome::ConnectFailed => self.learn_connect_failure(attempt.server, elapsed),
+            Outcome::ServerError | Outcome::ConnectionReset => self.servers[attempt.server].failures += 1,
+        }
+        if latency > 0.0 {
+            self.learn_machine_type(attempt.server, latency);
+            self.learn_server_latency(now, attempt, outcome, elapsed, latency);
+        }
+        let server = &self.servers[attempt.server];
+        let zone_failures = server.reachability(&self.zones).failures;
+        let is_zone_failing = zone_failures >= UNREACHABLE_ZONE_FAILURES;
+        if self.sparse && outcome == Outcome::ConnectFailed && is_zone_failing {
+            self.mark_zone_unreachable(now, server.endpoint.zone, actions);
+        }
+        if attempt.is_trial {
+            self.learn_trial(now, attempt.server, outcome, latency);
+        } else {
+            self.detect_outlier(now, attempt.server, outcome, latency, actions);
+        }
+    }
+
+    /// The latency of an attempt, at most [`MAX_LATENCY`]; zero if its outcome says nothing about the load.
+    fn latency_sample(&self, class: usize, outcome: Outcome, elapsed: Micros) -> f64 {
+        let objective = self.settings.classes[class].latency_objective;
+        match outcome {
+            Outcome::Success => (elapsed.ms() / objective.ms()).min(MAX_LATENCY),
+            // A cancelled request may still be queued or running at the server.
+            Outcome::TimedOut | Outcome::Rejected | Outcome::Cancelled => MAX_LATENCY,
+            _ => 0.0,
         }
-        if used > 0.0 {
-            let (pace, n) = self.kinds.entry(s.listed.machine_type).or_insert((median, 1.0));
-            *n = (*n + 1.0).min(KIND_MOST);
-            *pace += (used - *pace) / *n;
-            s.pace = if s.samples == 0 { used } else { s.pace + PACE_GAIN * (used - s.pace) };
-            s.samples += 1;
-            // Slower than the pace forgets, or its lag would drive the limit down too far; an answer past its
-            // aim or a full queue is sure evidence and counts at once.
-            let over = (s.pace / TARGET - 1.0).min(2.0);
-            let factor = if used >= 1.0 { LATE_CUT } else { 1.0 - SHRINK * over.max(0.0) };
-            s.limit = (s.limit * factor).max(least);
-            if over <= 0.0 && used < 1.0 && f64::from(own) + 1.0 >= (0.7 * s.limit).floor() {
-                s.limit = (s.limit + GROWTH / s.limit.max(1.0)).min(LIMIT_MOST);
-            }
-            // A full server rests in any case, or what it turns away would go round the fleet at once.
-            (s.ended, s.took) = (now, elapsed.ms());
-            if outcome == Outcome::Rejected {
-                s.took = aim;
-                s.rest_until = now + Micros::from_ms(aim * self.class_pace[flight.class]);
-            }
+    }
+
+    fn learn_fleet_latency(&mut self, now: Time, attempt: &InFlightAttempt, outcome: Outcome, latency: f64) {
+        if !self.sparse {
+            return self.update_limit_scale(latency);
         }
-        let failures = s.way(&self.zones).failures;
-        if self.blind && outcome == Outcome::ConnectFailed && failures >= ZONE_FAILURES {
-            self.cut(now, zone, out);
+        let server = &self.servers[attempt.server];
+        // The first rejection of a request may be chance, and a timeout in an unreachable zone is no congestion.
+        let is_no_evidence = (outcome == Outcome::Rejected && !attempt.is_retry)
+            || (outcome == Outcome::TimedOut && self.is_unreachable(server, now));
+        if is_no_evidence {
+            return;
         }
-        let s = &mut self.servers[flight.server];
-        if flight.trial {
-            let good = outcome == Outcome::Success && used < SLOW * median.max(0.1);
-            if good {
-                s.suspicion = None;
-                (s.pace, s.samples, s.failures, s.stretch) = (used, 1, 0, 1.0);
-            } else if let Some(q) = &mut s.suspicion {
-                q.on_trial = false;
-                q.pause = (q.pause * 2.0).min(TRIAL_MOST);
-                q.next_trial = now + q.pause;
-            }
+        let reported_load = server.reported_at.filter(|at| *at == now).map(|_| server.reported_load);
+        self.record_fleet_sample(now, server.endpoint.zone, latency, reported_load);
+    }
+
+    fn learn_reachability(&mut self, now: Time, server: usize, outcome: Outcome) {
+        if !outcome.proves_reachable() {
             return;
         }
-        let slow = s.samples >= SLOW_SAMPLES && s.pace > SLOW * median && s.pace > TARGET;
-        let late = self.blind && used >= 1.0 && outcome != Outcome::Rejected;
-        if s.failures >= FAILURES || slow || late || (self.blind && s.failures > 0) {
-            self.suspect(now, flight.server, if slow { "slow" } else { "failing" }, out);
+        let server = &mut self.servers[server];
+        server.last_response = now;
+        let reachable = Reachability { last_response: now, ..Reachability::default() };
+        self.zones.insert(server.endpoint.zone, reachable);
+    }
+
+    fn learn_success(&mut self, now: Time, attempt: &InFlightAttempt, latency: f64) {
+        let server = &mut self.servers[attempt.server];
+        let stats = &mut self.classes[attempt.class];
+        server.failures = 0;
+        if latency < MAX_LATENCY {
+            server.deprioritized_until = now;
         }
+        exponential_average(&mut stats.baseline_latency, latency, BASELINE_GAIN);
+        let slowness = (latency / stats.baseline_latency.max(MIN_BASELINE)).min(MAX_SLOWNESS);
+        exponential_average(&mut server.slowness, slowness, BASELINE_GAIN);
+        server.slowness = server.slowness.max(MIN_SLOWNESS);
+        stats.recent_latency += LATENCY_GAIN * (latency - stats.recent_latency);
     }
 
-    /// Moves the common level by one answer.
-    pub(super) fn set_level(&mut self, used: f64) {
-        let least = 1.0 / f64::from(self.settings.balancers.max(1));
-        let slow = 2.0 * TARGET;
-        let step = if used >= slow { -LEVEL_CUT * self.level } else { LEVEL_UP * self.level.sqrt() };
-        let round = self.flights.len() + 1;
-        self.level = (self.level + step / round as f64).clamp(least, 1.0);
+    /// A refused connection is the server's failure; without any response it may be that of the path to the zone.
+    fn learn_connect_failure(&mut self, server: usize, elapsed: Micros) {
+        let server = &mut self.servers[server];
+        server.failures += 1;
+        let zone = self.zones.entry(server.endpoint.zone).or_default();
+        zone.failures += u32::from(elapsed >= UNRESPONSIVE_AFTER);
     }
 
-    /// Takes a server out of the draw and out of memory, unless too many are out already.
-    pub(super) fn suspect(&mut self, now: Time, server: usize, why: &str, out: &mut Vec<Action>) {
-        if self.blind {
-            return self.doubt(now, server, out);
+    fn learn_machine_type(&mut self, server: usize, latency: f64) {
+        let machine_type = self.servers[server].endpoint.machine_type;
+        let initial = MachineTypeLatency { latency: self.median_latency, samples: 1.0 };
+        let known = self.machine_types.entry(machine_type).or_insert(initial);
+        known.samples = (known.samples + 1.0).min(MAX_MACHINE_TYPE_SAMPLES);
+        known.latency += (latency - known.latency) / known.samples;
+    }
+
+    /// Updates the latency and the concurrency limit of a server. The limit shrinks more slowly than the latency decays, or
+    /// its lag would reduce the limit too far; a response past its objective or a full queue is evidence enough on its own.
+    fn learn_server_latency(
+        &mut self,
+        now: Time,
+        attempt: &InFlightAttempt,
+        outcome: Outcome,
+        elapsed: Micros,
+        latency: f64,
+    ) {
+        let min_limit = self.min_limit();
+        let server = &mut self.servers[attempt.server];
+        server.latency = if server.samples == 0 {
+            latency
+        } else {
+            server.latency + LATENCY_GAIN * (latency - server.latency)
+        };
+        server.samples += 1;
+        let overshoot = (server.latency / TARGET_LATENCY - 1.0).min(MAX_OVERSHOOT);
+        let is_late = latency >= MAX_LATENCY;
+        let factor = if is_late { LATE_DECREASE } else { 1.0 - LIMIT_DECREASE * overshoot.max(0.0) };
+        server.limit = (server.limit * factor).max(min_limit);
+        let is_used = f64::from(server.in_flight) + 1.0 >= (MIN_LIMIT_USE * server.limit).floor();
+        if overshoot <= 0.0 && !is_late && is_used {
+            server.limit = (server.limit + LIMIT_INCREASE / server.limit.max(1.0)).min(MAX_LIMIT);
         }
-        let all = self.serving.len() as f64;
-        let suspects = self.serving.iter().filter(|&&i| self.servers[i].suspicion.is_some()).count();
-        let s = &mut self.servers[server];
-        if s.suspicion.is_some() || (suspects + 1) as f64 > SUSPECT_SHARE * all {
-            return;
+        (server.last_sample_at, server.last_sample_ms) = (now, elapsed.ms());
+        // A full server always rests, or the requests it rejects would circulate in the fleet.
+        if outcome == Outcome::Rejected {
+            let objective_ms = self.settings.classes[attempt.class].latency_objective.ms();
+            server.last_sample_ms = objective_ms;
+            let rest_ms = objective_ms * self.classes[attempt.class].baseline_latency;
+            server.rest_until = now + Micros::from_ms(rest_ms);
         }
-        s.suspicion = Some(Suspicion { next_trial: now + TRIAL_FIRST, pause: TRIAL_FIRST, on_trial: false });
-        self.memory.retain(|&m| m != server);
-        let text =
-            format!("server {} {why}: pace {:.2} of median {:.2}", s.listed.server.0, s.pace, self.median);
-        out.push(Action::Log { text });
     }
 
-    /// A blind balancer meets a server too seldom for trials: those of all balancers together would be a load
-    /// of their own. It sends a doubted server a small part of its share for a while and tells some peers,
-    /// for each of them would else lose a request of its own to find out.
-    pub(super) fn doubt(&mut self, now: Time, server: usize, out: &mut Vec<Action>) {
-        let life = self.life(DOUBT_OWN);
-        let s = &mut self.servers[server];
-        s.doubted_until = now + life;
-        self.memory.retain(|&m| m != server);
-        let payload = s.listed.server.0.to_be_bytes().to_vec();
-        let paid = if self.settings.peers { self.tell_bytes / payload.len() as f64 } else { 0.0 };
-        for _ in 0..(paid as u32).min(TELL_MOST).min(self.settings.balancers - 1) {
-            self.tell_bytes -= payload.len() as f64;
-            let peer = PeerId(self.rng.u32(0..self.settings.balancers));
-            out.push(Action::SendHint { to: Some(peer), payload: payload.clone() });
+    /// Ends the ejection of a server after a good trial, or schedules the next trial.
+    fn learn_trial(&mut self, now: Time, server: usize, outcome: Outcome, latency: f64) {
+        let is_good = outcome == Outcome::Success
+            && latency < SLOW_MULTIPLE * self.median_latency.max(MIN_TRIAL_MEDIAN);
+        let server = &mut self.servers[server];
+        if is_good {
+            server.ejection = None;
+            (server.latency, server.samples) = (latency, 1);
+            (server.failures, server.slowness) = (0, 1.0);
+        } else if let Some(ejection) = &mut server.ejection {
+            ejection.on_trial_failed(now);
         }
     }
 
-    /// Takes the way to a zone to be cut for a while. What is idle there may be dead: the next attempt, the
-    /// trial of the way, needs a connection, and one that does not come up leaves time for another attempt.
-    pub(super) fn cut(&mut self, now: Time, zone: ZoneId, out: &mut Vec<Action>) {
-        let life = self.life(DOUBT_HEARD);
-        self.zones.entry(zone).or_default().cut_until = now + life;
-        let servers = &self.servers;
-        let there = self.serving.iter().map(|&i| &servers[i].listed).filter(|l| l.zone == zone);
-        out.extend(there.map(|l| Action::CloseIdle { server: l.server }));
-        self.memory.retain(|&m| servers[m].listed.zone != zone);
+    fn detect_outlier(
+        &mut self,
+        now: Time,
+        index: usize,
+        outcome: Outcome,
+        latency: f64,
+        actions: &mut Vec<Action>,
+    ) {
+        let server = &self.servers[index];
+        let is_slow = server.samples >= MIN_SLOW_SAMPLES
+            && server.latency > SLOW_MULTIPLE * self.median_latency
+            && server.latency > TARGET_LATENCY;
+        let is_late = self.sparse && latency >= MAX_LATENCY && outcome != Outcome::Rejected;
+        let is_failing = server.failures >= EJECTION_FAILURES || (self.sparse && server.failures > 0);
+        if is_slow || is_late || is_failing {
+            self.on_outlier(now, index, if is_slow { "slow" } else { "failing" }, actions);
+        }
+    }
+
+    /// Moves the scale of all limits by one response.
+    fn update_limit_scale(&mut self, latency: f64) {
+        let is_slow = latency >= 2.0 * TARGET_LATENCY;
+        let step = if is_slow {
+            -SCALE_DECREASE * self.limit_scale
+        } else {
+            SCALE_INCREASE * self.limit_scale.sqrt()
+        };
+        let round_trip = self.in_flight.len() + 1;
+        self.limit_scale = (self.limit_scale + step / round_trip as f64).clamp(self.min_limit(), 1.0);
     }
 
-    /// How long a doubt lasts: the trials of all balancers together stay bounded, and never come all at once.
-    pub(super) fn life(&mut self, least: Micros) -> Micros {
-        let fleet = Micros(TRIAL_EACH.0 * u64::from(self.settings.balancers));
-        least.max(fleet) * (0.75 + 0.5 * self.rng.f64())
+    /// The minimum of a server's limit and of the limit scale: one attempt in flight among all balancers.
+    fn min_limit(&self) -> f64 {
+        1.0 / f64::from(self.settings.balancers.max(1))
     }
 }
--- a/crates/balancer/src/decisions/tuning.rs
+++ b/crates/balancer/src/decisions/tuning.rs
@@ -1,45 +1,60 @@
-//! Figures that several parts of the decisions go by; those of one part stand there.
+//! Parameters that several decisions share; those of a single one are defined beside it. Latencies are fractions of the
+//! latency objective.
 
 use crate::api::*;
 
-/// Remembered servers (m) and fresh draws (d) of each pick; the paper asks for d >= m.
+/// Remembered servers per selection.
 pub(super) const REMEMBERED: usize = 1;
+/// Random draws per selection; the published algorithm requires at least as many as [`REMEMBERED`].
 pub(super) const DRAWS: usize = 3;
-/// Weight of a new answer in a server's pace: about the last eight answers count.
-pub(super) const PACE_GAIN: f64 = 0.12;
-/// An answer counts as this many aims at most: late is late, and one costly request must not weigh like ten.
-pub(super) const LATE: f64 = 1.0;
-/// A connection must be up within this share of the wanted time that is left, or the attempt is made
-/// elsewhere; it may always take `CONNECT_LEAST`. One that failed after `HUSH` was no refusal but silence.
-pub(super) const CONNECT_SHARE: f64 = 0.25;
-pub(super) const CONNECT_LEAST: Micros = Micros(50_000);
-pub(super) const HUSH: Micros = Micros(20_000);
-/// As many balancers may each have one request out at a cold server: rule four leaves that much to chance.
+/// Gain of a new response in a server's latency: about the last eight responses count.
+pub(super) const LATENCY_GAIN: f64 = 0.12;
+/// The upper bound of a latency sample: a single expensive request must not weigh as much as ten late ones.
+pub(super) const MAX_LATENCY: f64 = 1.0;
+/// A connection must be established within this fraction of the time left until the objective, or the attempt is made
+/// elsewhere.
+pub(super) const CONNECT_TIMEOUT_FRACTION: f64 = 0.25;
+/// The minimum of the connect timeout.
+pub(super) const MIN_CONNECT_TIMEOUT: Micros = Micros(50_000);
+/// A connection failure after this time was no refusal by the server but a lack of any response.
+pub(super) const UNRESPONSIVE_AFTER: Micros = Micros(20_000);
+/// This many balancers may have one request each in flight to a server in slow start without overloading it.
 pub(super) const FEW_BALANCERS: u32 = 5;
-/// First and longest pause between two trials of a suspect server.
-pub(super) const TRIAL_FIRST: Micros = Micros(250_000);
-pub(super) const TRIAL_MOST: Micros = Micros(4_000_000);
-/// A blind balancer always lets this share in, or it would never see a jam end.
-pub(super) const LEVEL_LEAST: f64 = 0.02;
-/// Own requests in flight that a server is first thought to bear, and the most it is ever given.
-pub(super) const LIMIT_FIRST: f64 = 2.0;
-pub(super) const LIMIT_MOST: f64 = 1000.0;
-/// How often the balancer looks around when it holds requests, and when it does not.
-pub(super) const TICK_BUSY: Micros = Micros(10_000);
-pub(super) const TICK_IDLE: Micros = Micros(50_000);
-/// The part of its share that a doubted server is still sent, and for how long after own evidence or hearsay.
-pub(super) const DOUBTED: f64 = 0.05;
-pub(super) const DOUBT_OWN: Micros = Micros(8_000_000);
-pub(super) const DOUBT_HEARD: Micros = Micros(5_000_000);
-/// Peers told of a doubted server, and the bytes that each request earns for that, saved up to a limit.
-pub(super) const TELL_MOST: u32 = 64;
-pub(super) const TELL_EARN: f64 = 25.0;
-pub(super) const TELL_SAVED: f64 = 512.0;
-/// Answers that the pace of a kind of machine remembers at most, those that it counts for beside a server's
-/// own, and those that a server's own count for at most.
-pub(super) const KIND_MOST: f64 = 12.0;
-pub(super) const KIND_WORTH: f64 = 1.5;
-pub(super) const OWN_MOST: f64 = 8.0;
-pub(super) const TICK: TimerId = TimerId(0);
-pub(super) const ASKED: TimerId = TimerId(1);
-pub(super) const COPY: TimerId = TimerId(2);
+/// The first backoff between two trials of an ejected server, and between two attempts while all zones are unreachable.
+pub(super) const MIN_TRIAL_BACKOFF: Micros = Micros(250_000);
+/// The maximum backoff between two trials of an ejected server.
+pub(super) const MAX_TRIAL_BACKOFF: Micros = Micros(4_000_000);
+/// The fraction of requests that is always admitted; without them the end of congestion would not be noticed.
+pub(super) const MIN_ADMITTED: f64 = 0.02;
+/// The initial concurrency limit of a server, in own attempts in flight.
+pub(super) const INITIAL_LIMIT: f64 = 2.0;
+/// The maximum concurrency limit of a server.
+pub(super) const MAX_LIMIT: f64 = 1000.0;
+/// The tick interval while requests are queued.
+pub(super) const BUSY_TICK_INTERVAL: Micros = Micros(10_000);
+/// The tick interval while no request is queued.
+pub(super) const IDLE_TICK_INTERVAL: Micros = Micros(50_000);
+/// The fraction of its share that a deprioritized server receives.
+pub(super) const DEPRIORITIZED_SHARE: f64 = 0.05;
+/// How long a server stays deprioritized after own evidence, before jitter.
+pub(super) const OWN_EVIDENCE_TTL: Micros = Micros(8_000_000);
+/// How long a server stays deprioritized after a peer's hint, or a zone unreachable.
+pub(super) const HINT_TTL: Micros = Micros(5_000_000);
+/// The maximum number of peers that receive a hint about one server.
+pub(super) const MAX_HINTS: u32 = 64;
+/// The bytes that each request adds to the hint budget.
+pub(super) const HINT_BUDGET_PER_REQUEST: f64 = 25.0;
+/// The maximum of the hint budget in bytes, also its initial value.
+pub(super) const HINT_BUDGET_MAX: f64 = 512.0;
+/// The maximum number of samples that the latency of a machine type is averaged over.
+pub(super) const MAX_MACHINE_TYPE_SAMPLES: f64 = 12.0;
+/// How many own samples of a server the latency of its machine type counts for.
+pub(super) const MACHINE_TYPE_WEIGHT: f64 = 1.5;
+/// The maximum weight of a server's own samples.
+pub(super) const MAX_OWN_WEIGHT: f64 = 8.0;
+/// The periodic tick.
+pub(super) const TICK_TIMER: TimerId = TimerId(0);
+/// The timeout of health checks before a selection.
+pub(super) const PROBE_TIMER: TimerId = TimerId(1);
+/// A hedged request is due.
+pub(super) const HEDGE_TIMER: TimerId = TimerId(2);
--- /dev/null
+++ b/crates/balancer/src/state/reconfigure.rs
@@ -0,0 +1,64 @@
+//! Replacement of the settings while requests are in progress.
+
+use super::{Balancer, ClassStats};
+use crate::api::*;
+use std::sync::Arc;
+
+impl Balancer {
+    /// Replaces the settings. Classes and tenants are never removed: pending requests keep their class and the attempts
+    /// that were allowed when they arrived. Each entry of `changed` is the index of a class that is replaced by a new one,
+    /// and the index of the class whose statistics the new one inherits, if any.
+    ///
+    /// # Errors
+    ///
+    /// Invalid settings; nothing has changed then.
+    pub fn reconfigure(
+        &mut self,
+        settings: Settings,
+        changed: &[(usize, Option<usize>)],
+    ) -> Result<(), SettingsError> {
+        settings.check()?;
+        self.keep_attempt_limit(&settings);
+        self.classes.resize(settings.classes.len(), ClassStats::INITIAL);
+        self.traffic.resize(settings.classes.len(), settings.tenants.len());
+        for &(class, inherited_from) in changed {
+            self.replace_class(&settings, class, inherited_from);
+        }
+        self.settings = settings;
+        self.sparse = self.settings.balancers as usize > self.max_serving;
+        Ok(())
+    }
+
+    /// Pending requests do not gain attempts from a higher limit.
+    fn keep_attempt_limit(&mut self, new: &Settings) {
+        let allowed = self.settings.max_attempts;
+        if new.max_attempts <= allowed {
+            return;
+        }
+        for pending in self.requests.values_mut() {
+            let mut limits = pending.request.limits().clone();
+            limits.max_attempts = limits.max_attempts.min(allowed);
+            pending.request.limits = Some(Arc::new(limits));
+        }
+    }
+
+    /// Resets the statistics of a class. Inherited latencies are fractions of the objective and are scaled to the new one.
+    fn replace_class(&mut self, new: &Settings, class: usize, inherited_from: Option<usize>) {
+        let objective_ms = |settings: &Settings, class: usize| settings.classes[class].latency_objective.ms();
+        let initial = ClassStats::INITIAL;
+        let inherited_from = inherited_from.filter(|from| *from < self.settings.classes.len());
+        let (baseline, recent) =
+            inherited_from.map_or((initial.baseline_latency, initial.recent_latency), |from| {
+                let scale = objective_ms(&self.settings, from) / objective_ms(new, class);
+                let stats = &self.classes[from];
+                (stats.baseline_latency * scale, stats.recent_latency * scale)
+            });
+        self.classes[class] = ClassStats {
+            baseline_latency: baseline,
+            recent_latency: recent,
+            is_protected: self.classes[class].is_protected,
+            ..initial
+        };
+        self.traffic.reset_class(class);
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/state/servers.rs
@@ -0,0 +1,178 @@
+//! Known servers, the reachability of their zones, and when they are forgotten.
+
+use super::{Balancer, DecayingSum};
+use crate::api::*;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// A removed server is remembered for this long: one that a list omits by mistake usually returns within seconds.
+const REMOVED_RETENTION: Micros = Micros(10_000_000);
+
+/// The reachability of a zone.
+#[derive(Debug, Clone, Copy, Default)]
+pub(crate) struct Reachability {
+    /// Consecutive connection failures to servers of the zone.
+    pub(crate) failures: u32,
+    /// The zone is considered unreachable until then.
+    pub(crate) unreachable_until: Time,
+    /// When a server of the zone last responded; the epoch if none has.
+    pub(crate) last_response: Time,
+}
+
+impl Reachability {
+    /// Whether a server of the zone has responded at `at` or later.
+    pub(crate) fn responded_since(self, at: Time) -> bool {
+        self.last_response >= at
+    }
+}
+
+/// The ejection of an outlier, which receives only trial requests.
+pub(crate) struct Ejection {
+    pub(crate) next_trial: Time,
+    /// The backoff between two trials.
+    pub(crate) backoff: Micros,
+    pub(crate) trial_in_flight: bool,
+}
+
+/// The latency of a machine type.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct MachineTypeLatency {
+    /// As a fraction of the objective.
+    pub(crate) latency: f64,
+    /// The number of responses that it is based on, up to a limit.
+    pub(crate) samples: f64,
+}
+
+/// A known server.
+pub(crate) struct Server {
+    pub(crate) endpoint: Endpoint,
+    /// Own attempts in flight.
+    pub(crate) in_flight: u32,
+    /// Latency relative to the baseline of its classes; it follows decreases faster than increases.
+    pub(crate) slowness: f64,
+    /// Smoothed latency as a fraction of the objective.
+    pub(crate) latency: f64,
+    pub(crate) samples: u32,
+    /// Consecutive failures.
+    pub(crate) failures: u32,
+    pub(crate) last_response: Time,
+    /// Maximum number of own attempts in flight; below one, a rest follows each response.
+    pub(crate) limit: f64,
+    /// It receives no request until then.
+    pub(crate) rest_until: Time,
+    pub(crate) last_sample_at: Time,
+    /// The duration of the attempt that gave the last sample.
+    pub(crate) last_sample_ms: f64,
+    pub(crate) ejection: Option<Ejection>,
+    /// Until then a sparse balancer sends it a reduced share, due to own evidence or a peer's hint.
+    pub(crate) deprioritized_until: Time,
+    /// Work sent to it during slow start, in milliseconds.
+    pub(crate) slow_start_work: DecayingSum,
+    /// Load by its last report.
+    pub(crate) reported_load: f64,
+    pub(crate) reported_at: Option<Time>,
+    pub(crate) sends_since_report: u32,
+    /// When it was first seen to be removed from the list.
+    pub(crate) removed_at: Option<Time>,
+}
+
+impl Server {
+    pub(crate) fn new(endpoint: Endpoint, limit: f64, now: Time) -> Self {
+        Server {
+            endpoint,
+            in_flight: 0,
+            slowness: 1.0,
+            latency: 0.0,
+            samples: 0,
+            failures: 0,
+            last_response: now,
+            limit,
+            rest_until: now,
+            last_sample_at: now,
+            last_sample_ms: 0.0,
+            ejection: None,
+            deprioritized_until: now,
+            slow_start_work: DecayingSum::default(),
+            reported_load: 0.0,
+            reported_at: None,
+            sends_since_report: 0,
+            removed_at: None,
+        }
+    }
+
+    /// The load by its last report, plus the sends since.
+    pub(crate) fn estimated_load(&self) -> f64 {
+        self.reported_load + f64::from(self.sends_since_report)
+    }
+
+    /// The reachability of its zone.
+    pub(crate) fn reachability(&self, zones: &BTreeMap<ZoneId, Reachability>) -> Reachability {
+        zones.get(&self.endpoint.zone).copied().unwrap_or_default()
+    }
+}
+
+impl Balancer {
+    /// Whether the zone of a server is considered unreachable.
+    pub(crate) fn is_unreachable(&self, server: &Server, now: Time) -> bool {
+        now < server.reachability(&self.zones).unreachable_until
+    }
+
+    /// Adds a server that is listed for the first time.
+    pub(crate) fn add_server(&mut self, server: Server) {
+        let id = server.endpoint.server;
+        let slot = match self.free.pop() {
+            Some(slot) => {
+                self.servers[slot] = server;
+                slot
+            }
+            None => {
+                self.servers.push(server);
+                self.servers.len() - 1
+            }
+        };
+        self.index.insert(id, slot);
+    }
+
+    /// Forgets servers that were removed [`REMOVED_RETENTION`] ago and have nothing in flight.
+    pub(crate) fn forget_removed_servers(&mut self, now: Time) {
+        for server in &mut self.servers {
+            let is_removed = server.endpoint.status == Status::Gone;
+            server.removed_at = is_removed.then(|| server.removed_at.unwrap_or(now));
+        }
+        let is_expired = |server: &Server| {
+            server.removed_at.is_some_and(|at| now.since(at) >= REMOVED_RETENTION) && server.in_flight == 0
+        };
+        let expired = self.index.iter().filter(|(_, &slot)| is_expired(&self.servers[slot]));
+        let expired: Vec<(ServerId, usize)> = expired.map(|(id, slot)| (*id, *slot)).collect();
+        if expired.is_empty() {
+            return;
+        }
+        let referenced = self.referenced_slots();
+        for (id, slot) in expired.into_iter().filter(|(_, slot)| !referenced.contains(slot)) {
+            self.index.remove(&id);
+            self.free.push(slot);
+            self.remembered.retain(|remembered| *remembered != slot);
+            self.key_servers.retain(|_, server| *server != slot);
+        }
+        self.forget_unused_zones_and_types();
+    }
+
+    /// The slots of `servers` that requests and attempts refer to. A slot must not be reused while one of them does, or
+    /// the new server would receive the results of the old one.
+    fn referenced_slots(&self) -> BTreeSet<usize> {
+        let mut slots: BTreeSet<usize> =
+            self.awaiting_probes.iter().flat_map(|waiting| waiting.candidates.iter().copied()).collect();
+        let attempts = self.requests.values().flat_map(|pending| &pending.attempts);
+        slots.extend(attempts.map(|attempt| attempt.server));
+        // Attempts of streaming requests do not count in `Server::in_flight` and may outlive their request.
+        slots.extend(self.in_flight.values().map(|attempt| attempt.server));
+        slots
+    }
+
+    fn forget_unused_zones_and_types(&mut self) {
+        let endpoints = || self.index.values().map(|&slot| &self.servers[slot].endpoint);
+        let zones: BTreeSet<ZoneId> = endpoints().map(|endpoint| endpoint.zone).collect();
+        let types: BTreeSet<MachineTypeId> = endpoints().map(|endpoint| endpoint.machine_type).collect();
+        self.zones.retain(|zone, _| zones.contains(zone));
+        self.machine_types.retain(|machine_type, _| types.contains(machine_type));
+    }
+}
--- a/crates/balancer/tests/unit/records.rs
+++ b/crates/balancer/tests/unit/state.rs
@@ -1,4 +1,4 @@
-//! Tests of the records' own bookkeeping, which no public interface shows.
+//! Tests of the bookkeeping of servers and attempts, which the public interface does not show.
 
 use super::*;
 
@@ -45,11 +45,11 @@
         balancer.servers.len(),
         balancer.index.len(),
         balancer.free.len(),
-        balancer.warm_keys.len(),
+        balancer.key_servers.len(),
         balancer.zones.len(),
-        balancer.kinds.len(),
-        balancer.live.len(),
-        balancer.flights.len(),
+        balancer.machine_types.len(),
+        balancer.requests.len(),
+        balancer.in_flight.len(),
     ];
     assert!(sizes.iter().all(|size| *size <= 20), "{sizes:?}");
 }
@@ -70,5 +70,5 @@
     answer(&mut balancer, now, 7, false);
     assert!(balancer.servers.iter().all(|s| s.in_flight == 0));
     let newcomer = &balancer.servers[balancer.index[&ServerId(29)]];
-    assert_eq!((newcomer.samples, newcomer.listed.server), (0, ServerId(29)));
+    assert_eq!((newcomer.samples, newcomer.endpoint.server), (0, ServerId(29)));
 }
