--- a/crates/balancer/tests/blind.rs
+++ b/crates/balancer/tests/blind.rs
@@ -163,6 +163,27 @@
     assert_eq!(serve(&mut plain, 10, 50, 20.0, all_well), serve(&mut told, 10, 50, 20.0, all_well));
 }
 
+/// Only the marker of an unconfirmed hint is known; a hint with any other trailing byte must not take effect.
+#[test]
+fn hint_with_unknown_marker_is_ignored() {
+    let sent_after = |hint: Option<Vec<u8>>| {
+        let mut testbed = Rig::new(Settings { peers: true, ..settings() }, 8);
+        testbed.list(fleet(10, 1, 1));
+        if let Some(payload) = hint {
+            testbed.tell(Event::PeerMessage { from: PeerId(9), payload });
+        }
+        serve(&mut testbed, 10, 50, 20.0, all_well)
+    };
+    let hint = |marker: &[u8]| Some([&3_u32.to_be_bytes(), marker].concat());
+    let without_hint = sent_after(None);
+    for known in [&[][..], &[UNCONFIRMED_HINT]] {
+        assert_ne!(sent_after(hint(known)), without_hint, "a hint with marker {known:?} takes effect");
+    }
+    for unknown in [&[0][..], &[2], &[u8::MAX], &[UNCONFIRMED_HINT, UNCONFIRMED_HINT]] {
+        assert_eq!(sent_after(hint(unknown)), without_hint, "a hint with marker {unknown:?} is ignored");
+    }
+}
+
 /// Behind a cut link every server fails to connect, one after another; two failures tell of the zone.
 #[test]
 fn a_cut_zone_is_left_after_two_failed_connects() {
