--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,48 +1,54 @@
-//! Lets bellcroft_balancer balancers decide on the simulator's wire: a line of events in, a line of actions out.
+//! Connects balancers to the simulator: reads a batch of events per line of input, writes a batch of actions per line of
+//! output.
 
+mod error;
 mod host;
+mod instance;
 mod wire;
 
+use error::SessionError;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-/// Reads batches until the input ends; the error is what a person should read.
-fn run(input: &mut dyn BufRead, output: &mut dyn Write) -> Result<(), String> {
+/// The exit code after an error of the input or output.
+const EXIT_SESSION_ERROR: u8 = 2;
+
+/// Handles batches until the end of the input.
+fn run(input: &mut dyn BufRead, output: &mut dyn Write) -> Result<(), SessionError> {
     let mut host = host::Host::default();
     let mut line = Vec::new();
     let mut last_round = None;
     loop {
         line.clear();
-        let read = input.read_until(b'\n', &mut line).map_err(|e| format!("cannot read the input: {e}"))?;
-        if read == 0 {
+        if input.read_until(b'\n', &mut line).map_err(SessionError::Read)? == 0 {
             return Ok(());
         }
-        let after = || last_round.map_or("the first round".into(), |r| format!("the round after {r}"));
         let batch: wire::Batch<'_> =
-            serde_json::from_slice(&line).map_err(|e| format!("{}: not a batch: {e}", after()))?;
+            serde_json::from_slice(&line).map_err(|source| SessionError::Decode { last_round, source })?;
         let round = batch.round;
         last_round = Some(round);
-        let reply = host.play(batch).map_err(|fault| format!("round {round}: {fault}"))?;
-        let mut text = serde_json::to_vec(&reply).map_err(|e| format!("round {round}: {e}"))?;
+        let reply = host.handle_batch(batch).map_err(|source| SessionError::Batch { round, source })?;
+        let mut text = serde_json::to_vec(&reply).map_err(|source| SessionError::Encode { round, source })?;
         text.push(b'\n');
         output
             .write_all(&text)
             .and_then(|()| output.flush())
-            .map_err(|e| format!("round {round}: cannot write the reply: {e}"))?;
+            .map_err(|source| SessionError::Write { round, source })?;
     }
 }
 
 fn main() -> ExitCode {
-    // A panic of the decision code goes out on the wire; the hook's own lines would only repeat it.
+    // A panic of the balancer is reported on the wire; the default hook would print it a second time.
     std::panic::set_hook(Box::new(|_| {}));
     match run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("simulator-adapter: {fault}");
-            ExitCode::from(2)
+        Err(error) => {
+            eprintln!("simulator-adapter: {error}");
+            ExitCode::from(EXIT_SESSION_ERROR)
         }
     }
 }
 
 #[cfg(test)]
+#[path = "../tests/unit/lines.rs"]
 mod tests;
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,9 +1,12 @@
-//! The simulator's words: what its lines hold, and nothing of what to do about them.
+//! The simulator's wire format, with the simulator's own names: one JSON object per line.
 
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
-/// One line of input: what has happened to some of the instances by the time of the clock.
+/// The recipient of an `ANNOUNCE` to all peers.
+pub const ALL_PEERS: i64 = -1;
+
+/// One line of input: the events of some instances at one time.
 #[derive(Debug, Deserialize)]
 pub struct Batch<'a> {
     #[serde(rename = "tMs")]
@@ -21,7 +24,7 @@
     pub inbox: Vec<Incoming<'a>>,
 }
 
-/// An event as it stands on the wire.
+/// An event.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Incoming<'a> {
@@ -99,7 +102,7 @@
     },
 }
 
-/// How a list event relates to the list before it.
+/// Whether an endpoint list is complete, and where it comes from.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub enum Form {
     Partial,
@@ -108,7 +111,7 @@
     Error,
 }
 
-/// A server as the list names it.
+/// An entry of an endpoint list.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Entry<'a> {
@@ -127,6 +130,7 @@
     pub last_start_ms: Option<f64>,
 }
 
+/// The lifecycle state of a server.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum EntryStatus {
@@ -135,7 +139,7 @@
     Deleted,
 }
 
-/// How an attempt or a probe ended.
+/// The outcome of an attempt or a health check.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Ending {
@@ -163,7 +167,7 @@
     pub outbox: Vec<Outgoing>,
 }
 
-/// An action as it stands on the wire.
+/// An action.
 #[derive(Debug, PartialEq, Serialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE", rename_all_fields = "camelCase")]
 pub enum Outgoing {
--- a/crates/simulator-adapter/tests/unit/lines.rs
+++ b/crates/simulator-adapter/tests/unit/lines.rs
@@ -1,4 +1,4 @@
-//! Decoding, encoding and dispatch, with lines of the project's own making.
+//! Decoding, encoding and dispatch of complete lines.
 
 use super::run;
 
@@ -40,7 +40,7 @@
 
 fn play(input: &str) -> (Result<(), String>, Vec<serde_json::Value>) {
     let mut output = Vec::new();
-    let end = run(&mut input.as_bytes(), &mut output);
+    let end = run(&mut input.as_bytes(), &mut output).map_err(|error| error.to_string());
     let text = String::from_utf8(output).expect("UTF-8");
     (end, text.lines().map(|l| serde_json::from_str(l).expect("JSON")).collect())
 }
@@ -51,14 +51,14 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_no_fault() {
+fn empty_batch_gets_empty_reply() {
     let (end, replies) = play(&batch(1, "8412.25", &[]));
     assert_eq!(end, Ok(()));
     assert_eq!(replies, [serde_json::json!({"round": 1, "parts": []})]);
 }
 
 #[test]
-fn a_request_is_routed_and_its_outcome_taken_with_times_to_the_microsecond() {
+fn request_and_outcome_keep_microseconds() {
     let first = batch(
         1,
         "358835696.557",
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_catalogue_number_is_taken_over_within_a_batch() {
+fn reused_catalog_number_replaces_list_within_batch() {
     let inbox = [
         attach(),
         catalog(0, &["backend_a"]),
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_new_life_in_the_same_batch_does_not_speak_for_the_old_one() {
+fn reattached_instance_drops_previous_requests_and_list() {
     let start = batch(1, "10", &[(0, &[attach(), catalog(0, &["backend_a"]), registry("Complete", 0)])]);
     let inbox = [request("old"), r#"{"RETIRE":{}}"#.into(), attach(), request("new")];
     let (end, replies) = play(&(start + &batch(2, "20", &[(0, &inbox)])));
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn mail_probes_and_news_of_dropped_requests_are_taken() {
+fn mail_probes_and_unknown_requests_are_accepted() {
     let inbox = [
         attach(),
         catalog(0, &["backend_a"]),
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn megabytes_in_one_batch() {
+fn batch_of_two_megabytes_is_handled() {
     let mut inbox = vec![attach(), catalog(0, &["backend_a", "backend_b"]), registry("Complete", 0)];
     inbox.extend((0..20_000).map(|i| request(&format!("{i:036}"))));
     let line = batch(1, "10", &[(0, &inbox)]);
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_fault_names_the_round_and_what_is_wrong() {
+fn error_names_round_and_cause() {
     let attached = |inbox: &str| batch(6, "10", &[(0, &[attach(), inbox.to_string()])]);
     for (line, words) in [
         ("{\"tMs\":1\n".to_string(), "the first round: not a batch"),
