--- a/crates/agent/tests/shutdown.rs
+++ b/crates/agent/tests/shutdown.rs
@@ -214,6 +214,13 @@
     let mut agent = Agent::with(config, |_| {}).await;
     agent.ready().await;
     agent.term().await;
+    // Events are logged at this level from the moment in which the agent acts on the signal; that it was sent is not enough.
+    soon("the begin of the shutdown", async {
+        while agent.logged("told to end") == 0 {
+            tokio::time::sleep(Duration::from_millis(1)).await;
+        }
+    })
+    .await;
     let mut client = agent.client().await;
     client.send(&request("POST", "/pay", "400m", "b")).await;
     let id = backend.next().await.header("x-request-id").expect("an id").to_owned();
