--- a/crates/attempt-log/src/record.rs
+++ b/crates/attempt-log/src/record.rs
@@ -1,54 +1,55 @@
-//! What is written down.
+//! The records of the log.
+//!
+//! They are stored in postcard's form, which has no names: the order of variants and fields is the stored form.
 
 use serde::{Deserialize, Serialize};
 
-/// The longest id, key and name that is kept, in bytes; what is longer is cut there.
-pub const NAME_MOST: usize = 256;
+/// The longest id, key and name that is stored, in bytes; a longer one is cut there.
+pub const MAX_NAME_BYTES: usize = 256;
 
-/// A process's life: records of different ones are never taken for each other's.
+/// One run of a process. Request numbers count within it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Start(pub u64);
+pub struct Incarnation(pub u64);
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// With a whole answer.
+    /// The complete response arrived.
     Answered,
-    /// It was turned away, and had not run.
-    TurnedAway,
-    /// Nothing of it was written, or not all of it: it had not run.
+    /// The server rejected it before it ran.
+    Rejected,
+    /// Not all of it was written, so it did not run.
     NotSent,
-    /// Its connection broke, or it was given up, after all of it was out: it may have run.
-    Unanswered,
+    /// The connection broke, or the attempt was cancelled, after all of it was written: it may have run.
+    Unknown,
     /// The server answered with an error: it may have run.
-    Error,
+    ServerError,
 }
 
 impl Outcome {
-    /// Whether it proves that the attempt never ran.
+    /// Whether this outcome proves that the attempt did not run.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::TurnedAway | Outcome::NotSent)
+        matches!(self, Outcome::Rejected | Outcome::NotSent)
     }
 }
 
-/// The one final answer.
+/// The one final response to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Answer {
-    /// A server's.
+pub enum FinalResponse {
+    /// A server's response.
     Served,
-    /// A refusal: a repeat is harmless.
-    Refused,
-    /// A failure, with no promise.
+    /// The request was shed: a retry is harmless.
+    Rejected,
+    /// The request failed, with no promise about its effect.
     Failed,
 }
 
-/// One line of the journal. `request` counts within a start; wall times are Unix milliseconds, monotonic ones
-/// microseconds since the start. No body and no other header is ever kept.
+/// One entry of the log. Fields in `_us` are microseconds since the process started.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// A request was taken.
-    Taken {
-        /// Its number.
+    /// A request was received.
+    Received {
+        /// Its number within the incarnation.
         request: u64,
         /// Its `X-Request-ID`.
         #[serde(with = "serde_bytes")]
@@ -60,88 +61,94 @@
         class: String,
         /// Its tenant; empty for none.
         tenant: String,
-        /// When, by the wall's clock.
+        /// When it was received, by the wall clock in Unix milliseconds.
         wall_ms: u64,
-        /// When, since the start.
+        /// When it was received.
         at_us: u64,
-        /// Its deadline, since the start.
+        /// Its deadline.
         deadline_us: u64,
     },
-    /// An attempt is about to leave; this is handed to the operating system before its first byte is.
+    /// An attempt is about to be sent; this record is passed to the operating system before the attempt's first byte.
     Intent {
         /// The request.
         request: u64,
-        /// The attempt.
+        /// The attempt's number within the request.
         attempt: u32,
         /// The server's name.
         server: String,
-        /// Its address.
+        /// The server's address.
         address: String,
-        /// When, since the start.
+        /// When the attempt was about to be sent.
         at_us: u64,
-        /// For how long servers still drop a repeat; none where they don't.
-        window_left_us: Option<u64>,
-        /// The attempt left before this was handed over, for the disk was slow: its proof has a gap.
-        late: bool,
+        /// For how long servers still drop a repeat; none where they never do.
+        remaining_window_us: Option<u64>,
+        /// The attempt was sent before this record was written, as the disk was slow: for that time the log proves nothing.
+        written_late: bool,
     },
-    /// An attempt is over.
+    /// An attempt ended.
     Outcome {
         /// The request.
         request: u64,
-        /// The attempt.
+        /// The attempt's number within the request.
         attempt: u32,
-        /// How.
+        /// How it ended.
         outcome: Outcome,
-        /// When, since the start.
+        /// When it ended.
         at_us: u64,
     },
-    /// The final answer.
-    Final {
+    /// The request has its final response.
+    Completed {
         /// The request.
         request: u64,
-        /// Which.
-        answer: Answer,
-        /// When, since the start.
+        /// Which response.
+        response: FinalResponse,
+        /// When it was decided.
         at_us: u64,
     },
-    /// The client has left.
-    Left {
+    /// The client disconnected before it had a response.
+    ClientDisconnected {
         /// The request.
         request: u64,
-        /// When, since the start.
+        /// When.
         at_us: u64,
     },
-    /// Records could not be written: what is not here between these two moments proves nothing.
+    /// Records could not be written: that one is missing between these two moments proves nothing.
     Gap {
-        /// How many.
-        lost: u64,
-        /// From, since the start.
+        /// The number of records.
+        lost_records: u64,
+        /// Begin of the gap.
         from_us: u64,
-        /// To.
+        /// End of the gap.
         to_us: u64,
     },
 }
 
 impl Record {
-    /// Cuts what is longer than is kept, so that no client's header makes a record that can't be read back.
-    pub fn bounded(mut self) -> Self {
-        let text = |text: &mut String| {
-            if text.len() > NAME_MOST {
-                let end = (0..=NAME_MOST).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(0);
-                text.truncate(end);
-            }
-        };
+    /// Cuts names to [`MAX_NAME_BYTES`], so that no client's header makes a record that can't be read back.
+    #[must_use]
+    pub fn truncated(mut self) -> Self {
         match &mut self {
-            Record::Taken { id, key, class, tenant, .. } => {
-                id.truncate(NAME_MOST);
-                key.truncate(NAME_MOST);
-                [class, tenant].into_iter().for_each(text);
+            Record::Received { id, key, class, tenant, .. } => {
+                id.truncate(MAX_NAME_BYTES);
+                key.truncate(MAX_NAME_BYTES);
+                [class, tenant].into_iter().for_each(truncate_text);
             }
             Record::Intent { server, address, .. } => {
-                [server, address].into_iter().for_each(text);
+                [server, address].into_iter().for_each(truncate_text);
             }
-            Record::Outcome { .. } | Record::Final { .. } | Record::Left { .. } | Record::Gap { .. } => {}
+            Record::Outcome { .. }
+            | Record::Completed { .. }
+            | Record::ClientDisconnected { .. }
+            | Record::Gap { .. } => {}
         }
         self
     }
 }
+
+/// Cuts a text at the last character that ends within the bound.
+fn truncate_text(text: &mut String) {
+    if text.len() > MAX_NAME_BYTES {
+        let end = (0..=MAX_NAME_BYTES).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(0);
+        text.truncate(end);
+    }
+}
--- a/crates/attempt-log/src/segment.rs
+++ b/crates/attempt-log/src/segment.rs
@@ -1,62 +1,57 @@
-//! Segments: the bytes of a file, and how they are read back whatever happened to them.
+//! Segments: the bytes of a file, and how they are read back after a crash or a corruption.
 //!
-//! A segment begins with [`Header`]; frames follow. A frame is a marker, a length, a CRC-32C (Castagnoli; RFC 3720, section
-//! 12.1) of length and payload, and the payload. After a spoilt place reading goes on at the next marker whose frame
-//! holds: a wrong length can hide no more than itself.
+//! A segment begins with a magic number, a version and a [`Header`]; frames follow. A frame is a marker, a length, a CRC-32C
+//! (Castagnoli; RFC 3720, section 12.1) of length and payload, and the payload. After a corrupt place reading resumes at the
+//! next marker whose frame is valid: a wrong length can hide no more than its own frame.
 
-use crate::record::{Record, Start};
+use crate::record::{Incarnation, Record};
 use serde::{Deserialize, Serialize};
 
 /// The first bytes of every segment.
 pub const MAGIC: [u8; 8] = *b"bcledger";
-/// The form that is written; older ones are read, newer ones refused.
+/// The version that is written; older ones are read, newer ones refused.
 pub const VERSION: u16 = 1;
+/// The longest payload: a record with all its names at their longest is well below.
+pub const MAX_PAYLOAD_BYTES: usize = 4 << 10;
 /// The first bytes of every frame.
 const MARKER: [u8; 2] = [0xb1, 0x6c];
-/// Marker, length, checksum.
-const FRAME_HEAD: usize = 2 + 4 + 4;
-/// The longest payload: a record with all its names at their longest is well below.
-pub const PAYLOAD_MOST: usize = 4 << 10;
+const LENGTH_BYTES: usize = 4;
+const CHECKSUM_BYTES: usize = 4;
+const FRAME_HEADER_BYTES: usize = MARKER.len() + LENGTH_BYTES + CHECKSUM_BYTES;
 
-/// Whose a segment is.
+/// The first frame of a segment: which process wrote it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// The process's life.
-    pub start: Start,
-    /// Its place among the start's segments, counted from 0.
-    pub number: u64,
+    /// The process's incarnation.
+    pub incarnation: Incarnation,
+    /// The segment's place among those of the incarnation, counted from 0.
+    pub sequence: u64,
     /// The instance's name.
     pub instance: String,
-    /// When the start began, in Unix milliseconds: what `at_us` counts from.
-    pub wall_ms: u64,
+    /// When the process started, in Unix milliseconds: the origin of every `at_us`.
+    pub started_ms: u64,
 }
 
 /// Why a segment can't be read at all.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Unreadable {
-    /// It is no segment.
-    NoSegment,
-    /// It is of a newer form.
-    Newer(u16),
-    /// Its header is cut off or spoilt.
-    Header,
-}
-
-impl std::fmt::Display for Unreadable {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            Unreadable::NoSegment => f.write_str("it is no segment of a ledger"),
-            Unreadable::Newer(version) => {
-                write!(f, "it is of form {version}; this program reads up to {VERSION}")
-            }
-            Unreadable::Header => f.write_str("its header is cut off or spoilt"),
-        }
-    }
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+pub enum ReadError {
+    /// The magic number is missing.
+    #[error("it is no segment of a ledger")]
+    NotASegment,
+    /// The segment was written by a newer program.
+    #[error("it is of form {0}; this program reads up to {VERSION}")]
+    UnsupportedVersion(u16),
+    /// The header is truncated or corrupt.
+    #[error("its header is cut off or spoilt")]
+    CorruptHeader,
 }
 
-impl std::error::Error for Unreadable {}
+/// A record could not be encoded.
+#[derive(Debug, thiserror::Error)]
+#[error("a record cannot be encoded")]
+pub struct EncodeError(#[from] postcard::Error);
 
-fn frame(payload: &[u8], out: &mut Vec<u8>) {
+fn append_frame(payload: &[u8], out: &mut Vec<u8>) {
     let length = (payload.len() as u32).to_le_bytes();
     out.extend(MARKER);
     out.extend(length);
@@ -65,43 +60,54 @@
 }
 
 /// A segment's first bytes.
-pub fn begin(header: &Header) -> Vec<u8> {
+///
+/// # Errors
+///
+/// The header cannot be encoded.
+pub fn encode_header(header: &Header) -> Result<Vec<u8>, EncodeError> {
     let mut bytes = MAGIC.to_vec();
     bytes.extend(VERSION.to_le_bytes());
-    // Plain data in a growing vector: it cannot fail.
-    frame(&postcard::to_stdvec(header).unwrap_or_default(), &mut bytes);
-    bytes
+    append_frame(&postcard::to_stdvec(header)?, &mut bytes);
+    Ok(bytes)
 }
 
 /// Appends a record's frame.
-pub fn put(record: &Record, out: &mut Vec<u8>) {
-    frame(&postcard::to_stdvec(&record.clone().bounded()).unwrap_or_default(), out);
+///
+/// # Errors
+///
+/// The record cannot be encoded; nothing is appended then.
+pub fn append_record(record: &Record, out: &mut Vec<u8>) -> Result<(), EncodeError> {
+    let payload = postcard::to_stdvec(&record.clone().truncated())?;
+    append_frame(&payload, out);
+    Ok(())
 }
 
-/// The frame at the begin of these bytes, if there is a whole one: its payload.
-fn frame_at(bytes: &[u8]) -> Option<&[u8]> {
-    let head = bytes.get(..FRAME_HEAD)?;
-    if head[..2] != MARKER {
+/// The payload of the frame at the start of these bytes, if a complete and valid one is there.
+fn frame_payload(bytes: &[u8]) -> Option<&[u8]> {
+    let header = bytes.get(..FRAME_HEADER_BYTES)?;
+    let (marker, rest) = header.split_at(MARKER.len());
+    let (length, checksum) = rest.split_at(LENGTH_BYTES);
+    if marker != MARKER {
         return None;
     }
-    let word = |at: usize| head.get(at..at + 4).and_then(|b| b.try_into().ok()).map(u32::from_le_bytes);
-    let length = word(2)? as usize;
-    if length > PAYLOAD_MOST {
+    let payload_bytes = u32::from_le_bytes(length.try_into().ok()?) as usize;
+    if payload_bytes > MAX_PAYLOAD_BYTES {
         return None;
     }
-    let payload = bytes.get(FRAME_HEAD..FRAME_HEAD + length)?;
-    let sum = crc32c::crc32c_append(crc32c::crc32c(&head[2..6]), payload);
-    (sum == word(6)?).then_some(payload)
+    let payload = bytes.get(FRAME_HEADER_BYTES..FRAME_HEADER_BYTES + payload_bytes)?;
+    let expected = u32::from_le_bytes(checksum.try_into().ok()?);
+    let actual = crc32c::crc32c_append(crc32c::crc32c(length), payload);
+    (actual == expected).then_some(payload)
 }
 
 /// What stands in a segment, place by place.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Item {
-    /// A record, and where its frame ends.
+    /// A record, and the offset of its frame's end.
     Record(Record, usize),
-    /// Bytes that are no frame; whole frames stand behind them.
-    Spoilt(std::ops::Range<usize>),
-    /// The rest is no frame: it was cut off, or spoilt to its end.
+    /// Bytes that are no valid frame, before a valid one.
+    Corrupt(std::ops::Range<usize>),
+    /// The offset from which on no valid frame follows: the segment was truncated there, or is corrupt up to its end.
     Tail(usize),
 }
 
@@ -109,36 +115,37 @@
 ///
 /// # Errors
 ///
-/// It can't be read.
-pub fn open(bytes: &[u8]) -> Result<(Header, Items<'_>), Unreadable> {
-    let magic = bytes.get(..MAGIC.len()).ok_or(Unreadable::NoSegment)?;
+/// The segment can't be read at all.
+pub fn open(bytes: &[u8]) -> Result<(Header, Items<'_>), ReadError> {
+    let magic = bytes.get(..MAGIC.len()).ok_or(ReadError::NotASegment)?;
     if magic != MAGIC {
-        return Err(Unreadable::NoSegment);
+        return Err(ReadError::NotASegment);
     }
-    let at = MAGIC.len() + 2;
-    let version = bytes.get(MAGIC.len()..at).and_then(|b| b.try_into().ok()).map(u16::from_le_bytes);
-    let version = version.ok_or(Unreadable::Header)?;
+    let frames_at = MAGIC.len() + size_of::<u16>();
+    let version = bytes.get(MAGIC.len()..frames_at).and_then(|b| b.try_into().ok()).map(u16::from_le_bytes);
+    let version = version.ok_or(ReadError::CorruptHeader)?;
     if version > VERSION {
-        return Err(Unreadable::Newer(version));
+        return Err(ReadError::UnsupportedVersion(version));
     }
-    let payload = frame_at(&bytes[at..]).ok_or(Unreadable::Header)?;
-    let header = postcard::from_bytes(payload).map_err(|_| Unreadable::Header)?;
-    Ok((header, Items { bytes, at: at + FRAME_HEAD + payload.len() }))
+    let payload = frame_payload(&bytes[frames_at..]).ok_or(ReadError::CorruptHeader)?;
+    let header = postcard::from_bytes(payload).map_err(|_| ReadError::CorruptHeader)?;
+    Ok((header, Items { bytes, offset: frames_at + FRAME_HEADER_BYTES + payload.len() }))
 }
 
 /// The items of a segment, in their order.
 #[derive(Debug, Clone)]
 pub struct Items<'a> {
     bytes: &'a [u8],
-    at: usize,
+    offset: usize,
 }
 
 impl Items<'_> {
-    /// The record whose frame begins here, and its frame's length. Bytes that a record leaves over are no record's.
-    fn record_at(&self, at: usize) -> Option<(Record, usize)> {
-        let payload = frame_at(&self.bytes[at..])?;
+    /// The record whose frame begins at this offset, and the frame's length. A payload with bytes behind its record is
+    /// corrupt.
+    fn record_at(&self, offset: usize) -> Option<(Record, usize)> {
+        let payload = frame_payload(&self.bytes[offset..])?;
         let (record, rest) = postcard::take_from_bytes::<Record>(payload).ok()?;
-        rest.is_empty().then_some((record, FRAME_HEAD + payload.len()))
+        rest.is_empty().then_some((record, FRAME_HEADER_BYTES + payload.len()))
     }
 }
 
@@ -146,22 +153,22 @@
     type Item = Item;
 
     fn next(&mut self) -> Option<Item> {
-        if self.at >= self.bytes.len() {
+        if self.offset >= self.bytes.len() {
             return None;
         }
-        if let Some((record, length)) = self.record_at(self.at) {
-            self.at += length;
-            return Some(Item::Record(record, self.at));
+        if let Some((record, length)) = self.record_at(self.offset) {
+            self.offset += length;
+            return Some(Item::Record(record, self.offset));
         }
-        let from = self.at;
-        let marks = (from + 1..self.bytes.len()).filter(|at| self.bytes[*at] == MARKER[0]);
-        match marks.into_iter().find(|at| self.record_at(*at).is_some()) {
+        let from = self.offset;
+        let mut candidates = (from + 1..self.bytes.len()).filter(|at| self.bytes[*at] == MARKER[0]);
+        match candidates.find(|at| self.record_at(*at).is_some()) {
             Some(next) => {
-                self.at = next;
-                Some(Item::Spoilt(from..next))
+                self.offset = next;
+                Some(Item::Corrupt(from..next))
             }
             None => {
-                self.at = self.bytes.len();
+                self.offset = self.bytes.len();
                 Some(Item::Tail(from))
             }
         }
--- a/crates/attempt-log/tests/crash.rs
+++ b/crates/attempt-log/tests/crash.rs
@@ -1,4 +1,4 @@
-//! A journal cut off anywhere, on disks that fail at any call, and with bits turned over.
+//! The log truncated anywhere, on storage that fails at any call, and with bits flipped.
 
 use bellcroft_attempt_log::*;
 use proptest::prelude::*;
@@ -42,7 +42,7 @@
     }
 }
 
-impl Disk for Memory {
+impl Storage for Memory {
     fn list(&self) -> io::Result<Vec<String>> {
         Ok(self.files.keys().cloned().collect())
     }
@@ -86,25 +86,25 @@
     }
 }
 
-fn taken(request: u64) -> Record {
+fn received(request: u64) -> Record {
     let id = format!("id-{request}").into_bytes();
     let key = format!("key-{}", request / 2).into_bytes();
     let (class, tenant) = ("log-session".to_owned(), "acme".to_owned());
     let (wall_ms, at_us, deadline_us) = (5_000 + request, request * 10, request * 10 + 700_000);
-    Record::Taken { request, id, key, class, tenant, wall_ms, at_us, deadline_us }
+    Record::Received { request, id, key, class, tenant, wall_ms, at_us, deadline_us }
 }
 
 fn intent(request: u64) -> Record {
     let (server, address) = (format!("s{}", request % 7), "127.0.0.1:1".to_owned());
-    let window_left_us = Some(7_500_000);
+    let remaining_window_us = Some(7_500_000);
     Record::Intent {
         request,
         attempt: 0,
         server,
         address,
         at_us: request * 10 + 1,
-        window_left_us,
-        late: false,
+        remaining_window_us,
+        written_late: false,
     }
 }
 
@@ -112,7 +112,7 @@
     Record::Outcome { request, attempt: 0, outcome, at_us: request * 10 + 5 }
 }
 
-/// What happened in the world, whatever the journal could say of it.
+/// What really happened, independent of the log.
 #[derive(Debug, Default)]
 struct World {
     /// Requests whose first byte left.
@@ -121,23 +121,23 @@
     answered: Vec<u64>,
     /// Those of them that were sent though their intent could not be written.
     unproved: Vec<u64>,
-    /// Those whose intent the journal returned well for.
+    /// Those whose intent was written with `Ok`.
     promised: Vec<u64>,
 }
 
 /// Forty requests: intent, send, outcome, as the agent does it. Ends with the disk.
-fn run(disk: &mut Memory, policy: Policy, start: u64) -> (World, Log) {
-    let mut log = Log::new(Start(start), "n0", start * 1_000_000, policy, &Recovered::default());
+fn run(disk: &mut Memory, policy: LogPolicy, start: u64) -> (World, LogWriter) {
+    let mut log = LogWriter::new(Incarnation(start), "n0", start * 1_000_000, policy, &Recovery::default());
     let mut world = World::default();
     for request in 0..40 {
         let now = request * 10;
-        let written = log.write(disk, now, &[taken(request), intent(request)]);
+        let written = log.write(disk, now, &[received(request), intent(request)]);
         if disk.dies_at.is_some_and(|at| disk.calls >= at) {
             break;
         }
         match written {
             Ok(()) => world.promised.push(request),
-            // Bookings go on whatever the journal does.
+            // Requests go on whatever the log does.
             Err(_) => world.unproved.push(request),
         }
         world.sent.push(request);
@@ -145,7 +145,7 @@
             world.answered.push(request);
             let _ = log.write(disk, now + 5, &[outcome(request, Outcome::Answered)]);
         }
-        if policy.sync == Sync::Interval && request % 8 == 7 {
+        if policy.sync == SyncPolicy::Interval && request % 8 == 7 {
             let _ = log.sync(disk);
         }
         if disk.dies_at.is_some_and(|at| disk.calls >= at) {
@@ -155,11 +155,12 @@
     (world, log)
 }
 
-/// The independent reader: what must hold between the world and what is left of the journal.
-fn check(world: &World, stories: &Stories, all_must_be_there: bool, at: &str) {
+/// The independent reader: what must hold between what happened and what is left of the log.
+fn check(world: &World, index: &HistoryIndex, all_must_be_there: bool, at: &str) {
     // A request whose first record is lost has no name.
-    let named = stories.iter().filter(|story| !story.id.is_empty());
-    let known: BTreeMap<Vec<u8>, State> = named.map(|story| (story.id.clone(), story.state())).collect();
+    let named = index.iter().filter(|request| !request.id.is_empty());
+    let known: BTreeMap<Vec<u8>, State> =
+        named.map(|request| (request.id.clone(), request.state())).collect();
     let state = |request: &u64| known.get(format!("id-{request}").as_bytes()).copied();
     for request in &world.sent {
         assert_ne!(state(request), Some(State::NeverSent), "{at}: {request} was sent");
@@ -172,7 +173,7 @@
     }
     if all_must_be_there {
         for request in &world.promised {
-            assert!(state(request).is_some(), "{at}: {request} was promised and is not there");
+            assert!(state(request).is_some(), "{at}: {request} was written and is missing");
         }
     }
 }
@@ -182,9 +183,9 @@
 /// The process is killed, or the power lost, at every single call of the disk, also half way through a write; then the
 /// recovery itself is killed, three times in a row, at each of its calls.
 #[test]
-fn a_crash_at_every_call_breaks_no_promise() {
-    for sync in [Sync::None, Sync::Interval, Sync::Each] {
-        let policy = Policy { sync, segment_bytes: SMALL, ..Policy::default() };
+fn crash_at_any_storage_call_keeps_all_guarantees() {
+    for sync in [SyncPolicy::Never, SyncPolicy::Interval, SyncPolicy::EveryWrite] {
+        let policy = LogPolicy { sync, max_segment_bytes: SMALL, ..LogPolicy::default() };
         let mut whole = Memory::default();
         run(&mut whole, policy, 1);
         assert!(whole.calls > 60 && whole.files.len() > 5, "{sync:?}: it rotates");
@@ -204,50 +205,50 @@
                 let found = recover(&mut again).expect("it can be listed");
                 // Of a killed process only the segment that it was beginning may be without its header.
                 assert!(power || found.unreadable.len() <= 1, "{at}: {:?}", found.unreadable);
-                let stories = Stories::of(&found);
+                let index = HistoryIndex::new(&found);
                 // Without a sync a loss of power may take all; a kill takes nothing that was handed over.
-                check(&world, &stories, !power || sync == Sync::Each, &at);
+                check(&world, &index, !power || sync == SyncPolicy::EveryWrite, &at);
                 // Once recovered there is nothing left to put aside, and nothing else to find.
                 let once_more = recover(&mut again).expect("it can be listed");
-                assert!(once_more.aside.is_empty(), "{at}");
-                assert_eq!(Stories::of(&once_more).iter().count(), stories.iter().count(), "{at}");
+                assert!(once_more.quarantined.is_empty(), "{at}");
+                assert_eq!(HistoryIndex::new(&once_more).iter().count(), index.iter().count(), "{at}");
             }
         }
     }
 }
 
-/// A disk that is full for a while: bookings go on, nothing else is lost, and the gap is written once there is space.
+/// A disk that is full for a while: requests go on, nothing else is lost, and the gap is written once there is space.
 #[test]
-fn a_full_disk_costs_its_own_records_and_says_so() {
+fn full_disk_loses_only_its_records_and_writes_gap() {
     for first in 1..60 {
         let mut disk = Memory { fails: (first..first + 6).collect(), ..Memory::default() };
-        let (world, log) = run(&mut disk, Policy { segment_bytes: SMALL, ..Policy::default() }, 1);
-        assert_eq!(world.sent.len(), 40, "bookings go on");
-        assert_eq!(log.owes(), 0);
+        let (world, log) = run(&mut disk, LogPolicy { max_segment_bytes: SMALL, ..LogPolicy::default() }, 1);
+        assert_eq!(world.sent.len(), 40, "requests go on");
+        assert_eq!(log.unreported_losses(), 0);
         let found = recover(&mut disk.after(false)).expect("it can be listed");
-        let stories = Stories::of(&found);
-        check(&world, &stories, true, &format!("full from call {first}"));
-        assert!(stories.lost > 0, "{first}: the gap is told");
+        let index = HistoryIndex::new(&found);
+        check(&world, &index, true, &format!("full from call {first}"));
+        assert!(index.lost_records > 0, "{first}: the gap is reported");
     }
 }
 
 #[test]
-fn the_oldest_segments_go_first() {
+fn oldest_segments_are_removed_first() {
     let mut disk = Memory::default();
-    let policy = Policy { segment_bytes: SMALL, keep_bytes: 4 * SMALL, ..Policy::default() };
+    let policy = LogPolicy { max_segment_bytes: SMALL, max_total_bytes: 4 * SMALL, ..LogPolicy::default() };
     run(&mut disk, policy, 1);
     let all: usize = disk.files.values().map(|(bytes, _)| bytes.len()).sum();
     assert!(all <= 5 * SMALL + 500, "{all} bytes are kept");
-    let stories = Stories::of(&recover(&mut disk).expect("it can be listed"));
-    assert!(stories.iter().any(|story| story.id == b"id-39"), "the newest are there");
-    assert!(!stories.iter().any(|story| story.id == b"id-0"), "the oldest are not");
+    let index = HistoryIndex::new(&recover(&mut disk).expect("it can be listed"));
+    assert!(index.iter().any(|request| request.id == b"id-39"), "the newest are there");
+    assert!(!index.iter().any(|request| request.id == b"id-0"), "the oldest are not");
 }
 
 /// Two starts in one folder, their segments in any order of names; a newer form, and a file that is none of it.
 #[test]
-fn starts_are_kept_apart_and_strange_files_left_alone() {
+fn incarnations_are_separate_and_foreign_files_untouched() {
     let mut disk = Memory::default();
-    let policy = Policy { segment_bytes: SMALL, ..Policy::default() };
+    let policy = LogPolicy { max_segment_bytes: SMALL, ..LogPolicy::default() };
     run(&mut disk, policy, 9);
     let (_, _) = run(&mut disk, policy, 2);
     let mut newer = disk.files.values().next().expect("a segment").0.clone();
@@ -256,45 +257,52 @@
     disk.files.insert("ledger-noise-0.log".into(), (b"noise".to_vec(), 5));
     disk.files.insert("notes.txt".into(), (b"mine".to_vec(), 4));
     let found = recover(&mut disk).expect("it can be listed");
-    let why: Vec<String> = found.unreadable.iter().map(|(_, why)| why.to_string()).collect();
+    let why: Vec<String> = found.unreadable.iter().map(|file| file.error.to_string()).collect();
     assert_eq!(why, ["it is of form 200; this program reads up to 1", "it is no segment of a ledger"]);
     assert_eq!(disk.files["ledger-newer-0.log"].0, newer, "it stays as it is");
-    let stories = Stories::of(&found);
-    assert_eq!(stories.iter().count(), 80, "equal numbers of two starts are two requests");
-    assert_eq!(stories.with_key(b"key-3").len(), 4, "a client's retry has another id and the same key");
+    let index = HistoryIndex::new(&found);
+    assert_eq!(index.iter().count(), 80, "equal numbers of two starts are two requests");
+    assert_eq!(index.with_key(b"key-3").len(), 4, "a client's retry has another id and the same key");
 }
 
-/// The states, from the least to the most that is known.
+/// Each state, from the least to the most that is known.
 #[test]
-fn states_say_no_more_than_is_known() {
+fn state_claims_no_more_than_records_prove() {
     let of = |records: Vec<Record>| {
         let mut disk = Memory::default();
-        let mut log = Log::new(Start(1), "n0", 1_000_000, Policy::default(), &Recovered::default());
+        let mut log =
+            LogWriter::new(Incarnation(1), "n0", 1_000_000, LogPolicy::default(), &Recovery::default());
         log.write(&mut disk, 0, &records).expect("it is memory");
-        let stories = Stories::of(&recover(&mut disk).expect("it can be listed"));
-        let story = stories.iter().next().expect("one").clone();
-        (story.state(), story.harmless_until_ms(), story.may_have_run().count())
+        let index = HistoryIndex::new(&recover(&mut disk).expect("it can be listed"));
+        let request = index.iter().next().expect("one").clone();
+        (request.state(), request.retry_safe_until_ms(), request.may_have_run().count())
     };
-    let last = |answer| Record::Final { request: 0, answer, at_us: 9 };
+    let last = |answer| Record::Completed { request: 0, response: answer, at_us: 9 };
     let until = Some(1_000_000 + 7_500);
-    assert_eq!(of(vec![taken(0)]), (State::NeverSent, None, 0));
-    assert_eq!(of(vec![taken(0), last(Answer::Refused)]), (State::Refused, None, 0));
-    assert_eq!(of(vec![taken(0), intent(0)]), (State::Unanswered, until, 1));
-    let broken = outcome(0, Outcome::Unanswered);
-    assert_eq!(of(vec![taken(0), intent(0), broken.clone()]), (State::Unanswered, until, 1));
-    assert_eq!(of(vec![taken(0), intent(0), broken, last(Answer::Failed)]), (State::Failed, until, 1));
-    let away = outcome(0, Outcome::TurnedAway);
-    assert_eq!(of(vec![taken(0), intent(0), away.clone()]), (State::NeverSent, None, 0));
-    assert_eq!(of(vec![taken(0), intent(0), away, last(Answer::Refused)]), (State::Refused, None, 0));
+    assert_eq!(of(vec![received(0)]), (State::NeverSent, None, 0));
+    assert_eq!(of(vec![received(0), last(FinalResponse::Rejected)]), (State::Rejected, None, 0));
+    assert_eq!(of(vec![received(0), intent(0)]), (State::Unknown, until, 1));
+    let broken = outcome(0, Outcome::Unknown);
+    assert_eq!(of(vec![received(0), intent(0), broken.clone()]), (State::Unknown, until, 1));
+    assert_eq!(
+        of(vec![received(0), intent(0), broken, last(FinalResponse::Failed)]),
+        (State::Failed, until, 1)
+    );
+    let away = outcome(0, Outcome::Rejected);
+    assert_eq!(of(vec![received(0), intent(0), away.clone()]), (State::NeverSent, None, 0));
+    assert_eq!(
+        of(vec![received(0), intent(0), away, last(FinalResponse::Rejected)]),
+        (State::Rejected, None, 0)
+    );
     let answered = outcome(0, Outcome::Answered);
-    assert_eq!(of(vec![taken(0), intent(0), answered]).0, State::Answered);
+    assert_eq!(of(vec![received(0), intent(0), answered]).0, State::Answered);
 }
 
 fn segment() -> (Vec<u8>, Vec<Record>) {
     let mut disk = Memory::default();
-    let mut log = Log::new(Start(1), "n0", 7, Policy::default(), &Recovered::default());
+    let mut log = LogWriter::new(Incarnation(1), "n0", 7, LogPolicy::default(), &Recovery::default());
     let records: Vec<Record> =
-        (0..12).flat_map(|n| [taken(n), intent(n), outcome(n, Outcome::Answered)]).collect();
+        (0..12).flat_map(|n| [received(n), intent(n), outcome(n, Outcome::Answered)]).collect();
     log.write(&mut disk, 0, &records).expect("it is memory");
     (disk.files.into_values().next().expect("a segment").0, records)
 }
@@ -307,7 +315,7 @@
 fn records(items: &[segment::Item]) -> Vec<Record> {
     let record = |item: &segment::Item| match item {
         segment::Item::Record(record, _) => Some(record.clone()),
-        segment::Item::Spoilt(_) | segment::Item::Tail(_) => None,
+        segment::Item::Corrupt(_) | segment::Item::Tail(_) => None,
     };
     items.iter().filter_map(record).collect()
 }
@@ -321,9 +329,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
 
-    /// One byte turned over anywhere costs at most the one record that it stands in.
+    /// A flipped bit costs at most the record that it stands in.
     #[test]
-    fn a_turned_bit_costs_one_record(place in 0.0..1.0_f64, bit in 0..8_u32) {
+    fn flipped_bit_costs_at_most_one_record(place in 0.0..1.0_f64, bit in 0..8_u32) {
         let (mut bytes, all) = segment();
         let at = (place * bytes.len() as f64) as usize;
         bytes[at] ^= 1 << bit;
@@ -334,9 +342,9 @@
         }
     }
 
-    /// A cut anywhere leaves all whole records ahead of it.
+    /// A segment that is cut anywhere keeps all complete records before the cut.
     #[test]
-    fn a_cut_leaves_what_is_ahead(place in 0.0..1.0_f64) {
+    fn truncation_keeps_all_records_before_it(place in 0.0..1.0_f64) {
         let (bytes, all) = segment();
         let cut = &bytes[..(place * bytes.len() as f64) as usize];
         if let Some(items) = read_back(cut) {
@@ -345,9 +353,9 @@
         }
     }
 
-    /// Noise in the middle, two parts changed places, anything: no record that nobody wrote.
+    /// Noise in the middle: every record that is read was written.
     #[test]
-    fn noise_invents_nothing(
+    fn noise_yields_no_record_that_was_not_written(
         noise in proptest::collection::vec(any::<u8>(), 0..300), from in 0.0..1.0_f64, to in 0.0..1.0_f64,
     ) {
         let (mut bytes, all) = segment();
@@ -360,7 +368,7 @@
 
     /// Bytes that were never a segment.
     #[test]
-    fn any_bytes_are_read_to_their_end(bytes in proptest::collection::vec(any::<u8>(), 0..2000)) {
+    fn arbitrary_bytes_are_read_to_their_end(bytes in proptest::collection::vec(any::<u8>(), 0..2000)) {
         let (whole, _) = segment();
         let header = whole.len() - segment::open(&whole).expect("good").1.count().min(whole.len());
         let mut all = whole[..header.min(60)].to_vec();
@@ -370,16 +378,16 @@
 
     /// Ids and keys of any kind and length come back, cut where they are too long.
     #[test]
-    fn names_of_any_kind_come_back(
+    fn names_of_any_length_are_read_back_truncated(
         id in proptest::collection::vec(any::<u8>(), 0..600), key in proptest::collection::vec(any::<u8>(), 0..600),
         class in ".{0,400}",
     ) {
-        let Record::Taken { request, wall_ms, at_us, deadline_us, tenant, .. } = taken(1) else { unreachable!() };
-        let record = Record::Taken { request, id, key, class, tenant, wall_ms, at_us, deadline_us };
+        let Record::Received { request, wall_ms, at_us, deadline_us, tenant, .. } = received(1) else { unreachable!() };
+        let record = Record::Received { request, id, key, class, tenant, wall_ms, at_us, deadline_us };
         let mut disk = Memory::default();
-        let mut log = Log::new(Start(1), "n0", 7, Policy::default(), &Recovered::default());
+        let mut log = LogWriter::new(Incarnation(1), "n0", 7, LogPolicy::default(), &Recovery::default());
         log.write(&mut disk, 0, std::slice::from_ref(&record)).expect("it is memory");
         let found = recover(&mut disk).expect("it can be listed");
-        prop_assert_eq!(&found.segments[0].records[..], &[record.bounded()][..]);
+        prop_assert_eq!(&found.segments[0].records[..], &[record.truncated()][..]);
     }
 }
--- a/crates/attempt-log/tests/golden.rs
+++ b/crates/attempt-log/tests/golden.rs
@@ -1,22 +1,23 @@
 //! The stored form of a segment: the bytes that are written, and that a file written earlier is read.
 
 use bellcroft_attempt_log::segment::{self, Header, Item};
-use bellcroft_attempt_log::{Answer, Outcome, Record, Start};
+use bellcroft_attempt_log::{FinalResponse, Incarnation, Outcome, Record};
 use expect_test::expect_file;
 use std::fmt::Write;
 
 fn header() -> Header {
     Header {
-        start: Start(0x0102_0304_0506_0708),
-        number: 3,
+        incarnation: Incarnation(0x0102_0304_0506_0708),
+        sequence: 3,
         instance: "desk-1".into(),
-        wall_ms: 1_700_000_000_000,
+        started_ms: 1_700_000_000_000,
     }
 }
 
-fn records() -> Vec<Record> {
-    let mut records = vec![
-        Record::Taken {
+/// Two requests that were received, and two attempts of the first.
+fn sent_records() -> Vec<Record> {
+    vec![
+        Record::Received {
             request: 1,
             id: b"request-1".to_vec(),
             key: b"key-1".to_vec(),
@@ -26,7 +27,7 @@
             at_us: 123_000,
             deadline_us: 2_623_000,
         },
-        Record::Taken {
+        Record::Received {
             request: 300,
             id: vec![0xff, 0x00],
             key: Vec::new(),
@@ -42,8 +43,8 @@
             server: "server-1".into(),
             address: "127.0.0.1:8080".into(),
             at_us: 125_000,
-            window_left_us: Some(7_500_000),
-            late: false,
+            remaining_window_us: Some(7_500_000),
+            written_late: false,
         },
         Record::Intent {
             request: 1,
@@ -51,20 +52,24 @@
             server: "server-2".into(),
             address: "127.0.0.1:8081".into(),
             at_us: 126_000,
-            window_left_us: None,
-            late: true,
+            remaining_window_us: None,
+            written_late: true,
         },
-    ];
+    ]
+}
+
+fn records() -> Vec<Record> {
+    let mut records = sent_records();
     let outcomes =
-        [Outcome::Answered, Outcome::TurnedAway, Outcome::NotSent, Outcome::Unanswered, Outcome::Error];
+        [Outcome::Answered, Outcome::Rejected, Outcome::NotSent, Outcome::Unknown, Outcome::ServerError];
     for (attempt, outcome) in (0..).zip(outcomes) {
         records.push(Record::Outcome { request: 1, attempt, outcome, at_us: 130_000 });
     }
-    for answer in [Answer::Served, Answer::Refused, Answer::Failed] {
-        records.push(Record::Final { request: 1, answer, at_us: 140_000 });
+    for answer in [FinalResponse::Served, FinalResponse::Rejected, FinalResponse::Failed] {
+        records.push(Record::Completed { request: 1, response: answer, at_us: 140_000 });
     }
-    records.push(Record::Left { request: 300, at_us: 150_000 });
-    records.push(Record::Gap { lost: 12, from_us: 160_000, to_us: 170_000 });
+    records.push(Record::ClientDisconnected { request: 300, at_us: 150_000 });
+    records.push(Record::Gap { lost_records: 12, from_us: 160_000, to_us: 170_000 });
     records
 }
 
@@ -88,9 +93,9 @@
 
 #[test]
 fn segment_bytes_match_golden_file() {
-    let mut bytes = segment::begin(&header());
+    let mut bytes = segment::encode_header(&header()).expect("it is plain data");
     for record in records() {
-        segment::put(&record, &mut bytes);
+        segment::append_record(&record, &mut bytes).expect("it is plain data");
     }
     expect_file!["golden/segment.hex"].assert_eq(&hex(&bytes));
 }
