--- a/crates/net/src/connect.rs
+++ b/crates/net/src/connect.rs
@@ -4,25 +4,26 @@
 use crate::Stream;
 use rustix::io::Errno;
 use socket2::{Domain, Protocol, SockAddr, Socket, Type};
-use std::fmt;
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Tries of a connect that fails for a reason of this machine's, which may be over a moment later.
-const MAX_TRIES: u32 = 4;
-/// The pause before the second try; it is doubled with each.
+/// Attempts of a connect that fails for a reason on this machine, which may be over a moment later.
+const MAX_ATTEMPTS: u32 = 4;
+/// Backoff before the second attempt; it doubles with each further one.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(2);
 
-/// Why there is no connection.
-#[derive(Debug)]
+/// Why a connection could not be opened.
+#[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// This machine lacks something for it: a descriptor, memory, a port. No fault of the other side's.
-    Local(io::Error),
-    /// The other side refused it or can't be reached.
-    Remote(io::Error),
+    /// This machine lacks a descriptor, memory or a port for it. It says nothing about the peer.
+    #[error("on this machine: {0}")]
+    Local(#[source] io::Error),
+    /// The peer refused it or can't be reached.
+    #[error("{0}")]
+    Remote(#[source] io::Error),
 }
 
 impl ConnectError {
@@ -34,17 +35,6 @@
     }
 }
 
-impl fmt::Display for ConnectError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ConnectError::Local(error) => write!(f, "on this machine: {error}"),
-            ConnectError::Remote(error) => error.fmt(f),
-        }
-    }
-}
-
-impl std::error::Error for ConnectError {}
-
 impl From<ConnectError> for io::Error {
     fn from(error: ConnectError) -> Self {
         match error {
@@ -53,14 +43,14 @@
     }
 }
 
-/// Connects to an address; how long that may take is its caller's to say.
+/// Connects to an address. It has no time-out of its own.
 ///
 /// # Errors
 ///
-/// Whose fault it is, and the system's error.
+/// The system's error, and whether its cause is on this machine.
 pub async fn connect(address: SocketAddr) -> Result<Stream<TcpStream>, ConnectError> {
     let mut delay = FIRST_RETRY_DELAY;
-    for _ in 1..MAX_TRIES {
+    for _ in 1..MAX_ATTEMPTS {
         match try_connect(address).await {
             Err(error) if is_local_shortage(&error) || is_route_lost(&error) => sleep(delay).await,
             ended => return ended.map_err(classify),
@@ -83,7 +73,7 @@
     socket.set_nonblocking(true)?;
     match socket.connect(&SockAddr::from(address)) {
         Ok(()) => {}
-        Err(error) if goes_on(&error) => {}
+        Err(error) if is_in_progress(&error) => {}
         Err(error) => return Err(error),
     }
     let stream = TcpStream::from_std(socket.into())?;
@@ -94,9 +84,9 @@
     Ok(Stream::new(stream))
 }
 
-/// Whether a connect goes on though the call has ended.
-fn goes_on(error: &io::Error) -> bool {
-    // An interrupted connect goes on by itself (connect(2)); its end shows like that of one in progress.
+/// Whether the connect continues in the kernel after the call has returned.
+fn is_in_progress(error: &io::Error) -> bool {
+    // An interrupted connect continues asynchronously (connect(2)) and completes like one in progress.
     let errnos = [Errno::INPROGRESS, Errno::INTR, Errno::ALREADY];
     Errno::from_io_error(error).is_some_and(|errno| errnos.contains(&errno))
 }
--- a/crates/net/src/datagram.rs
+++ b/crates/net/src/datagram.rs
@@ -1,4 +1,4 @@
-//! Datagrams.
+//! UDP datagrams.
 
 use crate::errors::{open_with_retry, retry_interrupted};
 use socket2::{SockAddr, SockRef};
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use tokio::net::UdpSocket;
 
-/// A socket for datagrams.
+/// A UDP socket.
 #[derive(Debug)]
 pub struct DatagramSocket(UdpSocket);
 
@@ -26,13 +26,13 @@
     ///
     /// # Errors
     ///
-    /// The system does not say.
+    /// The system's.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.0.local_addr()
     }
 
-    /// The next datagram, cut off at the buffer's length, and its sender. An interrupted call is made again; an error that an
-    /// earlier datagram of ours has brought back (a port that nobody listens on) concerns no datagram that comes.
+    /// The next datagram, truncated to the buffer's length, and its sender. An interrupted call is retried; an ICMP error that
+    /// an earlier send caused (port unreachable) concerns no datagram that arrives.
     ///
     /// # Errors
     ///
@@ -50,13 +50,13 @@
         }
     }
 
-    /// Sends a datagram if the kernel takes it now.
+    /// Sends a datagram without waiting.
     ///
     /// # Errors
     ///
-    /// It does not.
+    /// The kernel does not accept it now.
     pub fn send_now(&self, bytes: &[u8], to: SocketAddr) -> io::Result<usize> {
-        // The kernel itself is asked: the runtime may not know yet that there is room.
+        // Past the runtime, whose readiness may be out of date.
         retry_interrupted(|| SockRef::from(&self.0).send_to(bytes, &SockAddr::from(to)))
     }
 }
--- a/crates/net/src/errors.rs
+++ b/crates/net/src/errors.rs
@@ -1,10 +1,10 @@
-//! What an errno means for who made the call.
+//! The meaning of an errno for the caller.
 
 use rustix::io::Errno;
 use std::io;
 use std::time::Duration;
 
-/// Interrupted calls in a row, after which others get their turn before the next try.
+/// Interrupted calls in a row after which the task yields.
 pub(crate) const MAX_INTERRUPTIONS: usize = 64;
 
 fn is_one_of(error: &io::Error, errnos: &[Errno]) -> bool {
@@ -16,8 +16,8 @@
     is_one_of(error, &[Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM])
 }
 
-/// Whether an accept failed for the connection that it would have taken, and not for the listening socket: the next one may
-/// be taken at once. Linux passes errors of the new connection on (accept(2), "Error handling").
+/// Whether an accept failed for the connection that it would have returned, and not for the listening socket: the next one may
+/// be accepted at once. Linux passes pending errors of the new connection on (accept(2), "Error handling").
 pub(crate) fn concerns_one_connection(error: &io::Error) -> bool {
     let errnos = [
         Errno::CONNABORTED,
@@ -36,22 +36,22 @@
     is_one_of(error, &errnos)
 }
 
-/// Whether a connect failed for want of something on this machine, which may be there a moment later.
+/// Whether a connect failed for a shortage on this machine, which may be over a moment later.
 pub(crate) fn is_local_shortage(error: &io::Error) -> bool {
     let errnos = [Errno::ADDRNOTAVAIL, Errno::AGAIN, Errno::ADDRINUSE, Errno::INTR];
     is_descriptor_shortage(error) || is_one_of(error, &errnos)
 }
 
-/// Whether a connect failed for the way to the other machine, as this one sees it. It may be there again a moment later.
+/// Whether a connect failed as this machine has no route or network, which may be back a moment later.
 pub(crate) fn is_route_lost(error: &io::Error) -> bool {
     is_one_of(error, &[Errno::NETUNREACH, Errno::NETDOWN])
 }
 
-/// Makes a call again for as long as it is interrupted.
+/// Retries a call while it is interrupted.
 ///
 /// # Errors
 ///
-/// The call's own, but for EINTR.
+/// The call's, except EINTR.
 pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
@@ -61,17 +61,17 @@
     }
 }
 
-/// Tries to open a socket that fails for want of something on this machine, and the pause between two of them.
-const MAX_OPEN_TRIES: usize = 40;
+/// Attempts to open a socket during a shortage of descriptors or memory, and the pause between two of them: one second.
+const MAX_OPEN_ATTEMPTS: usize = 40;
 const OPEN_RETRY_DELAY: Duration = Duration::from_millis(25);
 
-/// Opens a socket, and again after a pause for as long as a descriptor or memory for it is wanting, a second at most.
+/// Opens a socket; a shortage of descriptors or memory is retried for one second.
 ///
 /// # Errors
 ///
 /// Another failure at once, or the last shortage.
 pub async fn open_with_retry<T>(mut open: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    for _ in 1..MAX_OPEN_TRIES {
+    for _ in 1..MAX_OPEN_ATTEMPTS {
         match open() {
             Err(error) if is_descriptor_shortage(&error) || error.kind() == io::ErrorKind::Interrupted => {
                 tokio::time::sleep(OPEN_RETRY_DELAY).await;
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,12 +1,12 @@
 //! The one seam between bellcroft and the system's sockets.
 //!
-//! A call of the system may be interrupted, do less than was asked, or fail for a moment; what of that the caller must know
-//! is told by types, and the rest is handled here once. `docs/design/system-calls.md` has a table of each call, each errno
-//! and what becomes of it.
+//! A system call may be interrupted, transfer fewer bytes than asked, or fail for a moment. What the caller must know of that
+//! is in the types ([`ConnectError`], [`AcceptError`]); the rest is handled here once. `docs/design/system-calls.md` has a
+//! table of calls and errnos. Nothing here has a time-out; the crate owns no state but its sockets.
 //!
-//! Why not tokio's own reads and writes: a read that fills less than its buffer has them take the socket for emptied and
-//! wait for the next edge, which never comes if the kernel had more to give; an interrupted call is passed on as an error.
-//! Here only the kernel's own "would block" ends a readiness (`try_read` and its like).
+//! Tokio's own reads and writes are not used: after a read that fills less than its buffer they take the socket for drained
+//! and wait for the next edge, which never arrives if the kernel had more bytes; and they return EINTR as an error. Here only
+//! `EWOULDBLOCK` clears a readiness (`try_read` and its like).
 
 mod connect;
 mod datagram;
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -1,4 +1,4 @@
-//! Takes connections.
+//! Accepting connections.
 
 use crate::errors::{concerns_one_connection, is_descriptor_shortage, open_with_retry};
 use crate::Stream;
@@ -8,18 +8,20 @@
 use std::os::fd::{AsFd, BorrowedFd};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Connections that the kernel holds for a process that has not taken them yet.
-const BACKLOG: i32 = 1024;
-/// Failures of single connections in a row, after which the caller hears of one.
+/// Connections that the kernel queues until they are accepted.
+const ACCEPT_BACKLOG: i32 = 1024;
+/// Failures of single connections in a row after which one is returned to the caller.
 const MAX_FAILED_CONNECTIONS: usize = 256;
 
-/// Why no connection was taken. The listening socket is good all the same.
-#[derive(Debug)]
+/// Why no connection was accepted. The listening socket remains usable.
+#[derive(Debug, thiserror::Error)]
 pub enum AcceptError {
     /// This process, or the machine, has no descriptor or memory for one.
-    Shortage(io::Error),
-    /// Something else; to be tried again after a pause.
-    Other(io::Error),
+    #[error("no descriptor or memory: {0}")]
+    Shortage(#[source] io::Error),
+    /// Another failure; accepting is retried after a pause.
+    #[error("{0}")]
+    Other(#[source] io::Error),
 }
 
 /// A listening socket.
@@ -27,7 +29,7 @@
 pub struct Listener(TcpListener);
 
 impl Listener {
-    /// Listens on an address. A machine that lacks a descriptor for it at this moment is asked again.
+    /// Listens on an address. A shortage of descriptors is retried for a second.
     ///
     /// # Errors
     ///
@@ -37,17 +39,17 @@
             let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
             socket.set_reuse_address(true)?;
             socket.bind(&SockAddr::from(address))?;
-            socket.listen(BACKLOG)?;
+            socket.listen(ACCEPT_BACKLOG)?;
             Ok(socket)
         };
         Self::adopt(open_with_retry(open).await?.into())
     }
 
-    /// A socket that listens already.
+    /// Adopts a socket that is listening already.
     ///
     /// # Errors
     ///
-    /// It can't be waited for.
+    /// It can't be registered with the runtime.
     pub fn adopt(listener: std::net::TcpListener) -> io::Result<Self> {
         listener.set_nonblocking(true)?;
         Ok(Listener(TcpListener::from_std(listener)?))
@@ -57,7 +59,7 @@
     ///
     /// # Errors
     ///
-    /// The system does not say.
+    /// The system's.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.0.local_addr()
     }
@@ -66,7 +68,7 @@
     ///
     /// # Errors
     ///
-    /// Why none was taken; errors that concern a single connection are passed over.
+    /// Why none was accepted; errors that concern a single connection are skipped.
     pub async fn accept(&self) -> Result<Stream<TcpStream>, AcceptError> {
         for _ in 0..MAX_FAILED_CONNECTIONS {
             match self.0.accept().await {
@@ -79,8 +81,8 @@
         Err(AcceptError::Other(io::ErrorKind::ConnectionAborted.into()))
     }
 
-    /// Stops listening, and gives the connections that the kernel holds for it by now. The kernel itself is asked, for the
-    /// runtime may not have looked since the last one came.
+    /// Stops listening and returns the connections that the kernel has queued by now, past the runtime, whose readiness may be
+    /// out of date.
     pub fn into_backlog(self) -> Vec<Stream<TcpStream>> {
         let mut backlog = Vec::new();
         let Ok(listener) = self.0.into_std() else { return backlog };
--- a/crates/net/tests/net.rs
+++ b/crates/net/tests/net.rs
@@ -11,7 +11,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn more_bytes_than_the_kernel_holds_come_complete_and_in_order() {
+async fn large_transfer_arrives_complete_and_in_order() {
     let listener = Listener::bind(any()).await.expect("a port");
     let mut out = connect(listener.local_addr().expect("an address")).await.expect("a connection");
     let mut taken = listener.accept().await.expect("a connection");
@@ -28,7 +28,7 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_refused_connection_is_the_other_side_s_and_its_cause_is_told() {
+async fn refused_connection_is_remote_error_with_cause() {
     let listener = Listener::bind(any()).await.expect("a port");
     let address = listener.local_addr().expect("an address");
     drop(listener);
@@ -57,9 +57,9 @@
     assert!(connect(address).await.is_err());
 }
 
-/// A port that nobody listens on brings an error back to its sender; the datagrams of others come all the same.
+/// A send to an unused port causes an ICMP error at the sender, whose other datagrams still arrive.
 #[tokio::test(flavor = "current_thread")]
-async fn an_unreachable_peer_does_not_disturb_the_datagrams_of_others() {
+async fn unreachable_peer_does_not_disturb_other_datagrams() {
     let here = DatagramSocket::bind(any()).await.expect("a port");
     let other = DatagramSocket::bind(any()).await.expect("a port");
     let closed = DatagramSocket::bind(any()).await.expect("a port").local_addr().expect("an address");
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn an_interrupted_call_is_made_again_and_another_failure_is_not() {
+fn interrupted_call_is_retried_and_other_failure_is_not() {
     let mut calls = 0;
     let ended = retry_interrupted(|| {
         calls += 1;
