--- a/crates/experiments/tests/experiments.rs
+++ b/crates/experiments/tests/experiments.rs
@@ -4,8 +4,9 @@
 use experiments::{compare, report, Experiment, Folder, Interval};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
-use std::process::{Command, Output, Stdio};
+use std::process::{Child, Command, Output, Stdio};
 use std::sync::atomic::{AtomicUsize, Ordering};
+use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
 /// A folder of its own, which ends with the test.
@@ -34,8 +35,28 @@
     }
 }
 
+/// Held while a process is being started, and while a folder of results is closed. Until a started process has replaced its
+/// image it shares this process's open files, and with them the folder's lock, whatever its parent closes.
+static PROCESS_START: Mutex<()> = Mutex::new(());
+
+fn start(command: &mut Command) -> Child {
+    let _start = PROCESS_START.lock().unwrap_or_else(PoisonError::into_inner);
+    command.spawn().expect("it runs")
+}
+
+/// Closes a folder; its lock is free when this returns.
+fn close(folder: Folder) {
+    let _no_start = PROCESS_START.lock().unwrap_or_else(PoisonError::into_inner);
+    drop(folder);
+}
+
+fn output(command: &mut Command) -> Output {
+    let child = start(command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::piped()));
+    child.wait_with_output().expect("its output")
+}
+
 fn experiments(args: &[&Path]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_experiments")).args(args).output().expect("it runs")
+    output(Command::new(env!("CARGO_BIN_EXE_experiments")).args(args))
 }
 
 fn run(file: &Path, out: &Path, more: &[&str]) -> Output {
@@ -93,11 +114,11 @@
     let out = folder.0.join("killed");
     let mut kills = 0;
     for stored in [1, 5, 9, 14, 20, 27, 33] {
-        let mut child = Command::new(env!("CARGO_BIN_EXE_experiments"))
-            .args([Path::new("run"), &file, Path::new("--out"), &out, Path::new("--json")])
-            .stdout(Stdio::null())
-            .spawn()
-            .expect("it runs");
+        let mut child = start(
+            Command::new(env!("CARGO_BIN_EXE_experiments"))
+                .args([Path::new("run"), &file, Path::new("--out"), &out, Path::new("--json")])
+                .stdout(Stdio::null()),
+        );
         let count = || {
             std::fs::read_dir(out.join("cells")).map_or(0, |dir| {
                 dir.flatten().filter(|e| e.path().extension().is_some_and(|x| x == "json")).count()
@@ -150,11 +171,11 @@
     let out = folder.0.join("out");
     // One block is enough for the manifest and no cell; the signal that goes with the limit is ignored, as the
     // write's own error is what a full disk gives.
-    let full = Command::new("sh")
-        .args(["-c", "trap '' XFSZ; ulimit -f 1; exec \"$0\" run \"$1\" --out \"$2\" --json"])
-        .args([Path::new(env!("CARGO_BIN_EXE_experiments")), &file, &out])
-        .output()
-        .expect("it runs");
+    let full = output(
+        Command::new("sh")
+            .args(["-c", "trap '' XFSZ; ulimit -f 1; exec \"$0\" run \"$1\" --out \"$2\" --json"])
+            .args([Path::new(env!("CARGO_BIN_EXE_experiments")), &file, &out]),
+    );
     let limited = std::fs::read_dir(out.join("cells")).expect("cells").count();
     if full.status.success() {
         panic!("cells fit in a block: {limited}");
@@ -175,7 +196,7 @@
     let second = run(&file, &out, &[]);
     assert_eq!(second.status.code(), Some(1));
     assert!(told(&second).contains("another process is at work here"), "{}", told(&second));
-    drop(held);
+    close(held);
     assert!(run(&file, &out, &[]).status.success());
     let other = folder.write("other.toml", &small("[1]", "", 101.0));
     let refused = run(&other, &out, &[]);
@@ -312,7 +333,9 @@
         stored.outcome.breaches.effect = 1;
         stored.outcome.broken = vec![Breach { rule: Rule::Effect, at: 2_000_000, want: Some(17) }];
         folder.store(stored).expect("stored");
-        stored.cell.id()
+        let id = stored.cell.id();
+        close(folder);
+        id
     };
     // A reference that claims nothing is no fault of anybody's.
     stain(Policy::Uniform);
@@ -356,6 +379,8 @@
     // One of another build does not come out the same, and its story would not be what happened.
     let mut other = stored.clone();
     other.outcome.attempts += 1;
-    opened(&text, &out).store(&other).expect("stored");
+    let results = opened(&text, &out);
+    results.store(&other).expect("stored");
+    close(results);
     assert!(told(&trace(&cell, &["150"])).contains("another build"));
 }
