--- a/crates/agent/src/telemetry.rs
+++ b/crates/agent/src/telemetry.rs
@@ -82,17 +82,18 @@
         let counter = registry.counter(family, &[label]);
         counter.inc_by((total as f64 - counter.get()).max(0.0));
     };
-    for (word, total) in [("sent", figures.sent.0), ("unsent", counts.unsent), ("taken", figures.accepted.0)]
+    for (word, total) in
+        [("sent", figures.sent_datagrams), ("unsent", counts.unsent), ("taken", figures.accepted_datagrams)]
     {
         count(&families::MEMBER_DATAGRAMS, word, total);
     }
     for (word, total) in RejectReason::LABELS.iter().zip(figures.rejected) {
         count(&families::MEMBER_DATAGRAMS, word, total);
     }
-    count(&families::MEMBER_BYTES, "sent", figures.sent.1);
-    count(&families::MEMBER_BYTES, "taken", figures.accepted.1);
-    count(&families::MEMBER_PROBES, "sent", figures.probes.0);
-    count(&families::MEMBER_PROBES, "failed", figures.probes.1);
+    count(&families::MEMBER_BYTES, "sent", figures.sent_bytes);
+    count(&families::MEMBER_BYTES, "taken", figures.accepted_bytes);
+    count(&families::MEMBER_PROBES, "sent", figures.probes_sent);
+    count(&families::MEMBER_PROBES, "failed", figures.probes_failed);
     for (word, total) in [
         ("mistaken", figures.false_deaths),
         ("refuted", figures.refutations),
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -1,48 +1,48 @@
-//! What an instance's membership goes by.
+//! The configuration of an instance's membership.
 
 use crate::member::{Id, Role};
 use bellcroft_balancer::Micros;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What an instance's membership goes by. Its figures are the same at every member, so that the bounds on the page for
-/// operators hold for all.
+/// The configuration of an instance's membership. Durations, factors and limits must be equal at all members: the bounds on
+/// the operators' page rest on them.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// The cluster's name; datagrams of others are refused.
+    /// The cluster's name; datagrams of other clusters are rejected.
     pub cluster: String,
-    /// Its own number.
+    /// This instance's own number.
     pub number: Id,
-    /// The addresses of all members by their numbers, as far as they are known beforehand.
+    /// The addresses of all members by number; empty where only seeds are configured.
     pub roster: Arc<[SocketAddr]>,
-    /// Members that are asked first, where the roster is not known.
+    /// Addresses to contact first, without a roster.
     pub seeds: Vec<SocketAddr>,
-    /// How many instances there are to be; at least as many as the roster names.
+    /// Expected number of instances; the roster's length is its lower bound.
     pub instances: u32,
-    /// Its site.
+    /// This instance's site.
     pub site: u8,
-    /// What it is for.
+    /// This instance's role.
     pub role: Role,
-    /// From one probe to the next.
+    /// The protocol period: time from one probe to the next.
     pub probe_interval: Micros,
-    /// A probe has failed that was not answered for so many periods.
+    /// Timeout of a probe, in protocol periods.
     pub probe_timeout_periods: f64,
-    /// A suspicion lasts at least this many periods for each power of ten of the fleet's size ...
+    /// Minimum timeout of a suspicion, in protocol periods for each power of ten of the fleet's size ...
     pub min_suspicion_periods: f64,
-    /// ... and at most this many times as long, where nobody else shares it.
+    /// ... and its maximum, for an unconfirmed suspicion, as a multiple of the minimum.
     pub max_suspicion_factor: f64,
-    /// Members that are held at most; where there are more, they are a sample.
+    /// Capacity of the view; in a larger fleet the view is a sample.
     pub max_members: usize,
-    /// Numbers of the fleet's size are believed for this long after they were last seen.
+    /// How long an observed fleet size counts after the last time it was observed.
     pub size_retention: Micros,
-    /// Members that are not in the roster are forgotten this long after their end.
+    /// How long an unreachable member outside of the roster is kept.
     pub member_retention: Micros,
-    /// Local health awareness; only comparisons switch it off.
+    /// Lifeguard's local health awareness; only comparisons switch it off.
     pub local_health_awareness: bool,
 }
 
 impl Config {
-    /// The standard figures, for a member of a cluster.
+    /// The defaults, for a member of a cluster.
     pub fn new(cluster: &str, number: u32, roster: impl Into<Arc<[SocketAddr]>>) -> Self {
         let roster = roster.into();
         Config {
@@ -64,24 +64,24 @@
         }
     }
 
-    /// Without an event for this long, the process itself has stood still.
+    /// A gap of this length between two events means a stall of the process.
     pub fn stall_threshold(&self) -> Micros {
         (self.probe_interval * 2.0).max(Micros::from_ms(1000.0))
     }
 
-    /// Whoever has just started, or woken, speaks of nobody for this long.
+    /// How long an instance suspects no member after a start or a stall.
     pub fn recovery_time(&self) -> Micros {
         self.probe_interval * 6.0
     }
 
-    /// How many instances there are to be.
+    /// Expected number of instances.
     pub fn expected(&self) -> u32 {
         self.instances.max(self.roster.len() as u32).max(1)
     }
 
-    /// An upper bound of the time after which a member that is killed is dead to all others of a fleet of this size, with
-    /// healthy links: it is probed within two periods, the probe fails, the suspicion runs out, and the word is passed
-    /// on, which takes a period a doubling.
+    /// An upper bound of the time from a member's crash until all others in a fleet of this size hold it for dead, on healthy
+    /// links: two periods until it is probed, the probe's timeout, the longest suspicion, gossip to all (one period for each
+    /// doubling), and a failed probe of each receiver.
     pub fn detection_bound(&self, members: u32) -> Micros {
         let size = f64::from(members.max(2));
         let suspicion = self.min_suspicion_periods * size.log10().max(1.0) * self.max_suspicion_factor;
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,268 +1,341 @@
-//! The state of the whole fleet's servers, as all instances together have seen it of late.
+//! The digest: a decaying average of what all instances together observe of the fleet's servers, by site.
 //!
-//! Push-sum (Kempe, Dobra, Gehrke: "Gossip-based computation of aggregate information", FOCS 2003) over sums that fade. What
-//! an instance sees of an answer is one unit of weight at its server's site. In each period an instance hands half of what it
-//! holds to a member that it draws, and keeps the other half: weight is moved and never copied, so a word that goes round does
-//! not grow by it, and a lost datagram takes weight and value alike and leaves the mean as it was. After a few periods each
-//! instance holds a little of what very many have seen.
+//! Push-sum (Kempe, Dobra, Gehrke: "Gossip-based computation of aggregate information", FOCS 2003) over decaying sums. An
+//! observed response is one unit of weight at its server's site. In each period an instance hands half of its sums to a
+//! member drawn at random and keeps the other half. Weight is moved and never copied, so repeated exchanges do not amplify
+//! an observation, and a lost datagram takes weight and value alike and leaves the mean as it was. After a few periods each
+//! instance holds a little of what very many have observed.
 
 use crate::member::Id;
+use crate::wire::serialize;
 use bellcroft_balancer::{FleetState, Micros, Time};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// From one hand-over to the next while answers are slow or requests are refused, and while all is well.
-const EVERY_BUSY: Micros = Micros(50_000);
-const EVERY_QUIET: Micros = Micros(200_000);
-/// Answers that take this share of their aims are slow.
-const BUSY: f64 = 0.35;
-/// And this share of requests is more than a stray refusal.
-const REFUSED: f64 = 0.01;
-/// What was seen counts for e^-1 after this.
-const LIFE_MS: f64 = 250.0;
-/// Sites that are told of at most, the weightiest first.
+/// Time between exchanges while responses are slow or requests are rejected ...
+const BUSY_EXCHANGE_INTERVAL: Micros = Micros(50_000);
+/// ... and while neither is so.
+const QUIET_EXCHANGE_INTERVAL: Micros = Micros(200_000);
+/// Responses are slow from this share of their latency target.
+const BUSY_LATENCY: f64 = 0.35;
+/// Rejections count from this share of requests: more than single ones.
+const BUSY_REJECTION_RATIO: f64 = 0.01;
+/// Sums decay by 1/e in this time.
+const DECAY_MS: f64 = 250.0;
+/// Sites in an exchange at most, the heaviest first: bounds the datagram.
 pub const MAX_SITES: usize = 6;
-/// Where less weight than this is held, nothing is told.
-const LEAST: f64 = 0.02;
-/// As many signs as a digest can count for, however many have seen the same.
-const SURE_MOST: f64 = 32.0;
-/// An answer took, or its server's load speaks for, this many aims at most.
-const AIMS_MOST: f64 = 1.2;
-/// A half that is handed over weighs this much of what its receiver holds at most, or one answer.
-const HEAVIEST: f64 = 1.0;
-/// Hand-overs that one peer may be ahead by, and how many times the turns that chance gives it it may take.
-const AHEAD: f64 = 3.0;
-const TURNS: f64 = 2.0;
-/// Peers whose hand-overs are counted; past it those that said nothing for long go.
-const PEERS_MOST: usize = 4096;
-
-/// What is told of one site: sums, each of which may be spread over many instances.
+/// A site with less weight is not handed over.
+const MIN_EXCHANGED_WEIGHT: f64 = 0.02;
+/// A site with less weight is dropped.
+const MIN_KEPT_WEIGHT: f64 = MIN_EXCHANGED_WEIGHT / 100.0;
+/// The number of responses that a digest counts for at most: an average of more is no surer.
+const MAX_EFFECTIVE_RESPONSES: f64 = 32.0;
+/// Bound of one response's latency and load, as shares of its target: single outliers and false parts stay small.
+const MAX_TARGET_SHARE: f64 = 1.2;
+/// Tolerance for `f32` rounding where a part's sums are checked against [`MAX_TARGET_SHARE`].
+const ROUNDING_TOLERANCE: f32 = 1.001;
+/// A received half counts for at most this share of the receiver's own weight, or one response if that is more.
+const MAX_MERGED_WEIGHT_SHARE: f64 = 1.0;
+/// Avoids a division by zero for parts without weight.
+const MIN_RECEIVED_WEIGHT: f64 = 1e-9;
+/// Exchanges that a peer may save up ...
+const MAX_SAVED_EXCHANGES: f64 = 3.0;
+/// ... and its rate, as a multiple of the rate at which a random draw of the receiver gives it one.
+const MAX_EXCHANGE_RATE: f64 = 2.0;
+/// Peers whose exchanges are counted; past it those without a recent one are dropped.
+const MAX_PEERS: usize = 4096;
+
+/// The sums of one site in an exchange; each may come from many instances.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct Part {
     /// The site.
     pub site: u8,
-    /// Answers, by their weight.
+    /// The weight of all responses.
     pub weight: f32,
-    /// The squares of the weights that it is made of: `weight`² over it is the number of answers that it counts for.
+    /// The squares of the single weights: `weight`² / `square` is the effective number of responses.
     pub square: f32,
-    /// What they took, as shares of their aims.
+    /// Weighted latency, as a share of the latency target.
     pub latency: f32,
-    /// What their servers' load speaks for, likewise.
+    /// Weighted latency that the servers' load predicts, likewise.
     pub load: f32,
-    /// Requests that came to instances of the site ...
+    /// Requests that instances of the site received.
     pub requests: f32,
-    /// ... and those that they refused.
+    /// Requests that instances of the site rejected.
     pub rejections: f32,
 }
 
 impl Part {
-    /// Some of them as bytes.
+    /// The encoding of some parts.
     pub fn encode(parts: &[Part]) -> Vec<u8> {
-        postcard::to_stdvec(parts).unwrap_or_default()
+        serialize(&parts)
     }
 
-    /// Reads them back; none if they are no such bytes.
+    /// Decodes parts; none if the bytes are malformed.
     pub fn decode(bytes: &[u8]) -> Option<Vec<Part>> {
         postcard::from_bytes(bytes).ok()
     }
+
+    /// Whether responses can have added up to these sums.
+    fn is_valid(&self) -> bool {
+        let max = self.weight * MAX_TARGET_SHARE as f32 * ROUNDING_TOLERANCE;
+        let sums = [self.weight, self.square, self.latency, self.load, self.requests, self.rejections];
+        sums.iter().all(|sum| sum.is_finite() && *sum >= 0.0) && self.latency <= max && self.load <= max
+    }
 }
 
+/// The decaying sums of one site; the fields are those of [`Part`].
 #[derive(Debug, Clone, Copy, Default)]
-struct Sums([f64; 6]);
+struct Sums {
+    weight: f64,
+    square: f64,
+    latency: f64,
+    load: f64,
+    requests: f64,
+    rejections: f64,
+}
 
 impl Sums {
-    fn scale(&mut self, by: f64) {
-        let [weight, square, took, full, asked, refused] = &mut self.0;
-        [weight, took, full, asked, refused].into_iter().for_each(|sum| *sum *= by);
-        *square *= by * by;
+    /// The share of these sums that a split or a bounded merge takes: weights scale, their squares scale twice.
+    fn scale(&mut self, factor: f64) {
+        for sum in
+            [&mut self.weight, &mut self.latency, &mut self.load, &mut self.requests, &mut self.rejections]
+        {
+            *sum *= factor;
+        }
+        self.square *= factor * factor;
+    }
+
+    /// Decay. All sums alike, the squares too: an old observation counts for fewer responses, whoever made it.
+    fn decay(&mut self, factor: f64) {
+        self.weight *= factor;
+        self.square *= factor;
+        self.latency *= factor;
+        self.load *= factor;
+        self.requests *= factor;
+        self.rejections *= factor;
     }
 
     fn add(&mut self, other: &Sums) {
-        self.0.iter_mut().zip(other.0).for_each(|(sum, more)| *sum += more);
+        self.weight += other.weight;
+        self.square += other.square;
+        self.latency += other.latency;
+        self.load += other.load;
+        self.requests += other.requests;
+        self.rejections += other.rejections;
+    }
+
+    /// The greater of the weights of responses and of requests.
+    fn max_weight(&self) -> f64 {
+        self.weight.max(self.requests)
     }
 
     fn state(&self) -> FleetState {
-        let [weight, square, took, full, asked, refused] = self.0;
-        let share = |sum: f64, of: f64| if of > 0.0 { sum / of } else { 0.0 };
+        let ratio = |sum: f64, of: f64| if of > 0.0 { sum / of } else { 0.0 };
         FleetState {
-            weight: share(weight * weight, square).min(SURE_MOST),
-            latency: share(took, weight),
-            load: share(full, weight),
-            // A refusal may come when its request has faded a little.
-            shed: share(refused, asked).min(1.0),
+            weight: ratio(self.weight * self.weight, self.square).min(MAX_EFFECTIVE_RESPONSES),
+            latency: ratio(self.latency, self.weight),
+            load: ratio(self.load, self.weight),
+            // A rejection may be recorded after its request has decayed a little.
+            shed: ratio(self.rejections, self.requests).min(1.0),
+        }
+    }
+
+    fn to_part(self, site: u8) -> Part {
+        Part {
+            site,
+            weight: self.weight as f32,
+            square: self.square as f32,
+            latency: self.latency as f32,
+            load: self.load as f32,
+            requests: self.requests as f32,
+            rejections: self.rejections as f32,
         }
     }
+
+    /// The sums of a received part. `square` is bounded so that it counts for at least one response and at most
+    /// [`MAX_EFFECTIVE_RESPONSES`].
+    fn from_part(part: &Part) -> Self {
+        let weight = f64::from(part.weight);
+        let min_square = weight.powi(2) / MAX_EFFECTIVE_RESPONSES;
+        Sums {
+            weight,
+            square: f64::from(part.square).clamp(min_square, weight.max(min_square)),
+            latency: part.latency.into(),
+            load: part.load.into(),
+            requests: part.requests.into(),
+            rejections: part.rejections.into(),
+        }
+    }
+}
+
+/// The exchanges that a peer may still make.
+#[derive(Debug, Clone, Copy)]
+struct ExchangeAllowance {
+    updated: Time,
+    exchanges: f64,
 }
 
-/// What became of a hand-over.
+/// What became of a received half.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// It counts.
+    /// All of it was merged.
     Complete,
-    /// It was heavier than what this instance has to set against it, and counts as much as that.
+    /// It was heavier than the receiver's own weight, and a share of it was merged.
     Partial,
-    /// This peer hands over too often, or what no answers can have shown.
+    /// The peer exchanges too often, or no responses can have added up to the sums.
     Rejected,
 }
 
 /// One instance's part of the digest.
 ///
-/// A peer that lies has no more weight at one receiver than the receiver has itself, and at each receiver twice the turns that
-/// chance gives it among n members. A fifth of all weight fades in a period of 50 ms, so that it holds 2 parts in 2 + n/5 of the
-/// digest at most, and moves what is seen by that share of 1.2 aims.
+/// A peer that sends false sums has no more weight at a receiver than the receiver itself, and exchanges at most twice as
+/// often as a random draw among n members would give it. A fifth of all weight decays in a period of 50 ms, so the peer holds
+/// at most 2 parts in 2 + n/5 of the digest, and shifts the averages by that share of 1.2 targets.
 #[derive(Debug, Clone, Default)]
 pub struct Digest {
     sites: BTreeMap<u8, Sums>,
-    at: Time,
-    peers: BTreeMap<Id, (Time, f64)>,
+    /// When the sums were last decayed.
+    decayed_at: Time,
+    allowances: BTreeMap<Id, ExchangeAllowance>,
 }
 
 impl Digest {
-    /// What is left by now of what was held last.
-    fn left(&self, now: Time) -> f64 {
-        (-now.since(self.at).ms() / LIFE_MS).exp()
+    /// The share of the sums that is left after the decay until now.
+    fn decay_factor(&self, now: Time) -> f64 {
+        (-now.since(self.decayed_at).ms() / DECAY_MS).exp()
+    }
+
+    fn decay(&mut self, now: Time) {
+        let factor = self.decay_factor(now);
+        self.decayed_at = self.decayed_at.max(now);
+        self.sites.values_mut().for_each(|sums| sums.decay(factor));
+        self.sites.retain(|_, sums| sums.max_weight() > MIN_KEPT_WEIGHT);
     }
 
-    fn fade(&mut self, now: Time) {
-        let left = self.left(now);
-        self.at = self.at.max(now);
-        // All of them alike: what is old counts for fewer answers, whoever has seen it.
-        self.sites.values_mut().for_each(|sums| sums.0.iter_mut().for_each(|sum| *sum *= left));
-        self.sites.retain(|_, sums| sums.0[0].max(sums.0[4]) > LEAST / 100.0);
+    fn record(&mut self, now: Time, site: u8, observed: Sums) {
+        self.decay(now);
+        self.sites.entry(site).or_default().add(&observed);
     }
 
-    /// An answer of a server of this site took so many of its aim, and what its server held speaks for so many.
-    pub fn record_response(&mut self, now: Time, site: u8, took: f64, full: f64) {
-        self.fade(now);
-        let (took, full) = (took.clamp(0.0, AIMS_MOST), full.clamp(0.0, AIMS_MOST));
-        self.sites.entry(site).or_default().add(&Sums([1.0, 1.0, took, full, 0.0, 0.0]));
+    /// Records a response of a server of this site: its latency, and the latency that the server's load predicts, both as
+    /// shares of the latency target.
+    pub fn record_response(&mut self, now: Time, site: u8, latency: f64, load: f64) {
+        let latency = latency.clamp(0.0, MAX_TARGET_SHARE);
+        let load = load.clamp(0.0, MAX_TARGET_SHARE);
+        self.record(now, site, Sums { weight: 1.0, square: 1.0, latency, load, ..Sums::default() });
     }
 
-    /// A request came to this instance of this site.
+    /// Records a request that this instance, at this site, received.
     pub fn record_request(&mut self, now: Time, site: u8) {
-        self.fade(now);
-        self.sites.entry(site).or_default().add(&Sums([0.0, 0.0, 0.0, 0.0, 1.0, 0.0]));
+        self.record(now, site, Sums { requests: 1.0, ..Sums::default() });
     }
 
-    /// One of those was refused.
+    /// Records that one of those was rejected.
     pub fn record_rejection(&mut self, now: Time, site: u8) {
-        self.fade(now);
-        self.sites.entry(site).or_default().add(&Sums([0.0, 0.0, 0.0, 0.0, 0.0, 1.0]));
+        self.record(now, site, Sums { rejections: 1.0, ..Sums::default() });
     }
 
-    /// Whether nothing at all is held.
+    /// Whether no sums are kept at all.
     pub fn is_empty(&self) -> bool {
         self.sites.is_empty()
     }
 
     /// Whether there is anything to hand over.
     pub fn has_data(&self, now: Time) -> bool {
-        let left = self.left(now);
-        self.sites.values().any(|sums| sums.0[0].max(sums.0[4]) * left > LEAST)
+        let factor = self.decay_factor(now);
+        self.sites.values().any(|sums| sums.max_weight() * factor > MIN_EXCHANGED_WEIGHT)
     }
 
-    /// Half of what is held, to be handed to one peer; this instance keeps the other half.
+    /// Half of the sums of the heaviest sites, to be sent to one peer. This instance keeps the other half.
     pub fn split_half(&mut self, now: Time) -> Vec<Part> {
-        self.fade(now);
+        self.decay(now);
         let mut heaviest: Vec<(u8, f64)> =
-            self.sites.iter().map(|(site, sums)| (*site, sums.0[0].max(sums.0[4]))).collect();
-        heaviest.retain(|(_, weight)| *weight > LEAST);
+            self.sites.iter().map(|(site, sums)| (*site, sums.max_weight())).collect();
+        heaviest.retain(|(_, weight)| *weight > MIN_EXCHANGED_WEIGHT);
         heaviest.sort_by(|a, b| b.1.total_cmp(&a.1));
         heaviest.truncate(MAX_SITES);
         let mut parts = Vec::with_capacity(heaviest.len());
         for (site, _) in heaviest {
             let Some(sums) = self.sites.get_mut(&site) else { continue };
             sums.scale(0.5);
-            let [weight, square, took, full, asked, refused] = sums.0.map(|sum| sum as f32);
-            parts.push(Part {
-                site,
-                weight,
-                square,
-                latency: took,
-                load: full,
-                requests: asked,
-                rejections: refused,
-            });
+            parts.push(sums.to_part(site));
         }
         parts
     }
 
-    /// A peer hands over, one of so many members.
+    /// Merges a half that a peer sent; `members` is the fleet's size, for the peer's rate.
     pub fn merge(&mut self, now: Time, from: Id, parts: &[Part], members: usize) -> MergeOutcome {
-        if !self.may(now, from, members) || parts.len() > MAX_SITES {
+        if !self.take_exchange(now, from, members) || parts.len() > MAX_SITES {
             return MergeOutcome::Rejected;
         }
-        let sane = |part: &Part| {
-            let Part {
-                weight, square, latency: took, load: full, requests: asked, rejections: refused, ..
-            } = *part;
-            let sums = [weight, square, took, full, asked, refused];
-            let most = weight * AIMS_MOST as f32 * 1.001;
-            sums.iter().all(|sum| sum.is_finite() && *sum >= 0.0) && took <= most && full <= most
-        };
-        if !parts.iter().all(sane) {
+        if !parts.iter().all(Part::is_valid) {
             return MergeOutcome::Rejected;
         }
-        self.fade(now);
-        let held = self.sites.values().fold((0.0, 0.0), |(w, a), sums| (w + sums.0[0], a + sums.0[4]));
-        let told = parts
-            .iter()
-            .fold((0.0, 0.0), |(w, a), part| (w + f64::from(part.weight), a + f64::from(part.requests)));
-        let cut = |told: f64, held: f64| ((held * HEAVIEST).max(1.0) / told.max(1e-9)).min(1.0);
-        let by = cut(told.0, held.0).min(cut(told.1, held.1));
+        self.decay(now);
+        let share = self.merged_share(parts);
         for part in parts {
-            let Part {
-                weight, square, latency: took, load: full, requests: asked, rejections: refused, ..
-            } = *part;
-            // Nothing counts for more answers than can be, nor for less than one.
-            let least = f64::from(weight).powi(2) / SURE_MOST;
-            let square = f64::from(square).clamp(least, f64::from(weight).max(least));
-            let mut more = Sums([weight, 0.0, took, full, asked, refused].map(f64::from));
-            more.0[1] = square;
-            more.scale(by);
-            self.sites.entry(part.site).or_default().add(&more);
+            let mut merged = Sums::from_part(part);
+            merged.scale(share);
+            self.sites.entry(part.site).or_default().add(&merged);
         }
-        if by < 1.0 {
+        if share < 1.0 {
             MergeOutcome::Partial
         } else {
             MergeOutcome::Complete
         }
     }
 
-    /// Whether a peer may hand over now. Each draws its receivers by chance: one in so many periods is this instance. A half
-    /// that is refused to an honest peer takes weight and value alike, as a lost one does.
-    fn may(&mut self, now: Time, from: Id, members: usize) -> bool {
-        let turn = EVERY_BUSY * (members as f64 / TURNS).max(1.0);
-        if self.peers.len() >= PEERS_MOST {
-            self.peers.retain(|_, (at, _)| now.since(*at) < turn * AHEAD);
+    /// The share of received parts that is merged: no more weight than this instance has itself.
+    fn merged_share(&self, parts: &[Part]) -> f64 {
+        let (mut own, mut received) = (Sums::default(), Sums::default());
+        self.sites.values().for_each(|sums| own.add(sums));
+        for part in parts {
+            received.weight += f64::from(part.weight);
+            received.requests += f64::from(part.requests);
+        }
+        let share = |received: f64, own: f64| {
+            ((own * MAX_MERGED_WEIGHT_SHARE).max(1.0) / received.max(MIN_RECEIVED_WEIGHT)).min(1.0)
+        };
+        share(received.weight, own.weight).min(share(received.requests, own.requests))
+    }
+
+    /// Takes one of a peer's exchanges; false if it has none left. A random draw picks this instance once in `members`
+    /// periods on average. An honest peer that is rejected loses weight and value alike, as with a lost datagram.
+    fn take_exchange(&mut self, now: Time, from: Id, members: usize) -> bool {
+        let interval = BUSY_EXCHANGE_INTERVAL * (members as f64 / MAX_EXCHANGE_RATE).max(1.0);
+        if self.allowances.len() >= MAX_PEERS {
+            let full_after = interval * MAX_SAVED_EXCHANGES;
+            self.allowances.retain(|_, allowance| now.since(allowance.updated) < full_after);
         }
-        let (at, left) = self.peers.entry(from).or_insert((now, AHEAD));
-        *left = (*left + now.since(*at).ms() / turn.ms()).min(AHEAD);
-        *at = now;
-        let may = *left >= 1.0;
-        *left -= f64::from(u8::from(may));
-        may
+        let full = ExchangeAllowance { updated: now, exchanges: MAX_SAVED_EXCHANGES };
+        let allowance = self.allowances.entry(from).or_insert(full);
+        let earned = now.since(allowance.updated).ms() / interval.ms();
+        allowance.exchanges = (allowance.exchanges + earned).min(MAX_SAVED_EXCHANGES);
+        allowance.updated = now;
+        let allowed = allowance.exchanges >= 1.0;
+        allowance.exchanges -= f64::from(u8::from(allowed));
+        allowed
     }
 
-    /// The state of the whole fleet, as far as it is known here now.
+    /// The state of the whole fleet, as known here.
     pub fn fleet(&self, now: Time) -> FleetState {
-        let mut all = Sums::default();
-        self.sites.values().for_each(|sums| all.add(sums));
-        let state = all.state();
-        FleetState { weight: state.weight * self.left(now), ..state }
+        let mut total = Sums::default();
+        self.sites.values().for_each(|sums| total.add(sums));
+        let state = total.state();
+        FleetState { weight: state.weight * self.decay_factor(now), ..state }
     }
 
-    /// How long to wait for the next hand-over.
+    /// The time until the next exchange.
     pub fn interval(&self, now: Time) -> Micros {
         let state = self.fleet(now);
-        if state.latency.max(state.load) > BUSY || state.shed > REFUSED {
-            EVERY_BUSY
+        if state.latency.max(state.load) > BUSY_LATENCY || state.shed > BUSY_REJECTION_RATIO {
+            BUSY_EXCHANGE_INTERVAL
         } else {
-            EVERY_QUIET
+            QUIET_EXCHANGE_INTERVAL
         }
     }
 
-    /// The same by site.
+    /// The state of each site, without the decay since the last record or exchange.
     pub fn sites(&self) -> impl Iterator<Item = (u8, FleetState)> + '_ {
         self.sites.iter().map(|(site, sums)| (*site, sums.state()))
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,17 +1,36 @@
-//! Who else runs, who has failed, and what an instance is to hold of itself while the others disagree.
+//! Group membership of the instances: which members are alive, which have failed, and this instance's quorum state.
 //!
-//! A SWIM protocol (Das, Gupta, Motivala: "SWIM", DSN 2002) with the local health awareness of Lifeguard (Dadgar,
-//! Phillips, Currey, 2017), in datagrams of at most 256 bytes. [`Membership`] takes datagrams and a time and returns
-//! [`Output`]s; it owns no socket and no clock. Three rules are its own:
+//! SWIM (Das, Gupta, Motivala, DSN 2002) with Lifeguard's local health awareness (Dadgar, Phillips, Currey, 2017), in
+//! datagrams of at most 256 bytes. [`Membership`] is a state machine: it takes datagrams and the time and returns
+//! [`Output`]s. It owns no socket, clock or thread; equal seeds and inputs give equal outputs.
 //!
-//! - What a peer says of another is advice. An accusation that is heard starts a probe of one's own, and only a probe
-//!   of one's own that fails makes a member dead here. What is passed on keeps the name of who saw it.
-//! - Whoever was stalled doubts itself first: on waking it accuses nobody until it has heard the others again.
-//! - What is counted for the whole fleet is reckoned by the roster or the largest number lately believed
-//!   ([`Membership::effective_size`]), never by who happens to answer.
+//! # States
 //!
-//! Nothing is kept on a disk. A member's [`Incarnation`] begins with its start's wall clock, so a restart beats what was
-//! said of the life before; where a clock has been set back, the member hears of its former life and goes past it.
+//! A member goes from [`State::Absent`] (listed, never seen) to `Alive`, by failed probes to `Suspect` and `Dead`, by its own
+//! report to `Left`, and back to `Alive` by a later [`Incarnation`] or an ack. [`QuorumState`] sums up how many of the
+//! expected instances are reachable.
+//!
+//! # Differences from SWIM
+//!
+//! - Another member's accusation is advice: it begins a suspicion and a probe. Only a failed probe of this instance makes a
+//!   member dead here. Updates keep the name of the member that observed the state.
+//! - After a stall of its process an instance suspects no member until its recovery time has passed.
+//! - Limits of the whole fleet are shared by the roster's size or the largest size observed recently
+//!   ([`Membership::effective_size`]), never by the members that answer now.
+//!
+//! Nothing is stored on disk. An [`Incarnation`] begins with the wall clock of the process's start, so a restarted member
+//! supersedes updates about its former process; where its clock was set back, it learns of the former epoch from the others
+//! and goes past it.
+//!
+//! # Units and errors
+//!
+//! Time is [`bellcroft_balancer::Time`] in microseconds of a monotonic clock; epochs are Unix milliseconds. Malformed or
+//! foreign datagrams are counted by [`RejectReason`] and otherwise ignored; only [`decode`] returns an error.
+//!
+//! # Modules
+//!
+//! `swim` is the protocol, `view` the members, `merge` the precedence of updates, `wire` the datagrams, `quorum` the quorum
+//! state and the fleet's size, `digest` the averages over the fleet's servers, `peer_reports` the bounds on hints.
 
 mod config;
 mod digest;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,51 +1,51 @@
-//! A member as the others know it.
+//! Members, their states and their incarnations.
 
 use bellcroft_balancer::Time;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A member's number: its place in the roster.
+/// A member's number: its index in the roster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Id(pub u32);
 
-/// Which word on a member is the later one: first by its life, then by how often it has spoken up in that life.
+/// Orders updates about a member: by its epoch first, then by its counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// When its process started, in Unix milliseconds by its own clock, or later where a former life claims that.
+    /// The start of its process in Unix milliseconds by its own clock, or later if it had to go past a former epoch.
     pub epoch: u64,
-    /// How often it has refuted what was said of it.
+    /// Raised by each refutation.
     pub counter: u32,
 }
 
-/// Lives from here on are refused: no clock shows them, and nothing could go past them.
+/// Epochs from here on are rejected: no clock shows them, and no member could go past them. 2^47 ms is the year 6429.
 pub(crate) const MAX_EPOCH: u64 = 1 << 47;
 
-/// What a member is for.
+/// The role of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Role {
-    /// It serves an application.
+    /// Serves an application's requests.
     Agent,
-    /// It watches and takes no requests.
+    /// Takes part in membership only; receives no digests.
     Observer,
 }
 
-/// What is held of a member.
+/// The state of a member, as one instance holds it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum State {
-    /// The roster names it, and nothing was heard of it yet.
+    /// Listed in the roster, and never seen.
     Absent,
-    /// It answers, or somebody said so and nothing speaks against it.
+    /// Answers, or was reported so without evidence against it.
     Alive,
-    /// It is accused, and may still refute it.
+    /// Accused, and still able to refute.
     Suspect,
-    /// It has not refuted in time, and has not answered here.
+    /// The suspicion timed out, and a probe of this instance failed.
     Dead,
-    /// It said that it leaves.
+    /// Reported its own leave.
     Left,
 }
 
 impl State {
-    /// One word for it.
+    /// The name in `status.json`, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             State::Absent => "absent",
@@ -56,31 +56,31 @@
         }
     }
 
-    /// It counts as there: an accused member is, until it is dead.
+    /// Alive or suspect: a suspect counts as reachable until it is dead.
     pub fn is_reachable(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
 }
 
-/// A member, as it is held here.
+/// A member, as one instance holds it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Its number.
+    /// The member's number.
     pub id: Id,
-    /// The latest that is known of it.
+    /// Its latest known incarnation.
     pub incarnation: Incarnation,
     /// What is held of it.
     pub state: State,
-    /// Since when.
+    /// Since when it has the state.
     pub since: Time,
-    /// By whose word; its own for what it said itself.
+    /// The member whose observation led to the state; the member itself for its own reports.
     pub reported_by: Id,
-    /// Where it is reached.
+    /// Its address.
     pub address: SocketAddr,
-    /// Its site, as the platform's settings number them.
+    /// Its site, as the platform's settings number sites.
     pub site: u8,
     /// What it is for.
     pub role: Role,
-    /// When it last answered a probe from here.
+    /// When it last acked a probe of this instance, in its current epoch.
     pub last_ack: Option<Time>,
 }
--- a/crates/membership/src/quorum.rs
+++ b/crates/membership/src/quorum.rs
@@ -1,28 +1,28 @@
-//! What an instance holds of itself among the others, and by how many it reckons.
+//! The quorum state: how many of the expected instances are reachable; and the size that fleet-wide limits are shared by.
 
 use bellcroft_balancer::{Micros, Time};
 use std::collections::VecDeque;
 
-/// What an instance states of itself, by how many of the known roster are there. `docs/design/membership.md` has the
-/// table of what each subsystem does in each.
+/// How many of the expected instances are reachable, this one included. `docs/design/membership.md` lists what each subsystem
+/// does in each state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuorumState {
-    /// It has just started, or stood still, and knows nothing for sure.
+    /// After a start or a stall: the view is not reliable yet.
     Recovering,
-    /// Nobody else is there.
+    /// No other instance is reachable.
     Isolated,
-    /// Half of the roster or less is there.
+    /// Half of the expected instances or fewer are reachable.
     Minority,
-    /// More than half of it is there, and a quarter or more is not.
+    /// More than half are reachable, and a quarter or more is missing.
     Majority,
-    /// Less than a quarter of it is missing.
+    /// Less than a quarter is missing.
     Degraded,
-    /// All are there.
+    /// All are reachable.
     Complete,
 }
 
 impl QuorumState {
-    /// All of them, in the order of how much is known.
+    /// All states, in the order of their numbers in metrics.
     pub const ALL: [QuorumState; 6] = [
         QuorumState::Recovering,
         QuorumState::Isolated,
@@ -32,7 +32,7 @@
         QuorumState::Complete,
     ];
 
-    /// One word for it.
+    /// The name in `status.json`, logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             QuorumState::Recovering => "waking",
@@ -44,14 +44,14 @@
         }
     }
 
-    /// By how many are here of how many there are to be, this instance among both. Never by who answers alone: two
-    /// halves that count only themselves would both be whole.
-    pub(crate) fn of(here: u32, expected: u32) -> Self {
-        let missing = u64::from(expected.saturating_sub(here));
+    /// The state by reachable and expected instances. Always against the expected number: two halves of a partition that
+    /// count only themselves would both be complete.
+    pub(crate) fn of(reachable: u32, expected: u32) -> Self {
+        let missing = u64::from(expected.saturating_sub(reachable));
         let expected = u64::from(expected);
         if missing == 0 {
             QuorumState::Complete
-        } else if here <= 1 {
+        } else if reachable <= 1 {
             QuorumState::Isolated
         } else if missing * 2 >= expected {
             QuorumState::Minority
@@ -63,40 +63,46 @@
     }
 }
 
-/// The largest size that was lately believed.
+/// The largest fleet size observed within the retention time.
 ///
-/// A share of something that is counted for the whole fleet is one over this. It shrinks at once when members come, and
-/// grows only when fewer have been believed for the stated time; never past the roster's share.
+/// An instance's share of a fleet-wide limit is one over this size. The share shrinks at once when the fleet grows, and grows
+/// only when fewer instances were observed for the whole retention time; never past one over the roster.
 #[derive(Debug, Clone)]
 pub struct FleetSize {
     roster: u32,
-    keep: Micros,
-    /// Sizes that may be the largest yet, falling, each with when it was last seen.
-    sizes: VecDeque<(Time, u32)>,
+    retention: Micros,
+    /// Candidates for the maximum: sizes in falling order, the oldest first.
+    observed: VecDeque<ObservedSize>,
+}
+
+#[derive(Debug, Clone, Copy)]
+struct ObservedSize {
+    at: Time,
+    size: u32,
 }
 
 impl FleetSize {
-    /// By a roster of this many.
-    pub fn new(roster: u32, keep: Micros) -> Self {
-        FleetSize { roster: roster.max(1), keep, sizes: VecDeque::new() }
+    /// For a roster of this many instances.
+    pub fn new(roster: u32, retention: Micros) -> Self {
+        FleetSize { roster: roster.max(1), retention, observed: VecDeque::new() }
     }
 
-    /// So many are believed now.
+    /// Records an observed size.
     pub fn observe(&mut self, now: Time, size: u32) {
-        while self.sizes.back().is_some_and(|(_, last)| *last <= size) {
-            self.sizes.pop_back();
+        while self.observed.back().is_some_and(|last| last.size <= size) {
+            self.observed.pop_back();
         }
-        self.sizes.push_back((now, size));
+        self.observed.push_back(ObservedSize { at: now, size });
         self.expire(now);
     }
 
     fn expire(&mut self, now: Time) {
-        while self.sizes.len() > 1 && now.since(self.sizes[0].0) > self.keep {
-            self.sizes.pop_front();
+        while self.observed.len() > 1 && now.since(self.observed[0].at) > self.retention {
+            self.observed.pop_front();
         }
     }
 
-    /// The roster, which a reload may change: more count at once, fewer after the stated time.
+    /// Sets the roster's size, as a reload may. A smaller one takes effect after the retention time.
     pub fn set_roster(&mut self, now: Time, roster: u32) {
         if roster < self.roster {
             let former = self.roster;
@@ -105,14 +111,14 @@
         self.roster = roster.max(1);
     }
 
-    /// How many there are to be, by the roster.
+    /// The expected number of instances.
     pub fn roster(&self) -> u32 {
         self.roster
     }
 
-    /// What to reckon by.
+    /// The number of instances that share a fleet-wide limit.
     pub fn effective(&self, now: Time) -> u32 {
-        let lately = |(at, _): &&(Time, u32)| now.since(*at) <= self.keep;
-        self.sizes.iter().filter(lately).map(|(_, size)| *size).max().unwrap_or(1).max(self.roster)
+        let recent = self.observed.iter().filter(|observed| now.since(observed.at) <= self.retention);
+        recent.map(|observed| observed.size).max().unwrap_or(1).max(self.roster)
     }
 }
--- a/crates/membership/src/stats.rs
+++ b/crates/membership/src/stats.rs
@@ -1,22 +1,22 @@
-//! What a membership counts.
+//! Counters of a membership.
 
 use crate::wire::WireError;
 
-/// Why datagrams were refused.
+/// Why a datagram was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectReason {
-    /// They are none, or not of this cluster.
+    /// It is malformed, or of another cluster.
     Wire(WireError),
-    /// Their sender is not where the roster says, or speaks from two places.
+    /// Its source is not its sender's address.
     AddressMismatch,
-    /// Their sender has started anew since.
+    /// Its sender has restarted since.
     StaleIncarnation,
-    /// They claim to be from this very member.
+    /// It claims to be from this instance itself.
     OwnIdentity,
 }
 
 impl RejectReason {
-    /// The reasons' words, by their places in [`Stats::rejected`].
+    /// The reasons' labels in metrics, by their indices in [`Stats::rejected`].
     pub const LABELS: [&'static str; 8] =
         ["length", "version", "cluster", "spoilt", "meaning", "stranger", "former", "own"];
 
@@ -25,8 +25,8 @@
             RejectReason::Wire(WireError::Length) => 0,
             RejectReason::Wire(WireError::Version(_)) => 1,
             RejectReason::Wire(WireError::Cluster) => 2,
-            RejectReason::Wire(WireError::Spoilt) => 3,
-            RejectReason::Wire(WireError::Meaning) => 4,
+            RejectReason::Wire(WireError::Checksum) => 3,
+            RejectReason::Wire(WireError::Malformed) => 4,
             RejectReason::AddressMismatch => 5,
             RejectReason::StaleIncarnation => 6,
             RejectReason::OwnIdentity => 7,
@@ -34,23 +34,29 @@
     }
 }
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Datagrams sent, and their bytes.
-    pub sent: (u64, u64),
-    /// Datagrams taken, and their bytes.
-    pub accepted: (u64, u64),
-    /// Datagrams refused, by [`RejectReason::LABELS`].
+    /// Datagrams sent.
+    pub sent_datagrams: u64,
+    /// Bytes of those.
+    pub sent_bytes: u64,
+    /// Datagrams received and accepted.
+    pub accepted_datagrams: u64,
+    /// Bytes of those.
+    pub accepted_bytes: u64,
+    /// Datagrams rejected, by [`RejectReason::LABELS`].
     pub rejected: [u64; 8],
-    /// Probes sent and failed.
-    pub probes: (u64, u64),
-    /// Members that were called dead here and have spoken in that same life since.
+    /// Probes begun.
+    pub probes_sent: u64,
+    /// Probes that timed out.
+    pub probes_failed: u64,
+    /// Members that were declared dead here and were alive in the same epoch afterwards.
     pub false_deaths: u64,
     /// Accusations of this member that it has refuted.
     pub refutations: u64,
-    /// Times that this process had stood still.
+    /// Stalls of this process.
     pub stalls: u64,
-    /// Halves of the digest that were taken whole, taken in part, and refused.
+    /// Received halves of the digest, by [`MergeOutcome`](crate::MergeOutcome).
     pub digests: [u64; 3],
 }
--- a/crates/membership/src/swim/dissemination.rs
+++ b/crates/membership/src/swim/dissemination.rs
@@ -235,8 +235,8 @@
         let transmitted = &datagram.updates[first_queued.min(encoded)..first_sample.min(encoded)];
         let max_transmissions = 2 * (self.view.size().0.log2().ceil() as u32 + 1);
         self.dissemination.on_sent(transmitted, max_transmissions);
-        self.stats.sent.0 += 1;
-        self.stats.sent.1 += bytes.len() as u64;
+        self.stats.sent_datagrams += 1;
+        self.stats.sent_bytes += bytes.len() as u64;
         out.push(Output::Send(to.address, bytes));
     }
 
--- a/crates/membership/src/swim/failure_detector.rs
+++ b/crates/membership/src/swim/failure_detector.rs
@@ -9,16 +9,13 @@
 use crate::member::{Id, Member, State};
 use crate::view::View;
 use crate::wire::{Message, Update};
-use bellcroft_balancer::Time;
+use bellcroft_balancer::{Micros, Time};
 use std::collections::{BTreeMap, VecDeque};
-use std::net::SocketAddr;
 
 /// Members that are asked to ping a member which has not answered a direct ping (SWIM's k).
 const INDIRECT_PROBES: usize = 3;
 /// Probes of suspected members in a period, beyond the one of each period: bounds what accusations cost.
 const MAX_EXTRA_PROBES: u32 = 4;
-/// Pings sent for others that may be pending; further requests are dropped.
-const MAX_RELAYS: usize = 64;
 /// Retries of a probe: the first with indirect probes, the second direct alone.
 const MAX_PROBE_RETRIES: u32 = 2;
 /// A probe's first retry, in (stretched) probe intervals after its first ping.
@@ -48,22 +45,11 @@
     }
 }
 
-/// A ping sent for another member.
-#[derive(Debug, Clone)]
-struct Relay {
-    requester: Destination,
-    /// The requester's own sequence number.
-    seq: u32,
-    deadline: Time,
-}
-
-/// Probes, relays and suspicions. All maps iterate in the order of their keys, so that runs with equal seeds are equal.
+/// Probes and suspicions. All maps iterate in the order of their keys, so that runs with equal seeds are equal.
 #[derive(Debug)]
 pub(super) struct FailureDetector {
     /// Probes by the sequence number of their pings.
     probes: BTreeMap<u32, Probe>,
-    /// Pings sent for others, by this instance's sequence number.
-    relays: BTreeMap<u32, Relay>,
     /// For members that did not answer directly: the helper whose indirect probe was answered last.
     last_helpers: BTreeMap<Id, Id>,
     pub suspicions: BTreeMap<Id, Suspicion>,
@@ -80,7 +66,6 @@
     pub fn new(now: Time) -> Self {
         FailureDetector {
             probes: BTreeMap::new(),
-            relays: BTreeMap::new(),
             last_helpers: BTreeMap::new(),
             suspicions: BTreeMap::new(),
             round: Vec::new(),
@@ -97,10 +82,9 @@
     /// When the next timer is due. Suspicions do not time out before the end of a recovery.
     pub fn next_deadline(&self, recovering_until: Time) -> Time {
         let probes = self.probes.values().map(Probe::next_timer);
-        let relays = self.relays.values().map(|relay| relay.deadline);
         let confirmed = self.suspicions.values().filter(|suspicion| suspicion.probe_failed);
         let suspicions = confirmed.map(|suspicion| suspicion.deadline().max(recovering_until));
-        probes.chain(relays).chain(suspicions).fold(self.next_period, Time::min)
+        probes.chain(suspicions).fold(self.next_period, Time::min)
     }
 
     pub fn begin_period(&mut self, next: Time) {
@@ -142,9 +126,8 @@
     }
 
     /// Resets timers after a stall: answers that arrived meanwhile could not be processed.
-    fn reset_after_stall(&mut self, now: Time, stall: bellcroft_balancer::Micros) {
+    fn reset_after_stall(&mut self, now: Time, stall: Micros) {
         self.probes.clear();
-        self.relays.clear();
         self.suspicions.values_mut().for_each(|suspicion| suspicion.postpone(stall));
         self.next_period = now;
     }
@@ -156,6 +139,7 @@
         let Some(stall) = self.health.on_event(now, &self.config) else { return };
         self.stats.stalls += 1;
         self.detector.reset_after_stall(now, stall);
+        self.relays.clear();
         self.dissemination.cancel_accusations();
         out.push(Output::Change(Change::ResumedAfterStall(stall)));
     }
@@ -244,7 +228,7 @@
             nacks: 0,
         };
         self.detector.probes.insert(seq, probe);
-        self.stats.probes.0 += 1;
+        self.stats.probes_sent += 1;
         self.send(now, destination, Message::Ping { seq, to: id }, out);
     }
 
@@ -275,7 +259,7 @@
     }
 
     fn on_probe_timeout(&mut self, now: Time, probe: &Probe, out: &mut Vec<Output>) {
-        self.stats.probes.1 += 1;
+        self.stats.probes_failed += 1;
         // Missing nacks point at this instance's own links (Lifeguard). Only where most are missing: when many members die
         // at once, some of the helpers are among them.
         let nacks_missing = probe.nacks * 2 < probe.expected_nacks.max(1);
@@ -365,60 +349,4 @@
             self.dissemination.enqueue(now, update);
         }
     }
-
-    /// Pings a member for another one.
-    pub(super) fn relay_ping(
-        &mut self,
-        now: Time,
-        requester: Destination,
-        request: PingRequest,
-        out: &mut Vec<Output>,
-    ) {
-        let PingRequest { seq, target, address } = request;
-        let known = self.view.get(target).map(|member| member.address);
-        let Some(address) = known.or(self.roster_address(target)).or(address) else { return };
-        if self.detector.relays.len() >= MAX_RELAYS || target == self.config.number {
-            return;
-        }
-        let deadline = now + self.config.probe_interval;
-        let own_seq = self.rng.u32(..);
-        self.detector.relays.insert(own_seq, Relay { requester, seq, deadline });
-        let destination = Destination { id: Some(target), address };
-        self.send(now, destination, Message::Ping { seq: own_seq, to: target }, out);
-    }
-
-    /// Passes an ack on to the member that requested the ping; false if the ack answers no relayed ping.
-    pub(super) fn relay_ack(&mut self, now: Time, ack: Ack, out: &mut Vec<Output>) -> bool {
-        let Some(relay) = self.detector.relays.remove(&ack.seq) else { return false };
-        let message = Message::Ack { seq: relay.seq, of: ack.of, incarnation: ack.incarnation };
-        self.send(now, relay.requester, message, out);
-        true
-    }
-
-    /// Answers requesters whose target has not answered in time.
-    pub(super) fn expire_relays(&mut self, now: Time, out: &mut Vec<Output>) {
-        let relays = self.detector.relays.iter();
-        let expired: Vec<u32> = relays.filter(|(_, r)| r.deadline <= now).map(|(seq, _)| *seq).collect();
-        for seq in expired {
-            if let Some(relay) = self.detector.relays.remove(&seq) {
-                self.send(now, relay.requester, Message::Nack { seq: relay.seq }, out);
-            }
-        }
-    }
-}
-
-/// A received [`Message::PingRequest`].
-#[derive(Debug, Clone, Copy)]
-pub(super) struct PingRequest {
-    pub seq: u32,
-    pub target: Id,
-    pub address: Option<SocketAddr>,
-}
-
-/// A received [`Message::Ack`].
-#[derive(Debug, Clone, Copy)]
-pub(super) struct Ack {
-    pub seq: u32,
-    pub of: Id,
-    pub incarnation: crate::member::Incarnation,
 }
--- a/crates/membership/src/swim/incoming.rs
+++ b/crates/membership/src/swim/incoming.rs
@@ -1,7 +1,7 @@
 //! Received datagrams: the sender's checks, then the updates, then the message.
 
 use super::dissemination::Destination;
-use super::failure_detector::{Ack, PingRequest};
+use super::relay::{Ack, PingRequest};
 use super::{Change, Membership, Output};
 use crate::member::{Id, Incarnation, Member, State};
 use crate::merge::{compare, refute, Claim, Known, Precedence};
@@ -45,8 +45,8 @@
         match self.accept(now, source, bytes, out) {
             Ok(datagram) => {
                 self.health.on_datagram(now);
-                self.stats.accepted.0 += 1;
-                self.stats.accepted.1 += bytes.len() as u64;
+                self.stats.accepted_datagrams += 1;
+                self.stats.accepted_bytes += bytes.len() as u64;
                 self.on_datagram(now, source, datagram, out);
                 self.update_quorum_state(now, out);
             }
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -2,7 +2,8 @@
 //!
 //! | module | what it owns |
 //! | --- | --- |
-//! | [`failure_detector`] | probes, indirect probes and their relays, the way from `Alive` over `Suspect` to `Dead` |
+//! | [`failure_detector`] | probes, direct and indirect, the way from `Alive` over `Suspect` to `Dead` |
+//! | [`relay`] | pings sent for other members' indirect probes |
 //! | [`suspicion`] | the timeout of one suspicion |
 //! | [`local_health`] | Lifeguard's local health score, stalls of this process, the recovery that follows |
 //! | [`dissemination`] | the queue of updates to gossip, and piggybacking them on datagrams |
@@ -14,6 +15,7 @@
 mod incoming;
 mod join;
 mod local_health;
+mod relay;
 mod suspicion;
 
 use crate::config::Config;
@@ -29,6 +31,7 @@
 use incoming::IdentityConflicts;
 use join::JoinState;
 use local_health::LocalHealth;
+use relay::Relays;
 use std::net::SocketAddr;
 
 /// Draws from the view for a member that takes a digest half; nearly every member does, so a few draws find one.
@@ -93,6 +96,7 @@
     rng: fastrand::Rng,
     view: View,
     detector: FailureDetector,
+    relays: Relays,
     health: LocalHealth,
     dissemination: Dissemination,
     join: JoinState,
@@ -130,6 +134,7 @@
             rng: fastrand::Rng::with_seed(seed),
             view,
             detector: FailureDetector::new(now),
+            relays: Relays::default(),
             health: LocalHealth::new(&config, now),
             dissemination: Dissemination::default(),
             join: JoinState::default(),
@@ -205,7 +210,10 @@
         // events mean a stall.
         let stall_check = self.health.last_event() + self.config.probe_interval;
         let detector = self.detector.next_deadline(self.health.recovering_until());
-        digest_exchange.into_iter().fold(detector.min(stall_check), Time::min)
+        digest_exchange
+            .into_iter()
+            .chain(self.relays.next_deadline())
+            .fold(detector.min(stall_check), Time::min)
     }
 
     /// Runs all timers that are due.
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,12 +1,12 @@
-//! Datagrams: at most 256 bytes, as the platform's protocol bounds them between agents.
+//! The wire format: datagrams of at most 256 bytes, as the platform's protocol bounds them between agents.
 //!
-//! | bytes | what |
+//! | bytes | field |
 //! | --- | --- |
-//! | 1 | the form's version |
-//! | 1 | the length of a tag, which follows; 0 until members sign what they send |
-//! | 8 | the cluster: FNV-1a, 64 bits, of its name, little-endian |
-//! | ... | the [`Datagram`], in postcard's form |
-//! | 4 | CRC-32C (RFC 3720, appendix B.4) of all before it, little-endian |
+//! | 1 | version of the format |
+//! | 1 | length of an authentication tag, which follows; 0 until members sign datagrams |
+//! | 8 | FNV-1a, 64 bits, of the cluster's name, little-endian |
+//! | ... | the [`Datagram`], encoded by postcard |
+//! | 4 | CRC-32C (RFC 3720, appendix B.4) of all bytes before it, little-endian |
 
 use crate::member::{Id, Incarnation, Role, State, MAX_EPOCH};
 use serde::{Deserialize, Serialize};
@@ -15,116 +15,119 @@
 
 /// The longest datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// The longest hint in one.
+/// The longest payload of a hint.
 pub const MAX_HINT_BYTES: usize = 64;
-/// The form that this program speaks.
+/// The version of the format.
 pub const VERSION: u8 = 1;
-/// Tags may be this long.
-const TAG_MOST: u8 = 16;
-const CLUSTER: usize = 8;
-const HEAD: usize = 2 + CLUSTER;
-const CHECK: usize = 4;
+/// The longest authentication tag.
+const MAX_TAG_BYTES: u8 = 16;
+/// The hash of the cluster's name.
+const CLUSTER_BYTES: usize = 8;
+/// Version, tag length and cluster.
+const HEADER_BYTES: usize = 2 + CLUSTER_BYTES;
+/// The CRC-32C.
+const CHECKSUM_BYTES: usize = 4;
 
-/// What one member says of another, or of itself.
+/// One member's report on another, or on itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// Of whom.
+    /// The member that the report is about.
     pub id: Id,
-    /// As of which version.
+    /// The incarnation that the report is about.
     pub incarnation: Incarnation,
-    /// What.
+    /// The reported state.
     pub state: State,
-    /// Who saw it; whoever passes it on leaves that as it is.
+    /// The member that observed the state; unchanged when the update is forwarded.
     pub reported_by: Id,
     /// Its site.
     pub site: u8,
     /// What it is for.
     pub role: Role,
-    /// Where it is reached, where rosters do not say.
+    /// Its address, where rosters do not list it.
     pub address: Option<SocketAddr>,
 }
 
-/// What a datagram is for.
+/// The message of a datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Asks a member whether it is there.
+    /// A probe.
     Ping {
-        /// To tell its answer from others.
+        /// Returned by the ack.
         seq: u32,
-        /// Who is meant; another one does not answer.
+        /// The target; other members do not ack.
         to: Id,
     },
-    /// Asks a member to ask another one.
+    /// A request to ping another member (an indirect probe).
     PingRequest {
-        /// To tell its answer from others.
+        /// Returned by the ack.
         seq: u32,
-        /// Who is meant.
+        /// The member to ping.
         target: Id,
-        /// Where it is reached, where rosters do not say.
+        /// Its address, where rosters do not list it.
         address: Option<SocketAddr>,
     },
-    /// The answer to a ping, by the one that was meant or as it gave it.
+    /// The answer to a ping, from the target or forwarded by a helper.
     Ack {
-        /// The ping's.
+        /// The sequence number of the ping.
         seq: u32,
-        /// Who is there.
+        /// The target of the ping.
         of: Id,
-        /// In its latest version.
+        /// The target's own incarnation.
         incarnation: Incarnation,
     },
-    /// The one that was to be asked has not answered; whoever says so is there.
+    /// The target of an indirect probe has not answered the helper; shows that the helper is alive.
     Nack {
-        /// The ping's.
+        /// The sequence number of the ping.
         seq: u32,
     },
-    /// Nothing but its news.
+    /// Only the updates.
     Gossip,
-    /// What the sender's decisions tell the receiver's.
+    /// A hint of the sender's decisions for the receiver's.
     Hint {
-        /// In the decisions' own form.
+        /// In the decisions' own encoding.
         #[serde(with = "serde_bytes")]
         payload: Vec<u8>,
     },
-    /// A half of what the sender holds of the digest.
+    /// Half of the sender's sums of the digest.
     Digest {
-        /// Its parts, as [`crate::Part::encode`] has them.
+        /// Encoded by [`crate::Part::encode`].
         #[serde(with = "serde_bytes")]
         parts: Vec<u8>,
     },
 }
 
-/// One datagram.
+/// A datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
     /// The sender.
     pub from: Id,
-    /// Its version.
+    /// The sender's own incarnation.
     pub incarnation: Incarnation,
     /// Its site.
     pub site: u8,
-    /// Its duty.
+    /// The sender's role.
     pub role: Role,
     /// What it is for.
     pub message: Message,
-    /// So many of the first that are told are to be passed on; the others are samples of what the sender holds.
+    /// The first so many updates are new and to be forwarded; the others are samples of the sender's view.
     pub new_updates: u8,
-    /// What else is told.
+    /// Piggybacked updates.
     pub updates: Vec<Update>,
 }
 
-/// Why bytes are no datagram of this cluster.
+/// Why bytes are not a datagram of this cluster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WireError {
     /// Too long or too short.
     Length,
-    /// Of another form.
+    /// Another version of the format.
     Version(u8),
-    /// Of another cluster.
+    /// Another cluster.
     Cluster,
-    /// Spoilt on its way.
-    Spoilt,
-    /// Well-formed bytes that mean nothing.
-    Meaning,
+    /// The checksum does not match.
+    Checksum,
+    /// The checksum matches, and the content is malformed or out of bounds.
+    Malformed,
 }
 
 impl fmt::Display for WireError {
@@ -135,79 +138,94 @@
             }
             WireError::Version(v) => write!(f, "of form {v}; this program speaks form {VERSION}"),
             WireError::Cluster => f.write_str("of another cluster"),
-            WireError::Spoilt => f.write_str("spoilt on its way"),
-            WireError::Meaning => f.write_str("without a meaning"),
+            WireError::Checksum => f.write_str("spoilt on its way"),
+            WireError::Malformed => f.write_str("without a meaning"),
         }
     }
 }
 
 impl std::error::Error for WireError {}
 
-/// The bytes of a datagram, and how many of its news found room; the first ones go first.
+/// Serializes into a growing buffer. Postcard fails there only for sequences of unknown length, which no type of this crate
+/// contains. Should one come to, the result is empty and its receivers reject the datagram.
+pub(crate) fn serialize(value: &impl Serialize) -> Vec<u8> {
+    match postcard::to_stdvec(value) {
+        Ok(bytes) => bytes,
+        Err(error) => {
+            debug_assert!(false, "a wire type does not serialize: {error}");
+            Vec::new()
+        }
+    }
+}
+
+/// Encodes a datagram with as many of its updates as fit, the first ones first. Returns the bytes and the number of updates.
 ///
-/// Without any news every kind fits, so the answer always is a datagram.
+/// Every message fits without updates.
 pub fn encode(cluster: u64, datagram: &Datagram) -> (Vec<u8>, usize) {
     let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
     bytes.extend([VERSION, 0]);
     bytes.extend(cluster.to_le_bytes());
     let Datagram { from, incarnation, site, role, ref message, new_updates, ref updates } = *datagram;
-    let head =
-        postcard::to_stdvec(&(from, incarnation, site, role, message, new_updates)).unwrap_or_default();
-    bytes.extend(head);
-    // The count of the news takes one byte, for no datagram holds 128 of them.
-    let count_at = bytes.len();
+    bytes.extend(serialize(&(from, incarnation, site, role, message, new_updates)));
+    // Postcard's length of the updates takes one byte: fewer than 128 fit into a datagram.
+    let length_index = bytes.len();
     bytes.push(0);
-    let (mut fit, mut one) = (0, [0; MAX_DATAGRAM_BYTES]);
-    for rumour in updates {
-        let Ok(one) = postcard::to_slice(rumour, &mut one) else { break };
-        if bytes.len() + one.len() + CHECK > MAX_DATAGRAM_BYTES {
+    let (mut encoded_updates, mut buffer) = (0, [0; MAX_DATAGRAM_BYTES]);
+    for update in updates {
+        let Ok(encoded) = postcard::to_slice(update, &mut buffer) else { break };
+        if bytes.len() + encoded.len() + CHECKSUM_BYTES > MAX_DATAGRAM_BYTES {
             break;
         }
-        bytes.extend_from_slice(one);
-        fit += 1;
+        bytes.extend_from_slice(encoded);
+        encoded_updates += 1;
     }
-    bytes[count_at] = fit as u8;
-    let check = crc32c::crc32c(&bytes);
-    bytes.extend(check.to_le_bytes());
-    (bytes, fit)
+    bytes[length_index] = encoded_updates as u8;
+    let checksum = crc32c::crc32c(&bytes);
+    bytes.extend(checksum.to_le_bytes());
+    (bytes, encoded_updates)
 }
 
-/// Reads a datagram of this cluster.
+/// Decodes a datagram of this cluster.
 ///
 /// # Errors
 ///
-/// It is none.
+/// The bytes are not one; see [`WireError`].
 pub fn decode(cluster: u64, bytes: &[u8]) -> Result<Datagram, WireError> {
-    if bytes.len() > MAX_DATAGRAM_BYTES || bytes.len() < HEAD + CHECK {
+    if bytes.len() > MAX_DATAGRAM_BYTES || bytes.len() < HEADER_BYTES + CHECKSUM_BYTES {
         return Err(WireError::Length);
     }
-    // First of all: what follows may stand otherwise in another form.
+    // Before all others: other versions may place the other fields differently.
     if bytes[0] != VERSION {
         return Err(WireError::Version(bytes[0]));
     }
-    let (text, check) = bytes.split_at(bytes.len() - CHECK);
-    if check != crc32c::crc32c(text).to_le_bytes() {
-        return Err(WireError::Spoilt);
+    let (content, checksum) = bytes.split_at(bytes.len() - CHECKSUM_BYTES);
+    if checksum != crc32c::crc32c(content).to_le_bytes() {
+        return Err(WireError::Checksum);
     }
-    let body = HEAD + usize::from(text[1]);
-    if text[1] > TAG_MOST || text.len() < body {
-        return Err(WireError::Meaning);
+    let tag_bytes = content[1];
+    let body = HEADER_BYTES + usize::from(tag_bytes);
+    if tag_bytes > MAX_TAG_BYTES || content.len() < body {
+        return Err(WireError::Malformed);
     }
-    if text[body - CLUSTER..body] != cluster.to_le_bytes() {
+    if content[body - CLUSTER_BYTES..body] != cluster.to_le_bytes() {
         return Err(WireError::Cluster);
     }
     let (datagram, rest) =
-        postcard::take_from_bytes::<Datagram>(&text[body..]).map_err(|_| WireError::Meaning)?;
-    let sane = |version: Incarnation| version.epoch < MAX_EPOCH;
-    let kind = match &datagram.message {
-        Message::Ack { incarnation: version, .. } => sane(*version),
+        postcard::take_from_bytes::<Datagram>(&content[body..]).map_err(|_| WireError::Malformed)?;
+    if !rest.is_empty() || !is_within_bounds(&datagram) {
+        return Err(WireError::Malformed);
+    }
+    Ok(datagram)
+}
+
+/// Whether epochs, payload and states are such as a member sends.
+fn is_within_bounds(datagram: &Datagram) -> bool {
+    let valid = |incarnation: Incarnation| incarnation.epoch < MAX_EPOCH;
+    let valid_message = match &datagram.message {
+        Message::Ack { incarnation, .. } => valid(*incarnation),
         Message::Hint { payload } => payload.len() <= MAX_HINT_BYTES,
         _ => true,
     };
-    let news =
-        datagram.updates.iter().all(|rumour| sane(rumour.incarnation) && rumour.state != State::Absent);
-    if !rest.is_empty() || !sane(datagram.incarnation) || !kind || !news {
-        return Err(WireError::Meaning);
-    }
-    Ok(datagram)
+    let valid_update = |update: &Update| valid(update.incarnation) && update.state != State::Absent;
+    valid(datagram.incarnation) && valid_message && datagram.updates.iter().all(valid_update)
 }
--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,14 +1,16 @@
-//! Fleets for the tests, and an observer that knows what membership promises and nothing of how it is kept.
+//! Simulated fleets for the tests, and assertions on what their members hold of each other.
 #![allow(dead_code)]
 
 use bellcroft_balancer::{Micros, Time};
-use bellcroft_membership::{Change, Config, Id, Membership, QuorumState, State};
+use bellcroft_membership::{
+    encode, Change, Config, Datagram, Id, Incarnation, Membership, Message, QuorumState, Role, State, Update,
+};
 use bellcroft_simulation::fleet::{address, Link, Net};
 use std::collections::BTreeMap;
 
 pub type Fleet = Net<Membership>;
 
-/// Wall clocks begin here, in Unix milliseconds.
+/// The wall clock at the start, in Unix milliseconds.
 pub const WALL: u64 = 1_790_000_000_000;
 
 pub fn seconds(s: f64) -> Micros {
@@ -19,36 +21,36 @@
     Config::new("south", number as u32, (0..members).map(address).collect::<Vec<_>>())
 }
 
-/// The wall clock of a played moment.
+/// The wall clock now.
 pub fn wall(fleet: &Fleet) -> u64 {
     WALL + fleet.passed().0 / 1000
 }
 
-/// Starts a member from nothing.
+/// Starts a member without state.
 pub fn start(fleet: &mut Fleet, config: Config) {
-    let life = wall(fleet);
-    start_in(fleet, config, life);
+    let epoch = wall(fleet);
+    start_in(fleet, config, epoch);
 }
 
-/// Starts a member whose clock says something else.
-pub fn start_in(fleet: &mut Fleet, config: Config, life: u64) {
+/// Starts a member whose wall clock shows `epoch`.
+pub fn start_in(fleet: &mut Fleet, config: Config, epoch: u64) {
     let (number, now) = (config.number.0 as usize, fleet.now());
-    let seed = life ^ (number as u64).wrapping_mul(0x9e37_79b9);
-    fleet.start(number, Membership::new(config, now, life, seed));
+    let seed = epoch ^ (number as u64).wrapping_mul(0x9e37_79b9);
+    fleet.start(number, Membership::new(config, now, epoch, seed));
 }
 
-/// A fleet in which all have found each other.
+/// A fleet whose members all hold each other for alive.
 pub fn fleet(members: usize, seed: u64) -> Fleet {
     let mut fleet = Net::new(members, seed);
     for number in 0..members {
         start(&mut fleet, config(number, members));
     }
-    let found = fleet.until(seconds(10.0), Fleet::agrees);
-    assert!(found.is_some(), "the fleet finds together");
+    let converged = fleet.until(seconds(10.0), Fleet::agrees);
+    assert!(converged.is_some(), "the fleet converges");
     fleet
 }
 
-/// The bound that the operators' page states for a killed member, on healthy links.
+/// The bound on the operators' page for the detection of a crash, on healthy links.
 pub fn bound(members: usize) -> Micros {
     config(0, members).detection_bound(members as u32)
 }
@@ -57,11 +59,11 @@
     fleet.peer(by).and_then(|peer| peer.member(Id(of as u32))).map(|member| member.state)
 }
 
-pub fn stance(fleet: &Fleet, by: usize) -> QuorumState {
+pub fn quorum_state(fleet: &Fleet, by: usize) -> QuorumState {
     fleet.peer(by).expect("it runs").quorum_state()
 }
 
-/// All of these hold all of those in such a state.
+/// Whether all of `by` hold all of `of` in a wanted state.
 pub fn hold(fleet: &Fleet, by: &[usize], of: &[usize], wanted: fn(State) -> bool) -> bool {
     by.iter().all(|by| of.iter().filter(|of| *of != by).all(|of| state(fleet, *by, *of).is_some_and(wanted)))
 }
@@ -74,7 +76,7 @@
     state == State::Alive
 }
 
-/// Deaths that were told since `from`: who told, of whom.
+/// Members declared dead since `from`, as pairs of the declaring and the dead member.
 pub fn deaths(fleet: &Fleet, from: Time) -> Vec<(usize, usize)> {
     let death = |seen: &bellcroft_simulation::fleet::Seen| match seen.change {
         Change::Member { id, to: State::Dead, .. } => Some((seen.by, id.0 as usize)),
@@ -83,7 +85,7 @@
     fleet.seen.iter().filter(|seen| seen.at >= from).filter_map(death).collect()
 }
 
-/// Nothing passes between members of different groups.
+/// A partition: no datagram passes between members of different groups.
 pub fn cut(groups: &[&[usize]]) -> impl Fn(usize, usize) -> Link + 'static {
     let mut group = BTreeMap::new();
     for (number, members) in groups.iter().enumerate() {
@@ -91,3 +93,45 @@
     }
     move |a, b| Link { cut: group.get(&a) != group.get(&b), ..Link::default() }
 }
+
+/// The hash that datagrams of the tests' cluster carry.
+pub fn cluster_hash() -> u64 {
+    bellcroft_platform_settings::fnv1a("south")
+}
+
+/// The bytes of a datagram of member `from`; its updates are to be forwarded.
+pub fn datagram_bytes(
+    from: usize,
+    incarnation: Incarnation,
+    message: Message,
+    updates: Vec<Update>,
+) -> Vec<u8> {
+    let datagram = Datagram {
+        from: Id(from as u32),
+        incarnation,
+        site: 0,
+        role: Role::Agent,
+        message,
+        new_updates: updates.len() as u8,
+        updates,
+    };
+    encode(cluster_hash(), &datagram).0
+}
+
+/// A member's own incarnation.
+pub fn incarnation(fleet: &Fleet, of: usize) -> Incarnation {
+    fleet.peer(of).expect("it runs").incarnation()
+}
+
+/// An update without an address.
+pub fn update(id: usize, incarnation: Incarnation, state: State, reported_by: usize) -> Update {
+    Update {
+        id: Id(id as u32),
+        incarnation,
+        state,
+        reported_by: Id(reported_by as u32),
+        site: 0,
+        role: Role::Agent,
+        address: None,
+    }
+}
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The outer forms of membership: the bytes of every kind of datagram, and the words that status and logs use.
+//! External forms: the bytes of each kind of datagram, and the state names in status and logs.
 
 use bellcroft_membership::{
     decode, encode, Datagram, Id, Incarnation, Message, QuorumState, Role, State, Update,
@@ -8,14 +8,14 @@
 
 const CLUSTER: u64 = 0x1122_3344_5566_7788;
 
-fn kinds() -> Vec<Message> {
+fn messages() -> Vec<Message> {
     let address = Some("127.0.0.1:7946".parse().expect("an address"));
-    let version = Incarnation { epoch: 1_700_000_000_000, counter: 3 };
+    let incarnation = Incarnation { epoch: 1_700_000_000_000, counter: 3 };
     vec![
         Message::Ping { seq: 7, to: Id(300) },
         Message::PingRequest { seq: 8, target: Id(2), address },
         Message::PingRequest { seq: 9, target: Id(2), address: None },
-        Message::Ack { seq: 10, of: Id(2), incarnation: version },
+        Message::Ack { seq: 10, of: Id(2), incarnation },
         Message::Nack { seq: 11 },
         Message::Gossip,
         Message::Hint { payload: vec![1, 2, 3] },
@@ -40,16 +40,16 @@
 }
 
 fn datagrams() -> Vec<Datagram> {
-    let datagram = |kind| Datagram {
+    let datagram = |message| Datagram {
         from: Id(1),
         incarnation: Incarnation { epoch: 1_700_000_000_000, counter: 1 },
         site: 1,
         role: Role::Agent,
-        message: kind,
+        message,
         new_updates: 2,
         updates: updates(),
     };
-    kinds().into_iter().map(datagram).collect()
+    messages().into_iter().map(datagram).collect()
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -63,8 +63,8 @@
 fn datagram_bytes_match_golden_file() {
     let mut text = String::new();
     for datagram in datagrams() {
-        let (bytes, fit) = encode(CLUSTER, &datagram);
-        assert_eq!(fit, datagram.updates.len());
+        let (bytes, encoded) = encode(CLUSTER, &datagram);
+        assert_eq!(encoded, datagram.updates.len());
         assert_eq!(decode(CLUSTER, &bytes), Ok(datagram));
         writeln!(text, "{}", hex(&bytes)).expect("a string grows");
     }
@@ -72,13 +72,13 @@
 }
 
 #[test]
-fn words_of_status_match_golden_file() {
+fn state_names_match_golden_file() {
     let mut text = String::new();
     for state in [State::Absent, State::Alive, State::Suspect, State::Dead, State::Left] {
         writeln!(text, "state {}", state.as_str()).expect("a string grows");
     }
-    for stance in QuorumState::ALL {
-        writeln!(text, "stance {}", stance.as_str()).expect("a string grows");
+    for quorum_state in QuorumState::ALL {
+        writeln!(text, "stance {}", quorum_state.as_str()).expect("a string grows");
     }
     expect_file!["golden/words.txt"].assert_eq(&text);
 }
