--- a/crates/agent/src/discovery/mod.rs
+++ b/crates/agent/src/discovery/mod.rs
@@ -11,17 +11,32 @@
 pub mod schedule;
 mod watch;
 
-use crate::driver::Driver;
 use client::call;
+use codec::EndpointList;
 use error::CallError;
 use policy::{WatchPolicy, CALL_TIMEOUT};
 use schedule::WatchSchedule;
 use std::net::SocketAddr;
 use std::rc::Rc;
+use std::time::Duration;
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 use watch::Watch;
 
+/// Receives what calls to discovery bring.
+pub(crate) trait EndpointSink {
+    /// A call is sent.
+    fn on_discovery_call(&self);
+    /// A call has been answered with this list.
+    fn on_endpoints(self: Rc<Self>, list: EndpointList);
+    /// A call has failed; of a watch, how long it had been open.
+    fn on_call_failed(&self, watch: Option<Duration>, error: &CallError);
+    /// A watch of this version has not been answered within this time; it stays open.
+    fn on_silent_watch(&self, version: u64, elapsed: Duration);
+    /// The watch, or the call for the complete list, has failed; nothing is called until the next is started.
+    fn on_watch_failed(self: Rc<Self>);
+}
+
 /// The calls to discovery; at most one watch and one call for the whole list at a time.
 pub(crate) struct Discovery {
     address: SocketAddr,
@@ -61,32 +76,32 @@
 
     /// Begins a watch for what is newer than `seq`, or ends the one there is. With no `seq` it begins with the
     /// whole list.
-    pub fn watch(&mut self, driver: &Rc<Driver>, active: bool, seq: Option<u64>) {
+    pub fn watch(&mut self, sink: Rc<dyn EndpointSink>, active: bool, seq: Option<u64>) {
         if let Some(watch) = self.watch.take() {
             watch.abort();
         }
         if active {
             let schedule = WatchSchedule::new(self.policy, seq, fastrand::u64(..));
-            let watch = Watch::new(self.address, driver.clone(), schedule);
+            let watch = Watch::new(self.address, sink, schedule);
             self.watch = Some(tokio::task::spawn_local(watch.run()));
         }
     }
 
     /// Asks for the whole list once.
-    pub fn fetch(&mut self, driver: &Rc<Driver>) {
+    pub fn fetch(&mut self, sink: Rc<dyn EndpointSink>) {
         if self.fetch.as_ref().is_some_and(|f| !f.is_finished()) {
             return;
         }
-        let (address, driver) = (self.address, driver.clone());
+        let address = self.address;
         self.fetch = Some(tokio::task::spawn_local(async move {
             let mut connection = None;
-            driver.on_discovery_call();
+            sink.on_discovery_call();
             let answer = timeout(CALL_TIMEOUT, call(address, &mut connection, "/v1/endpoints")).await;
             match answer.unwrap_or(Err(CallError::Timeout)) {
-                Ok(list) => driver.on_endpoints(list),
+                Ok(list) => sink.on_endpoints(list),
                 Err(error) => {
-                    driver.on_call_failed(None, &error);
-                    driver.on_watch_failed();
+                    sink.on_call_failed(None, &error);
+                    sink.on_watch_failed();
                 }
             }
         }));
--- a/crates/agent/src/discovery/watch.rs
+++ b/crates/agent/src/discovery/watch.rs
@@ -4,7 +4,7 @@
 use super::codec::EndpointList;
 use super::error::CallError;
 use super::schedule::{AnswerVersion, CallId, Query, Step, WatchSchedule};
-use crate::driver::Driver;
+use super::EndpointSink;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,7 +21,7 @@
 /// A watch that is kept up until it fails, or for ever where it restarts by itself.
 pub(crate) struct Watch {
     address: SocketAddr,
-    driver: Rc<Driver>,
+    sink: Rc<dyn EndpointSink>,
     schedule: WatchSchedule,
     epoch: Instant,
     tasks: HashMap<CallId, AbortOnDrop>,
@@ -33,10 +33,10 @@
 
 impl Watch {
     /// A watch that asks nobody yet.
-    pub(crate) fn new(address: SocketAddr, driver: Rc<Driver>, schedule: WatchSchedule) -> Self {
+    pub(crate) fn new(address: SocketAddr, sink: Rc<dyn EndpointSink>, schedule: WatchSchedule) -> Self {
         let (report, ends) = unbounded_channel();
         let (epoch, tasks) = (Instant::now(), HashMap::new());
-        Watch { address, driver, schedule, epoch, tasks, spare: None, report, ends }
+        Watch { address, sink, schedule, epoch, tasks, spare: None, report, ends }
     }
 
     /// Keeps it up; returns when it has failed and the balancer is to say when the next begins.
@@ -55,7 +55,7 @@
             };
             self.carry_out(steps, answer);
         }
-        self.driver.on_watch_failed();
+        self.sink.on_watch_failed();
     }
 
     fn on_end(&mut self, end: CallEnd, steps: &mut Vec<Step>) -> Option<EndpointList> {
@@ -81,18 +81,18 @@
                 Step::Cancel(id) => drop(self.tasks.remove(&id)),
                 Step::Deliver(_) => {
                     if let Some(list) = answer.take() {
-                        self.driver.on_endpoints(list);
+                        self.sink.clone().on_endpoints(list);
                     }
                 }
-                Step::WatchSilent { version, elapsed } => self.driver.on_silent_watch(version, elapsed),
-                Step::CallFailed { watch, error } => self.driver.on_call_failed(watch, &error),
+                Step::WatchSilent { version, elapsed } => self.sink.on_silent_watch(version, elapsed),
+                Step::CallFailed { watch, error } => self.sink.on_call_failed(watch, &error),
                 Step::Idle => {}
             }
         }
     }
 
     fn call(&mut self, id: CallId, query: Query) {
-        self.driver.on_discovery_call();
+        self.sink.on_discovery_call();
         let (address, report, mut connection) = (self.address, self.report.clone(), self.spare.take());
         let task = tokio::task::spawn_local(async move {
             let answer = call(address, &mut connection, &query.path()).await;
--- a/crates/agent/src/downstream/exchange.rs
+++ b/crates/agent/src/downstream/exchange.rs
@@ -6,7 +6,7 @@
 use super::response::{plain_response, response_for};
 use super::{Server, LAST_RESPONSE_SHARE};
 use crate::daemon::status::RequestOutcome;
-use crate::driver::{Driver, FinalResponse, IncomingRequest};
+use crate::driver::{Driver, FinalResponse, IncomingRequest, SubmittedRequest};
 use bellcroft_balancer::RequestId;
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CONNECTION};
@@ -82,7 +82,7 @@
             client.whole();
         }
         let counted = self.tally.on_request(&self.driver.class_name(arrival.class));
-        let (id, mut answer, owing) = self.driver.submit(arrival);
+        let SubmittedRequest { id, response: mut answer, timer: owing } = self.driver.submit(arrival);
         // When the client leaves, hyper drops this future, and the guard tells the balancer.
         let _owed = PendingGuard(&self.driver, id);
         let mut early = None;
--- /dev/null
+++ b/crates/agent/src/driver/attempts.rs
@@ -0,0 +1,245 @@
+//! Attempts and health checks: started as the balancer schedules them, and their outcomes queued as events.
+
+use super::requests::{FinalResponse, IncomingRequest, RequestBody};
+use super::{duration, Driver, State};
+use crate::request_log::AnswerReason;
+use crate::streaming_body::OutgoingBody;
+use crate::telemetry::FirstByte;
+use crate::upstream::{AttemptLimits, AttemptProgress, AttemptResult};
+use bellcroft_agent_core::guard::AttemptWindow;
+use bellcroft_balancer::{AttemptNo, ClassId, Event, Micros, Outcome, RequestId, ServerId, Time};
+use hyper::header::{HeaderValue, CONTENT_LENGTH};
+use hyper::{Method, Request, Uri};
+use std::collections::HashMap;
+use std::rc::Rc;
+use tokio::time::Instant;
+
+/// Identifies an attempt: a request and the number of its attempt, from 0 on.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub(super) struct AttemptKey {
+    pub(super) request: RequestId,
+    pub(super) attempt: u32,
+}
+
+/// An attempt that the balancer wants sent.
+pub(super) struct ScheduledAttempt {
+    pub(super) key: AttemptKey,
+    pub(super) server: ServerId,
+    /// When the attempt ends.
+    pub(super) timeout_at: Time,
+    /// The latest time for the attempt's first byte.
+    pub(super) write_by: Time,
+}
+
+/// An attempt that was sent.
+struct SentAttempt {
+    key: AttemptKey,
+    class: ClassId,
+    server: ServerId,
+    /// When the server's time began: the last byte of a streaming body, otherwise the start of the attempt.
+    sent_at: Instant,
+}
+
+/// The attempts that have been started and have no outcome.
+#[derive(Default)]
+pub(super) struct AttemptsInFlight {
+    progress: HashMap<AttemptKey, Rc<AttemptProgress>>,
+}
+
+impl AttemptsInFlight {
+    /// Cancels an attempt, if it is in flight.
+    pub(super) fn cancel(&self, key: AttemptKey) {
+        if let Some(progress) = self.progress.get(&key) {
+            progress.call_off();
+        }
+    }
+
+    /// Cancels those of a request's first `attempts` attempts that are not completely written.
+    pub(super) fn cancel_unwritten(&self, request: RequestId, attempts: u32) {
+        for progress in self.of_request(request, attempts).filter(|progress| !progress.may_have_run()) {
+            progress.call_off();
+        }
+    }
+
+    /// Sets the end of a request's first `attempts` attempts.
+    pub(super) fn set_deadline(&self, request: RequestId, attempts: u32, deadline: Instant) {
+        for progress in self.of_request(request, attempts) {
+            progress.end_by(deadline);
+        }
+    }
+
+    fn of_request(&self, request: RequestId, attempts: u32) -> impl Iterator<Item = &Rc<AttemptProgress>> {
+        (0..attempts).filter_map(move |attempt| self.progress.get(&AttemptKey { request, attempt }))
+    }
+}
+
+impl Driver {
+    /// Starts an attempt, unless its request has ended or the guard denies it.
+    pub(super) fn start_attempt(self: &Rc<Self>, state: &mut State, scheduled: ScheduledAttempt) {
+        let ScheduledAttempt { key, server, timeout_at, write_by } = scheduled;
+        let now = self.clock.now();
+        let window = self.guard.borrow().window(write_by, timeout_at);
+        let Some(pending) = state.requests.get_mut(key.request) else {
+            // The request ended while decisions were deferred; the event of its end is queued behind this decision.
+            return state.on_not_sent(key);
+        };
+        pending.attempts = key.attempt + 1;
+        let groups = state.endpoints.groups(server);
+        let id = pending.request.request_id.clone();
+        if let Err(denied) = self.guard.borrow_mut().may_send(now, &pending.history, groups) {
+            self.request_log.attempt_denied(&id, key.attempt, server.0, denied);
+            return state.on_not_sent(key);
+        }
+        pending.history.on_sent(key.attempt, now, groups);
+        let timeout = duration(window.end_by.since(now));
+        self.request_log.attempt_sent(&id, key.attempt, server.0, timeout);
+        let started_at = Instant::now();
+        let request = pending.request.clone();
+        let first_byte = self.count_attempt(state, key, server, &request);
+        let progress = Rc::new(AttemptProgress::new(first_byte, request.body.upload().cloned()));
+        state.attempts.progress.insert(key, progress.clone());
+        let attempt = SentAttempt { key, class: request.class, server, sent_at: started_at };
+        self.spawn_attempt(attempt, &request, self.attempt_limits(&request, window), progress);
+    }
+
+    /// Counts an attempt; the result reports its first byte.
+    fn count_attempt(
+        &self,
+        state: &State,
+        key: AttemptKey,
+        server: ServerId,
+        request: &IncomingRequest,
+    ) -> Option<FirstByte> {
+        let telemetry = self.telemetry.clone()?;
+        let is_hedge = state.attempts.of_request(key.request, key.attempt).next().is_some();
+        telemetry.attempt(server.0, request.route_name(), key.attempt, is_hedge);
+        let AttemptKey { request, attempt } = key;
+        Some(FirstByte { instance: telemetry, clock: self.clock, request, attempt, server })
+    }
+
+    fn attempt_limits(&self, request: &IncomingRequest, window: AttemptWindow<Time>) -> AttemptLimits {
+        let route = request.route.as_ref();
+        AttemptLimits {
+            window: AttemptWindow {
+                start_by: self.clock.instant(window.start_by),
+                end_by: self.clock.instant(window.end_by),
+            },
+            max_timeout: request.body.upload().map(|_| request.response_timeout),
+            connect: route.and_then(|route| route.connect_timeout).map(duration),
+            first_byte: route.and_then(|route| route.first_byte_timeout).map(duration),
+        }
+    }
+
+    fn spawn_attempt(
+        self: &Rc<Self>,
+        mut attempt: SentAttempt,
+        request: &IncomingRequest,
+        limits: AttemptLimits,
+        progress: Rc<AttemptProgress>,
+    ) {
+        let driver = self.clone();
+        let outgoing = outgoing_request(request);
+        let (id, upload) = (request.request_id.clone(), request.body.upload().cloned());
+        tokio::task::spawn_local(async move {
+            let result = driver.upstream.attempt(attempt.server, outgoing, &limits, &progress).await;
+            if let Some(upload) = upload {
+                let completed_at = upload.completed_at().unwrap_or_else(Instant::now);
+                attempt.sent_at = attempt.sent_at.max(completed_at);
+            }
+            let elapsed = attempt.sent_at.elapsed();
+            driver.request_log.attempt_ended(&id, attempt.key.attempt, result.outcome, elapsed);
+            driver.on_attempt_finished(attempt, result);
+        });
+    }
+
+    /// An attempt has its outcome. The first response of a server becomes the request's final response.
+    fn on_attempt_finished(self: &Rc<Self>, attempt: SentAttempt, result: AttemptResult) {
+        let SentAttempt { key, class, server, sent_at } = attempt;
+        let outcome = result.outcome;
+        let elapsed = micros_since(sent_at);
+        if let Some(telemetry) = &self.telemetry {
+            telemetry.ended((key.request.0, key.attempt), class.0, server.0, outcome, elapsed);
+        }
+        {
+            let mut state = self.state.borrow_mut();
+            if outcome == Outcome::Success {
+                state.response_times[class.0].add(elapsed);
+            }
+            state.attempts.progress.remove(&key);
+            if let Some((content_type, body)) = result.answer {
+                let response = FinalResponse::Served(content_type, body);
+                self.respond(&mut state, key.request, response, AnswerReason::Served);
+            }
+            if let Some(pending) = state.requests.get_mut(key.request) {
+                pending.history.on_outcome(key.attempt, outcome);
+                pending.last_timed_out = outcome == Outcome::TimedOut;
+            }
+            if state.requests.is_partly_sent(key.request) {
+                state.events.push_back(Event::AttemptsExhausted { request: key.request });
+            }
+            state.queue_outcome(key, outcome, elapsed, result.report);
+        }
+        self.pump();
+    }
+
+    /// Sends a health check to a server.
+    pub(super) fn check_health(self: &Rc<Self>, server: ServerId) {
+        let driver = self.clone();
+        tokio::task::spawn_local(async move {
+            let sent_at = Instant::now();
+            let AttemptResult { outcome, report, .. } = driver.upstream.probe(server).await;
+            let elapsed = micros_since(sent_at);
+            if let Some(telemetry) = &driver.telemetry {
+                telemetry.probed(outcome);
+            }
+            let event = Event::HealthChecked { server, outcome, elapsed, report };
+            driver.state.borrow_mut().events.push_back(event);
+            driver.pump();
+        });
+    }
+}
+
+impl State {
+    /// An attempt that the balancer scheduled was not sent.
+    fn on_not_sent(&mut self, key: AttemptKey) {
+        self.queue_outcome(key, Outcome::NotSent, Micros::ZERO, None);
+    }
+
+    fn queue_outcome(
+        &mut self,
+        key: AttemptKey,
+        outcome: Outcome,
+        elapsed: Micros,
+        report: Option<Vec<f64>>,
+    ) {
+        self.events.push_back(Event::Outcome {
+            request: key.request,
+            attempt: AttemptNo(key.attempt),
+            outcome,
+            elapsed,
+            report,
+            closed: !self.requests.contains(key.request),
+        });
+    }
+}
+
+fn micros_since(start: Instant) -> Micros {
+    Micros(start.elapsed().as_micros() as u64)
+}
+
+/// The request as it is forwarded: unchanged but for its target and length. The upstream adds the time-out header.
+fn outgoing_request(incoming: &IncomingRequest) -> Request<OutgoingBody> {
+    let (body, length) = match &incoming.body {
+        RequestBody::Complete(bytes) => (OutgoingBody::Complete(bytes.clone()), Some(bytes.len() as u64)),
+        RequestBody::Streaming(upload) => (OutgoingBody::streaming(upload), upload.length()),
+    };
+    let mut request = Request::new(body);
+    *request.method_mut() = incoming.method.clone();
+    // A client may send the absolute form (RFC 9112, section 3.2.2); servers get the origin form.
+    *request.uri_mut() = incoming.uri.path_and_query().cloned().map_or_else(Uri::default, Uri::from);
+    *request.headers_mut() = incoming.headers.clone();
+    if let Some(length) = length.filter(|length| incoming.method != Method::GET || *length > 0) {
+        request.headers_mut().insert(CONTENT_LENGTH, HeaderValue::from(length));
+    }
+    request
+}
--- /dev/null
+++ b/crates/agent/src/driver/peers.rs
@@ -0,0 +1,61 @@
+//! What peers contribute to the balancer's decisions, as advice.
+
+use super::Driver;
+use crate::peers::{name_hash, Decisions, Peers};
+use bellcroft_balancer::{Event, FleetState, PeerId, UNCONFIRMED_HINT};
+use std::rc::Rc;
+use tracing::warn;
+
+impl Driver {
+    /// Joins the other instances by way of `peers`, and watches for stalls of this process.
+    pub fn set_peers(&self, peers: Rc<Peers>) {
+        *self.peers.borrow_mut() = Some(peers);
+        self.start_stall_detection();
+    }
+
+    /// The other instances; none where they are not configured.
+    pub fn peers(&self) -> Option<Rc<Peers>> {
+        self.peers.borrow().clone()
+    }
+}
+
+impl Decisions for Driver {
+    fn servers(&self) -> usize {
+        self.state.borrow().endpoints.up_count()
+    }
+
+    fn hint(self: Rc<Self>, from: PeerId, name: u64, lone: bool) {
+        {
+            let mut state = self.state.borrow_mut();
+            let Some(server) = state.endpoints.find(|own| name_hash(own) == name) else { return };
+            let mut payload = server.0.to_be_bytes().to_vec();
+            payload.extend(lone.then_some(UNCONFIRMED_HINT));
+            state.events.push_back(Event::PeerMessage { from, payload });
+        }
+        self.pump();
+    }
+
+    fn fleet(self: Rc<Self>, fleet: FleetState) {
+        self.state.borrow_mut().events.push_back(Event::Fleet(fleet));
+        self.pump();
+    }
+
+    fn reckon(&self, instances: u32) {
+        self.fleet_size.set(instances);
+        let mut state = self.state.borrow_mut();
+        let mut settings = state.balancer.settings().clone();
+        settings.balancers = instances;
+        if let Err(error) = state.balancer.reconfigure(settings, &[]) {
+            warn!(instances, %error, "cannot apply the number of instances to the quotas");
+        }
+    }
+}
+
+impl Driver {
+    /// Sends a peer the balancer's hint about a server; dropped without peers, or if the server is unknown.
+    pub(super) fn send_hint(&self, server_name: Option<&str>, to: Option<PeerId>) {
+        if let (Some(peers), Some(to), Some(name)) = (&*self.peers.borrow(), to, server_name) {
+            peers.send_hint(to, name);
+        }
+    }
+}
--- /dev/null
+++ b/crates/agent/src/driver/reload.rs
@@ -0,0 +1,114 @@
+//! New settings and routes at run time; requests that are pending keep the class and route that they began with.
+
+use super::{duration, Driver, State};
+use crate::daemon::config::Config;
+use crate::discovery::policy::WatchPolicy;
+use bellcroft_agent_core::reconfigure::{merge_names, ClassSignature, IncompatibleClass};
+use bellcroft_balancer::{ClassId, Settings, SettingsError, Tenant, TenantId, ZoneId};
+use bellcroft_platform_settings::Names;
+use bellcroft_routes::{Recent, Route, Table};
+use std::rc::Rc;
+use std::sync::Arc;
+
+impl Driver {
+    /// Applies newer settings.
+    ///
+    /// # Errors
+    ///
+    /// The balancer cannot work with them; nothing has changed then.
+    pub fn reconfigure(self: &Rc<Self>, newer: &Config) -> Result<(), SettingsError> {
+        newer.settings.check()?;
+        let mut state = self.state.borrow_mut();
+        let now = self.clock.now();
+        let former = state.balancer.settings().clone();
+        let (mut settings, names) = self.merge_settings(&former, newer);
+        let mut registry = self.class_registry.borrow_mut();
+        let is_free = |index: usize| !state.balancer.references_class(ClassId(index));
+        let changed = registry.reconfigure(now, &newer.names.classes, &newer.settings.classes, is_free);
+        settings.classes = registry.classes();
+        if settings.max_attempts != former.max_attempts {
+            state.attempt_limit.on_limit_changed(former.max_attempts, now);
+        }
+        state.balancer.reconfigure(settings, &changed)?;
+        self.reconfigure_discovery(&mut state);
+        state.response_times.resize_with(registry.len(), Recent::default);
+        for (index, _) in &changed {
+            state.response_times[*index] = Recent::default();
+        }
+        self.upstream.reconfigure(
+            duration(newer.names.connect_timeout),
+            duration(newer.names.keepalive),
+            newer.names.report_fields.clone(),
+        );
+        *self.names.borrow_mut() = Rc::new(names);
+        Ok(())
+    }
+
+    /// The newer settings and names, in which each tenant, zone and machine type keeps its former index.
+    fn merge_settings(&self, former: &Settings, newer: &Config) -> (Settings, Names) {
+        let old = self.names();
+        let mut settings = newer.settings.clone();
+        let (tenants, indexes) = merge_names(&old.tenants, &newer.names.tenants);
+        settings.tenants = former.tenants.clone();
+        settings.tenants.resize(tenants.len(), Tenant::default());
+        for (index, tenant) in indexes.iter().zip(&newer.settings.tenants) {
+            settings.tenants[*index] = tenant.clone();
+        }
+        let (zones, indexes) = merge_names(&old.zones, &newer.names.zones);
+        if let Some(index) = indexes.get(settings.zone.0 as usize) {
+            settings.zone = ZoneId(*index as u32);
+        }
+        settings.balancers = settings.balancers.max(self.fleet_size.get());
+        let (kinds, _) = merge_names(&old.kinds, &newer.names.kinds);
+        (settings, Names { tenants, zones, kinds, ..newer.names.clone() })
+    }
+
+    /// Applies the watch policy of the present settings, with a new watch if discovery now restarts it by itself or no
+    /// longer does.
+    fn reconfigure_discovery(self: &Rc<Self>, state: &mut State) {
+        let former = state.discovery.follows_by_itself();
+        state.discovery.reconfigure(watch_policy(state.balancer.settings()));
+        if former != state.discovery.follows_by_itself() {
+            self.watch_discovery(state, true);
+        }
+    }
+
+    /// Applies the routes of a checked configuration to requests that arrive from now on.
+    pub fn set_routes(&self, config: &Config) {
+        let mut state = self.state.borrow_mut();
+        let table = Table::unchecked(&config.routes, &mut state.route_ids);
+        state.routes = Rc::new(table);
+    }
+
+    /// The first route that matches a request.
+    pub fn route(&self, class: ClassId, tenant: Option<TenantId>, path: &str) -> Option<Arc<Route>> {
+        let routes = self.state.borrow().routes.clone();
+        let names = self.names();
+        let tenant = tenant.and_then(|tenant| names.tenants.get(tenant.0)).map(String::as_str);
+        routes.lookup(self.class_registry.borrow().name(class.0), tenant, path).cloned()
+    }
+
+    /// The names of the settings.
+    pub fn names(&self) -> Rc<Names> {
+        self.names.borrow().clone()
+    }
+
+    /// The class whose rules apply to a request of this class name and signature.
+    ///
+    /// # Errors
+    ///
+    /// There is no class of this name, or none that fits the signature.
+    pub fn class(&self, name: &str, signature: ClassSignature) -> Result<ClassId, IncompatibleClass> {
+        self.class_registry.borrow().find(self.clock.now(), name, signature).map(ClassId)
+    }
+
+    /// The name of a class.
+    pub fn class_name(&self, class: ClassId) -> String {
+        self.class_registry.borrow().name(class.0).to_owned()
+    }
+}
+
+/// How these settings have discovery watched.
+pub(super) fn watch_policy(settings: &Settings) -> WatchPolicy {
+    WatchPolicy::new(settings.discovery, duration(settings.drain_grace_period))
+}
--- /dev/null
+++ b/crates/agent/src/driver/timers.rs
@@ -0,0 +1,112 @@
+//! Time: the balancer's timers, the sweep of idle connections, and the deferral of decisions after a stall.
+
+use super::{duration, Driver, State};
+use bellcroft_agent_core::stall::{StallDetector, LIST_TIMEOUT};
+use bellcroft_balancer::{Event, Time, TimerId};
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+use tracing::warn;
+
+/// The interval between two sweeps of idle connections to servers; they expire after whole seconds.
+const IDLE_SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+
+/// The balancer's timers, the earliest first. Timers of one time fire in the order of their ids.
+#[derive(Default)]
+pub(super) struct TimerQueue {
+    timers: BinaryHeap<Reverse<(Time, u64)>>,
+}
+
+impl TimerQueue {
+    /// Adds a timer; whether it is the earliest.
+    #[must_use = "the driver's task sleeps until the earliest timer it knows"]
+    pub(super) fn set(&mut self, at: Time, timer: TimerId) -> bool {
+        let is_earliest = self.next_due().is_none_or(|next| at < next);
+        self.timers.push(Reverse((at, timer.0)));
+        is_earliest
+    }
+
+    /// When the earliest timer is due.
+    fn next_due(&self) -> Option<Time> {
+        self.timers.peek().map(|Reverse((at, _))| *at)
+    }
+
+    /// Removes the earliest timer, if it is due.
+    fn pop_due(&mut self, now: Time) -> Option<TimerId> {
+        self.next_due().filter(|at| *at <= now)?;
+        self.timers.pop().map(|Reverse((_, timer))| TimerId(timer))
+    }
+}
+
+impl Driver {
+    /// Fires the balancer's timers and closes expired idle connections; never returns.
+    pub async fn run(self: Rc<Self>) {
+        let mut next_sweep = Instant::now() + IDLE_SWEEP_INTERVAL;
+        loop {
+            tokio::select! {
+                () = tokio::time::sleep_until(self.next_wake(next_sweep)) => {}
+                () = self.wake.notified() => {}
+            }
+            self.queue_due_timers();
+            self.pump();
+            if Instant::now() >= next_sweep {
+                self.upstream.sweep();
+                next_sweep = Instant::now() + IDLE_SWEEP_INTERVAL;
+            }
+        }
+    }
+
+    /// The end of the deferral while decisions are deferred, since timers cannot be handled before; otherwise the earliest
+    /// timer. The sweep at the latest.
+    fn next_wake(&self, next_sweep: Instant) -> Instant {
+        let next_timer = self.state.borrow().timers.next_due();
+        let deferred_until =
+            self.stall_detector.get().and_then(|detector| detector.waits_until(self.clock.now()));
+        let due = deferred_until.or(next_timer).map(|at| self.clock.instant(at));
+        due.map_or(next_sweep, |due| due.min(next_sweep))
+    }
+
+    fn queue_due_timers(&self) {
+        let now = self.clock.now();
+        let mut state = self.state.borrow_mut();
+        while let Some(timer) = state.timers.pop_due(now) {
+            state.events.push_back(Event::Timer(timer));
+        }
+    }
+
+    /// Detects a stall of this process, and says whether decisions are deferred until a new endpoint list. Called before
+    /// any event is handled: after a stall the kernel may deliver a buffered request before a timer fires.
+    pub(super) fn defers_decisions(self: &Rc<Self>, state: &mut State) -> bool {
+        let Some(mut detector) = self.stall_detector.get() else { return false };
+        let now = self.clock.now();
+        if detector.heartbeat(now) {
+            let max_wait = duration(LIST_TIMEOUT);
+            warn!(?max_wait, "process stood still: decisions deferred until a new endpoint list");
+            // Calls in flight are cancelled: their answers may be as old as the cached list.
+            let address = state.discovery.address();
+            self.restart_discovery(state, address);
+            self.wake.notify_one();
+        }
+        self.stall_detector.set(Some(detector));
+        detector.waits_until(now).is_some()
+    }
+
+    /// A list has arrived: decisions are no longer deferred.
+    pub(super) fn end_deferral(&self) {
+        if let Some(mut detector) = self.stall_detector.get() {
+            detector.on_endpoint_list();
+            self.stall_detector.set(Some(detector));
+        }
+    }
+
+    pub(super) fn start_stall_detection(&self) {
+        self.stall_detector.set(Some(StallDetector::new(self.clock.now())));
+    }
+
+    /// The number of stalls of this process; 0 where peers are not configured, since nothing is detected there.
+    pub fn stalls(&self) -> u64 {
+        self.stall_detector.get().map_or(0, |detector| detector.stalls())
+    }
+}
--- a/crates/agent/tests/log.rs
+++ b/crates/agent/tests/log.rs
@@ -51,7 +51,10 @@
     assert_eq!(told("its health is \"asleep\""), 1, "{lines:?}");
     // A name with a line's end in it makes no line of its own.
     assert_eq!(told("u\\nv"), 1, "{lines:?}");
-    assert_eq!(lines.iter().filter(|l| l.contains("left out") && l.contains("WARN")).count(), 2);
+    assert_eq!(
+        lines.iter().filter(|l| l.contains("endpoint list entry rejected") && l.contains("WARN")).count(),
+        2
+    );
 }
 
 #[tokio::test]
@@ -77,7 +80,7 @@
 async fn levels_are_chosen_by_part_and_bad_ones_are_refused() {
     let (_, quiet) = lines(&["run", "--log-level", "info,bellcroft::discovery=off"], &[], false).await;
     assert!(quiet.iter().any(|l| l.contains("listening on")), "{quiet:?}");
-    assert!(!quiet.iter().any(|l| l.contains("left out") || l.contains("server ")), "{quiet:?}");
+    assert!(!quiet.iter().any(|l| l.contains("entry rejected") || l.contains("server ")), "{quiet:?}");
     let (code, refused) = lines(&["run", "--log-level", "bellcroft=loud"], &[], false).await;
     assert_eq!(code, Some(2));
     assert!(refused.len() == 1 && refused[0].contains("bellcroft=loud"), "{refused:?}");
