--- a/crates/agent/src/cli/call.rs
+++ b/crates/agent/src/cli/call.rs
@@ -1,8 +1,7 @@
-//! `bellcroft call`: one call over an instance's second address.
+//! `bellcroft call`: one request over an instance's admin console.
 
 use crate::exit::{self, block_on};
 use bellcroft_agent_core::admin::AdminRequest;
-use bellcroft_operator_config::AgentFile;
 use serde_json::{Map, Value};
 use std::io;
 use std::net::SocketAddr;
@@ -12,12 +11,12 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::timeout;
 
-/// An instance answers at once, however busy; one that does not by then is in trouble.
-const ANSWER_WITHIN: Duration = Duration::from_secs(3);
-/// The longest answer that is read.
-const ANSWER_MOST: u64 = 4 << 20;
+/// An instance answers from its event loop, however busy it is; one that takes longer counts as failed.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(3);
+/// Longest reply in bytes.
+const MAX_REPLY_BYTES: u64 = 4 << 20;
 
-/// What can be asked.
+/// A request over the admin console.
 #[derive(Debug, Clone, Copy, clap::ValueEnum)]
 pub enum AdminCommand {
     /// Whether it takes clients.
@@ -32,75 +31,81 @@
 
 impl AdminCommand {
     fn text(self) -> &'static str {
-        let call = match self {
+        let request = match self {
             AdminCommand::Ready => AdminRequest::Ready,
             AdminCommand::ShowStat => AdminRequest::ShowStat,
             AdminCommand::Drain => AdminRequest::Drain,
             AdminCommand::Resume => AdminRequest::Resume,
         };
-        AdminRequest::ALL.iter().find(|(_, known)| *known == call).map_or("", |(word, _)| word)
+        AdminRequest::ALL.iter().find(|(_, known)| *known == request).map_or("", |(text, _)| text)
     }
 }
 
+/// Sends a request to the console at `console`, or to the one that the operator's file names, and prints the reply.
 pub fn run(
-    word: AdminCommand,
+    command: AdminCommand,
     console: Option<SocketAddr>,
     operator: Option<PathBuf>,
     json: bool,
 ) -> ExitCode {
-    let address = match (console, operator) {
-        (Some(address), _) => Some(address),
-        (None, Some(operator)) => match AgentFile::read(&operator) {
-            Ok(file) => file.instance.console,
-            Err(faults) => {
-                faults.iter().for_each(|fault| eprintln!("{fault}"));
-                return ExitCode::from(exit::BAD_INPUT);
-            }
-        },
-        (None, None) => None,
+    let address = match console_address(console, operator) {
+        Ok(address) => address,
+        Err(code) => return code,
     };
-    let Some(address) = address else {
-        eprintln!("bellcroft: the operator's file names no instance.console");
-        return ExitCode::from(exit::BAD_INPUT);
-    };
-    let answer = match block_on(ask(address, word.text())) {
-        Ok(Ok(answer)) => answer,
+    match block_on(exchange(address, command.text())) {
+        Ok(Ok(reply)) => print_reply(&reply, json),
         Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => {
             eprintln!("bellcroft: nobody answers on {address}");
-            return ExitCode::from(exit::NOT_RUNNING);
+            ExitCode::from(exit::NOT_RUNNING)
         }
         Ok(Err(e)) => {
             eprintln!("bellcroft: {address}: {e}");
-            return ExitCode::from(exit::NOT_DONE);
+            ExitCode::from(exit::NOT_DONE)
         }
-        Err(why) => {
-            eprintln!("bellcroft: {why}");
-            return ExitCode::from(exit::NOT_DONE);
+        Err(error) => {
+            eprintln!("bellcroft: {error}");
+            ExitCode::from(exit::NOT_DONE)
         }
+    }
+}
+
+fn console_address(console: Option<SocketAddr>, operator: Option<PathBuf>) -> Result<SocketAddr, ExitCode> {
+    let address = match (console, operator) {
+        (Some(address), _) => Some(address),
+        (None, Some(operator)) => super::read_agent_file(&operator)?.instance.console,
+        (None, None) => None,
     };
-    let (first, rest) = answer.split_once('\n').unwrap_or((&answer, ""));
-    let good = first.starts_with("200");
-    let says = first.get(4..).unwrap_or_default();
+    address.ok_or_else(|| {
+        eprintln!("bellcroft: the operator's file names no instance.console");
+        ExitCode::from(exit::BAD_INPUT)
+    })
+}
+
+/// Prints a reply: a line of status and text, and for `show-stat` lines of figures up to `EOF`.
+fn print_reply(reply: &str, json: bool) -> ExitCode {
+    let (first, rest) = reply.split_once('\n').unwrap_or((reply, ""));
+    let ok = first.starts_with("200");
+    let text = first.get(4..).unwrap_or_default();
     if json {
-        println!("{}", value(good, says, rest));
+        println!("{}", json_reply(ok, text, rest));
     } else if rest.is_empty() {
-        println!("{says}");
+        println!("{text}");
     } else {
         rest.lines().filter(|line| *line != "EOF").for_each(|line| println!("{line}"));
     }
-    if good {
+    if ok {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(exit::NOT_DONE)
     }
 }
 
-fn value(good: bool, says: &str, rest: &str) -> Value {
+fn json_reply(ok: bool, text: &str, rest: &str) -> Value {
     let figure = |line: &str| {
         let (name, value) = line.split_once('=')?;
         Some((name.to_owned(), Value::from(value.parse::<u64>().ok()?)))
     };
-    let mut object = Map::from_iter([("ok".into(), good.into()), ("says".into(), says.into())]);
+    let mut object = Map::from_iter([("ok".into(), ok.into()), ("says".into(), text.into())]);
     let figures: Map<String, Value> = rest.lines().filter_map(figure).collect();
     if !figures.is_empty() {
         object.insert("figures".into(), figures.into());
@@ -108,14 +113,14 @@
     object.into()
 }
 
-async fn ask(address: SocketAddr, word: &str) -> io::Result<String> {
+async fn exchange(address: SocketAddr, request: &str) -> io::Result<String> {
     let exchange = async {
         let mut stream = bellcroft_net::connect(address).await?;
-        stream.write_all(format!("{word}\n").as_bytes()).await?;
-        let mut answer = String::new();
-        (&mut stream).take(ANSWER_MOST).read_to_string(&mut answer).await?;
-        Ok(answer)
+        stream.write_all(format!("{request}\n").as_bytes()).await?;
+        let mut reply = String::new();
+        (&mut stream).take(MAX_REPLY_BYTES).read_to_string(&mut reply).await?;
+        Ok(reply)
     };
-    let late = || io::Error::new(io::ErrorKind::TimedOut, format!("no answer within {ANSWER_WITHIN:?}"));
-    timeout(ANSWER_WITHIN, exchange).await.unwrap_or_else(|_| Err(late()))
+    let timed_out = || io::Error::new(io::ErrorKind::TimedOut, format!("no answer within {REPLY_TIMEOUT:?}"));
+    timeout(REPLY_TIMEOUT, exchange).await.unwrap_or_else(|_| Err(timed_out()))
 }
--- a/crates/agent/src/cli/fleet.rs
+++ b/crates/agent/src/cli/fleet.rs
@@ -1,11 +1,14 @@
-//! `bellcroft fleet`.
+//! `bellcroft fleet`: runs a fleet's supervisor, or commands a running one.
 
 use crate::daemon::control::{self, ControlError};
 use crate::daemon::state;
 use crate::exit::{self, block_on};
+use crate::fleet::commands::{FleetRequest, FleetStatus, ReloadProgress};
 use bellcroft_operator_config::FleetFile;
 use clap::{Args, Subcommand};
-use serde_json::{json, Value};
+use serde_json::Value;
+use std::fmt::Display;
+use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
@@ -42,9 +45,10 @@
     file: PathBuf,
 }
 
-/// How often the supervisor is asked how far it is.
-const LOOK: Duration = Duration::from_millis(100);
+/// How often the supervisor's progress is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
+/// Carries out a command on the fleet of its file.
 pub fn run(command: Command) -> ExitCode {
     let file = match &command {
         Command::Run(file) | Command::Reload(file) | Command::Stop(file) => file,
@@ -61,7 +65,7 @@
         }
     };
     let dir = fleet.state.as_path();
-    let done = block_on(async {
+    let result = block_on(async {
         match command {
             Command::Run(_) => Ok(ExitCode::SUCCESS),
             Command::Status { json, .. } => show(dir, json).await,
@@ -70,132 +74,146 @@
             Command::Stop(_) => stop(dir).await,
         }
     });
-    match done {
+    match result {
         Ok(Ok(code)) => code,
-        Ok(Err(ControlError::NotRunning)) => {
-            let alive =
-                fleet.members.iter().filter(|m| state::is_locked(&crate::fleet::instance_dir(&fleet, m)));
-            eprintln!(
-                "bellcroft: {}: no supervisor is running; {} of {} instances are. `bellcroft fleet run` adopts them",
-                dir.display(),
-                alive.count(),
-                fleet.members.len()
-            );
+        Ok(Err(CommandError::Control(ControlError::NotRunning))) => {
+            report_not_running(&fleet);
             ExitCode::from(exit::NOT_RUNNING)
         }
-        Ok(Err(ControlError::Failed(why))) | Err(why) => {
-            eprintln!("bellcroft: {why}");
-            ExitCode::from(exit::NOT_DONE)
-        }
+        Ok(Err(error)) => fail(error),
+        Err(error) => fail(error),
     }
 }
 
-async fn status(dir: &Path) -> Result<Value, ControlError> {
-    control::request(dir, &json!({"command": "status"})).await.map(|told| told.value)
+fn fail(error: impl Display) -> ExitCode {
+    eprintln!("bellcroft: {error}");
+    ExitCode::from(exit::NOT_DONE)
+}
+
+fn report_not_running(fleet: &FleetFile) {
+    let running =
+        fleet.members.iter().filter(|member| state::is_locked(&crate::fleet::instance_dir(fleet, member)));
+    eprintln!(
+        "bellcroft: {}: no supervisor is running; {} of {} instances are. `bellcroft fleet run` adopts them",
+        fleet.state.display(),
+        running.count(),
+        fleet.members.len()
+    );
+}
+
+/// Why a command was not carried out.
+#[derive(Debug, thiserror::Error)]
+enum CommandError {
+    /// The exchange with the supervisor failed.
+    #[error(transparent)]
+    Control(#[from] ControlError),
+    /// The path of the program cannot be made absolute.
+    #[error("--program: {0}")]
+    Program(#[source] io::Error),
+    /// The status has not the expected form.
+    #[error(transparent)]
+    Status(#[from] serde_json::Error),
+}
+
+async fn status_reply(dir: &Path) -> Result<Value, ControlError> {
+    control::request(dir, &FleetRequest::Status).await.map(|reply| reply.value)
+}
+
+async fn status(dir: &Path) -> Result<FleetStatus, CommandError> {
+    Ok(serde_json::from_value(status_reply(dir).await?)?)
 }
 
-async fn show(dir: &Path, json: bool) -> Result<ExitCode, ControlError> {
-    let status = status(dir).await?;
+async fn show(dir: &Path, json: bool) -> Result<ExitCode, CommandError> {
+    let reply = status_reply(dir).await?;
     if json {
-        println!("{status}");
+        // The reply as it came, with keys of a newer supervisor.
+        println!("{reply}");
         return Ok(ExitCode::SUCCESS);
     }
-    let text = |value: &Value| match value {
-        Value::String(text) => text.clone(),
-        Value::Null => "-".into(),
-        other => other.to_string(),
-    };
+    print(&serde_json::from_value(reply)?);
+    Ok(ExitCode::SUCCESS)
+}
+
+fn print(status: &FleetStatus) {
     println!("{:<24} {:<10} {:>8} {:>22} {:>7}", "instance", "phase", "process", "listens on", "starts");
-    for instance in status["instances"].as_array().into_iter().flatten() {
+    for instance in &status.instances {
         println!(
             "{:<24} {:<10} {:>8} {:>22} {:>7}{}",
-            text(&instance["name"]),
-            text(&instance["phase"]),
-            text(&instance["pid"]),
-            text(&instance["listen"]),
-            text(&instance["starts"]),
-            instance["why"].as_str().map(|why| format!("  {why}")).unwrap_or_default()
+            instance.name,
+            instance.phase,
+            instance.pid.map_or("-".to_owned(), |pid| pid.to_string()),
+            instance.listen,
+            instance.starts,
+            instance.failure.as_ref().map(|reason| format!("  {reason}")).unwrap_or_default()
         );
     }
-    if let Some(roll) = status["roll"].as_object() {
-        println!("rolling: {} of {}", roll["done"], roll["all"]);
+    if let Some(roll) = &status.roll {
+        println!("rolling: {} of {}", roll.renewed, roll.total);
     }
-    if let Some(why) = status["last_roll"]["why"].as_str() {
-        println!("the last roll stopped: {why}");
+    if let Some(reason) = status.last_roll.as_ref().and_then(|roll| roll.failure.as_ref()) {
+        println!("the last roll stopped: {reason}");
     }
-    Ok(ExitCode::SUCCESS)
 }
 
-async fn reload(dir: &Path) -> Result<ExitCode, ControlError> {
-    let before = status(dir).await?["reloads"].as_u64();
-    control::request(dir, &json!({"command": "reload"})).await?;
+async fn reload(dir: &Path) -> Result<ExitCode, CommandError> {
+    let before = status(dir).await?.begun_reloads;
+    control::request(dir, &FleetRequest::Reload).await?;
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         let status = status(dir).await?;
-        if status["reloads"].as_u64() == before {
+        if status.begun_reloads == before {
             continue;
         }
-        let reload = &status["reload"];
-        let (asked, taken) = (reload["asked"].as_u64().unwrap_or(0), reload["taken"].as_u64().unwrap_or(0));
-        let refused = reload["refused"].as_array().map(Vec::as_slice).unwrap_or_default();
-        if taken + refused.len() as u64 >= asked {
-            println!("{taken} of {asked} have reloaded");
-            for one in refused {
-                let text = |key: &str| one[key].as_str().unwrap_or_default().to_owned();
-                eprintln!("{}: {}", text("name"), text("why"));
-            }
-            return Ok(if refused.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(exit::NOT_DONE) });
+        let ReloadProgress { requested, accepted, rejected } = status.reload;
+        if accepted + rejected.len() as u64 >= requested {
+            println!("{accepted} of {requested} have reloaded");
+            rejected.iter().for_each(|rejection| eprintln!("{}: {}", rejection.name, rejection.reason));
+            return Ok(if rejected.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(exit::NOT_DONE) });
         }
     }
 }
 
-async fn restart(dir: &Path, program: Option<PathBuf>) -> Result<ExitCode, ControlError> {
-    let program = match program.map(std::path::absolute).transpose() {
-        Ok(program) => program,
-        Err(e) => return Err(ControlError::Failed(format!("--program: {e}"))),
-    };
-    let before = status(dir).await?["rolls"].as_u64();
-    control::request(dir, &json!({"command": "restart", "program": program})).await?;
-    let mut told = None;
+async fn restart(dir: &Path, program: Option<PathBuf>) -> Result<ExitCode, CommandError> {
+    let program = program.map(std::path::absolute).transpose().map_err(CommandError::Program)?;
+    let before = status(dir).await?.ended_rolls;
+    control::request(dir, &FleetRequest::Restart { program }).await?;
+    let mut printed = None;
     loop {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         let status = status(dir).await?;
-        if let Some(roll) = status["roll"].as_object() {
-            let done = roll["done"].as_u64();
-            if done != told {
-                println!("{} of {} renewed", roll["done"], roll["all"]);
-                told = done;
+        if let Some(roll) = status.roll {
+            if printed.replace(roll.renewed) != Some(roll.renewed) {
+                println!("{} of {} renewed", roll.renewed, roll.total);
             }
             continue;
         }
-        if status["rolls"].as_u64() == before {
+        if status.ended_rolls == before {
             continue;
         }
-        return Ok(match status["last_roll"]["why"].as_str() {
+        return Ok(match status.last_roll.and_then(|roll| roll.failure) {
             None => {
                 println!("all are renewed");
                 ExitCode::SUCCESS
             }
-            Some(why) => {
-                eprintln!("bellcroft: the roll has stopped: {why}");
+            Some(reason) => {
+                eprintln!("bellcroft: the roll has stopped: {reason}");
                 ExitCode::from(exit::NOT_DONE)
             }
         });
     }
 }
 
-async fn stop(dir: &Path) -> Result<ExitCode, ControlError> {
-    control::request(dir, &json!({"command": "stop"})).await?;
-    let mut told = None;
+async fn stop(dir: &Path) -> Result<ExitCode, CommandError> {
+    control::request(dir, &FleetRequest::Stop).await?;
+    let mut printed = None;
     while state::is_locked(dir) {
         if let Ok(status) = status(dir).await {
-            let left = status["instances"].as_array().into_iter().flatten();
-            let left = left.filter(|i| i["phase"] != "stopped").count();
-            if told.replace(left) != Some(left) {
-                println!("{left} still run");
+            let running = status.instances.iter().filter(|instance| instance.phase != "stopped").count();
+            if printed.replace(running) != Some(running) {
+                println!("{running} still run");
             }
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     println!("the fleet has ended");
     Ok(ExitCode::SUCCESS)
--- a/crates/agent/src/cli/members.rs
+++ b/crates/agent/src/cli/members.rs
@@ -1,13 +1,15 @@
-//! `bellcroft members`.
+//! `bellcroft members`: an instance's view of its cluster.
 
-use super::status::ask;
+use super::status::request_instance;
+use crate::daemon::commands::InstanceRequest;
 use crate::exit;
 use crate::peers::status::{MembershipStatus, SeenStatus};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
+/// Prints the cluster as the instance that the command line names sees it.
 pub fn run(state: Option<PathBuf>, operator: Option<PathBuf>, json: bool) -> ExitCode {
-    let value = match ask("members", state, operator) {
+    let value = match request_instance(InstanceRequest::Members, state, operator) {
         Ok(value) => value,
         Err(code) => return code,
     };
--- a/crates/agent/src/cli/mod.rs
+++ b/crates/agent/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line: its definition, and one module for each command.
 
 mod call;
 mod check;
@@ -9,9 +9,10 @@
 use crate::daemon::{self, ConfigSources, StartOptions};
 use crate::exit;
 use crate::log::{self, Format};
+use bellcroft_operator_config::AgentFile;
 use clap::{Args, Parser, Subcommand};
 use std::ffi::OsString;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 const CODES: &str = "Exit codes:
@@ -83,8 +84,8 @@
     /// Ask an instance over its second address, or take it out of service and back.
     Call {
         /// What to ask.
-        #[arg(value_enum)]
-        word: call::AdminCommand,
+        #[arg(value_enum, value_name = "WORD", id = "word")]
+        command: call::AdminCommand,
         /// The instance's second address.
         #[arg(long, value_name = "ADDRESS", required_unless_present = "operator", env = "PROXY_CONSOLE")]
         console: Option<std::net::SocketAddr>,
@@ -116,18 +117,26 @@
     }
 }
 
+/// Reads an operator's file; what is wrong with it is printed.
+fn read_agent_file(path: &Path) -> Result<AgentFile, ExitCode> {
+    AgentFile::read(path).map_err(|faults| {
+        faults.iter().for_each(|fault| eprintln!("{fault}"));
+        ExitCode::from(exit::BAD_INPUT)
+    })
+}
+
 /// Runs the program with these arguments, its own name first.
 pub fn main(args: impl IntoIterator<Item = OsString>) -> ExitCode {
     let cli = match Cli::try_parse_from(args) {
         Ok(cli) => cli,
         Err(e) => {
-            // Help and version are answers and no errors; clap knows where each goes.
+            // Help and version are no errors; clap prints each to its stream.
             let _ = e.print();
             return if e.use_stderr() { ExitCode::from(exit::BAD_INPUT) } else { ExitCode::SUCCESS };
         }
     };
-    if let Err(why) = log::start(cli.log_format, cli.log_level) {
-        log::say(format_args!("bellcroft: {why}"));
+    if let Err(error) = log::start(cli.log_format, cli.log_level) {
+        log::say(format_args!("bellcroft: {error}"));
         return ExitCode::from(exit::BAD_INPUT);
     }
     match cli.command {
@@ -136,23 +145,13 @@
         Some(Command::Check { files, explain }) => check::run(&files.into(), explain),
         Some(Command::Status { state, operator, json }) => status::run(state, operator, json),
         Some(Command::Members { state, operator, json }) => members::run(state, operator, json),
-        Some(Command::Call { word, console, operator, json }) => call::run(word, console, operator, json),
+        Some(Command::Call { command, console, operator, json }) => {
+            call::run(command, console, operator, json)
+        }
         Some(Command::Fleet(command)) => fleet::run(command),
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use clap::CommandFactory;
-
-    #[test]
-    fn the_command_line_is_consistent_and_each_command_has_its_help() {
-        let mut command = Cli::command();
-        command.clone().debug_assert();
-        assert!(command.render_long_help().to_string().contains("already running"));
-        for sub in command.get_subcommands() {
-            assert!(sub.get_about().is_some(), "{}", sub.get_name());
-        }
-    }
-}
+#[path = "../../tests/unit/command_line.rs"]
+mod tests;
--- a/crates/agent/src/cli/status.rs
+++ b/crates/agent/src/cli/status.rs
@@ -1,115 +1,145 @@
-//! `bellcroft status`.
+//! `bellcroft status`: the status of a running instance, or the last one that was written.
 
-use crate::daemon::control::{self, ControlError};
+use crate::daemon::commands::InstanceRequest;
+use crate::daemon::control::{self, ControlError, ControlReply};
 use crate::daemon::state::{self, STATUS_FILE};
 use crate::daemon::status::Status;
 use crate::exit::{self, block_on};
-use bellcroft_operator_config::AgentFile;
-use serde_json::{json, Value};
+use serde::Serialize;
+use serde_json::Value;
+use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// The state directory that the command line names, itself or by an operator's file.
-fn directory(state: Option<PathBuf>, operator: Option<PathBuf>) -> Result<PathBuf, ExitCode> {
-    let named = match (state, operator) {
+fn state_dir(state: Option<PathBuf>, operator: Option<PathBuf>) -> Result<PathBuf, ExitCode> {
+    let dir = match (state, operator) {
         (Some(state), _) => Some(state),
-        (None, Some(operator)) => match AgentFile::read(&operator) {
-            Ok(file) => file.daemon.state,
-            Err(faults) => {
-                faults.iter().for_each(|fault| eprintln!("{fault}"));
-                return Err(ExitCode::from(exit::BAD_INPUT));
-            }
-        },
+        (None, Some(operator)) => super::read_agent_file(&operator)?.daemon.state,
         (None, None) => None,
     };
-    named.ok_or_else(|| {
+    dir.ok_or_else(|| {
         eprintln!("bellcroft: the operator's file names no daemon.state");
         ExitCode::from(exit::BAD_INPUT)
     })
 }
 
-/// Asks a running instance one thing; what went wrong has been said.
-pub(super) fn ask(
-    command: &str,
+/// Sends a request to a running instance; an error is printed.
+pub(super) fn request_instance(
+    request: InstanceRequest,
     state: Option<PathBuf>,
     operator: Option<PathBuf>,
 ) -> Result<Value, ExitCode> {
-    let dir = directory(state, operator)?;
-    match block_on(control::request(&dir, &json!({"command": command}))) {
-        Ok(Ok(told)) => Ok(told.value),
+    let dir = state_dir(state, operator)?;
+    match block_on(control::request(&dir, &request)) {
+        Ok(Ok(reply)) => Ok(reply.value),
         Ok(Err(ControlError::NotRunning)) => {
             eprintln!("bellcroft: {}: not running", dir.display());
             Err(ExitCode::from(exit::NOT_RUNNING))
         }
-        Ok(Err(ControlError::Failed(why))) | Err(why) => {
-            eprintln!("bellcroft: {}: {why}", dir.display());
+        Ok(Err(ControlError::Failed(error))) => {
+            eprintln!("bellcroft: {}: {error}", dir.display());
+            Err(ExitCode::from(exit::NOT_DONE))
+        }
+        Err(error) => {
+            eprintln!("bellcroft: {}: {error}", dir.display());
             Err(ExitCode::from(exit::NOT_DONE))
         }
     }
 }
 
+/// Prints the status of the instance that the command line names.
 pub fn run(state: Option<PathBuf>, operator: Option<PathBuf>, json: bool) -> ExitCode {
-    let dir = match directory(state, operator) {
+    let dir = match state_dir(state, operator) {
         Ok(dir) => dir,
         Err(code) => return code,
     };
-    let told = match block_on(control::request(&dir, &json!({"command": "status"}))) {
-        Ok(told) => told,
-        Err(why) => {
-            eprintln!("bellcroft: {why}");
-            return ExitCode::from(exit::NOT_DONE);
+    match block_on(control::request(&dir, &InstanceRequest::Status)) {
+        Ok(Ok(reply)) => print_reply(&reply, json),
+        Ok(Err(ControlError::Failed(error))) if state::is_locked(&dir) => {
+            eprintln!("bellcroft: {}: runs, and does not answer: {error}", dir.display());
+            ExitCode::from(exit::NOT_DONE)
         }
-    };
-    match told {
-        Ok(told) => match serde_json::from_value::<Status>(told.value.clone()) {
-            Ok(status) if !json => {
-                print(&status);
-                ExitCode::SUCCESS
-            }
-            // A program reads also what a newer instance says.
-            Ok(_) => {
-                println!("{}", told.value);
-                ExitCode::SUCCESS
-            }
-            Err(e) => {
-                eprintln!("bellcroft: the status is not understood: {e}");
-                ExitCode::from(exit::NOT_DONE)
-            }
-        },
-        Err(ControlError::Failed(why)) if state::is_locked(&dir) => {
-            eprintln!("bellcroft: {}: runs, and does not answer: {why}", dir.display());
+        Ok(Err(_)) => print_last(&dir, json),
+        Err(error) => {
+            eprintln!("bellcroft: {error}");
             ExitCode::from(exit::NOT_DONE)
         }
-        Err(_) => {
-            let last = last(&dir);
-            match (json, &last) {
-                (true, Ok(status)) => println!("{}", json!({"running": false, "last": status})),
-                (true, Err(why)) => println!("{}", json!({"running": false, "last": null, "why": why})),
-                (false, Ok(status)) => println!(
-                    "{}: not running; last seen {} as process {}, {} ago",
-                    status.name,
-                    status.phase.as_str(),
-                    status.pid,
-                    ago(status.written_ms)
-                ),
-                (false, Err(why)) => println!("{}: not running; {why}", dir.display()),
-            }
-            ExitCode::from(exit::NOT_RUNNING)
+    }
+}
+
+fn print_reply(reply: &ControlReply, json: bool) -> ExitCode {
+    match serde_json::from_value::<Status>(reply.value.clone()) {
+        Ok(status) if !json => {
+            print(&status);
+            ExitCode::SUCCESS
+        }
+        // The reply as it came, with keys of a newer instance.
+        Ok(_) => {
+            println!("{}", reply.value);
+            ExitCode::SUCCESS
+        }
+        Err(e) => {
+            eprintln!("bellcroft: the status is not understood: {e}");
+            ExitCode::from(exit::NOT_DONE)
         }
     }
 }
 
-/// The last status that was written, if it is whole.
-fn last(dir: &Path) -> Result<Status, String> {
+/// The status of an instance that does not run, as JSON.
+#[derive(Serialize)]
+struct LastStatus<'a> {
+    last: Option<&'a Status>,
+    running: bool,
+    #[serde(rename = "why", skip_serializing_if = "Option::is_none")]
+    error: Option<String>,
+}
+
+/// Prints the status file of an instance that does not run.
+fn print_last(dir: &Path, json: bool) -> ExitCode {
+    let last = last_status(dir);
+    if json {
+        let error = last.as_ref().err().map(ToString::to_string);
+        let message = LastStatus { last: last.as_ref().ok(), running: false, error };
+        println!("{}", serde_json::to_value(message).unwrap_or_default());
+        return ExitCode::from(exit::NOT_RUNNING);
+    }
+    match last {
+        Ok(status) => println!(
+            "{}: not running; last seen {} as process {}, {} ago",
+            status.name,
+            status.phase.as_str(),
+            status.pid,
+            age(status.written_ms)
+        ),
+        Err(error) => println!("{}: not running; {error}", dir.display()),
+    }
+    ExitCode::from(exit::NOT_RUNNING)
+}
+
+/// Why there is no last status.
+#[derive(Debug, thiserror::Error)]
+enum LastStatusError {
+    #[error("{}: {source}", file.display())]
+    Read { file: PathBuf, source: io::Error },
+    #[error("{}: cut off or not a status: {source}", file.display())]
+    Parse { file: PathBuf, source: serde_json::Error },
+}
+
+/// The last status that was written.
+fn last_status(dir: &Path) -> Result<Status, LastStatusError> {
     let file = dir.join(STATUS_FILE);
-    let text = std::fs::read(&file).map_err(|e| format!("{}: {e}", file.display()))?;
-    serde_json::from_slice(&text).map_err(|e| format!("{}: cut off or not a status: {e}", file.display()))
+    match std::fs::read(&file) {
+        Ok(text) => serde_json::from_slice(&text).map_err(|source| LastStatusError::Parse { file, source }),
+        Err(source) => Err(LastStatusError::Read { file, source }),
+    }
 }
 
-fn ago(ms: u64) -> String {
+/// The time since a Unix time in milliseconds, in whole seconds.
+fn age(since_ms: u64) -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-    format!("{} s", now.saturating_sub(ms) / 1000)
+    format!("{} s", now.saturating_sub(since_ms) / 1000)
 }
 
 fn print(status: &Status) {
@@ -118,14 +148,14 @@
         status.name,
         status.phase.as_str(),
         status.pid,
-        ago(status.started_ms)
+        age(status.started_ms)
     );
     println!("listens on {}; {} client connections", status.listen, status.connections);
     let servers = status.servers;
     println!("servers: {} up, {} draining, {} gone", servers.up, servers.draining, servers.gone);
     println!("configuration: generation {}, digest {}", status.config.generation, status.config.digest);
-    if let Some(why) = &status.config.refused {
-        println!("last reload refused: {why}");
+    if let Some(reason) = &status.config.refused {
+        println!("last reload refused: {reason}");
     }
     println!(
         "{:<24} {:>9} {:>9} {:>9} {:>9} {:>9} {:>6}",
--- a/crates/agent/src/clock.rs
+++ b/crates/agent/src/clock.rs
@@ -1,11 +1,11 @@
-//! The one clock of an instance.
+//! The clock of an instance.
 
 use bellcroft_balancer::{Micros, Time};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// The balancer's time: Unix time at the start, carried on by the monotonic clock. So a server's `born_ms` is
-/// a time of the same kind, and no step of the system's clock moves a deadline.
+/// Unix time at the start, advanced by the monotonic clock. A server's `born_ms` is comparable to it, and a step of the
+/// system's clock moves no deadline.
 #[derive(Clone, Copy)]
 pub struct Clock {
     origin: Instant,
@@ -13,7 +13,7 @@
 }
 
 impl Clock {
-    /// One that starts now.
+    /// Starts a clock at the present Unix time.
     pub fn start() -> Self {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         Clock { origin: Instant::now(), unix: Micros(unix.as_micros() as u64) }
--- a/crates/agent/src/control_plane.rs
+++ b/crates/agent/src/control_plane.rs
@@ -1,31 +1,33 @@
-//! The control part of an agent, without its request path: membership, discovery's client, telemetry's sender and the
-//! configuration that they go by.
+//! An agent's control plane: membership, discovery's client, telemetry's sender and their configuration.
 //!
-//! The daemon constructs one beside its listeners. The scale run constructs many in one process, as the control part of
-//! hollow agents; both run the same code. Nothing here reaches into the request path.
+//! The daemon has one beside its request path. The scale run has many in one process, as agents without a request path;
+//! both run the same code. Nothing here depends on the request path.
 
-use crate::daemon::config::{Config, ConfigSources};
+use crate::daemon::config::{Config, ConfigErrors, ConfigSources};
 use crate::driver::Driver;
 use crate::peers::{Decisions, Peers};
 use crate::telemetry;
 use bellcroft_agent_core::reconfigure;
+use bellcroft_balancer::SettingsError;
 use bellcroft_telemetry::{Instance, Owner, Remote};
 use std::cell::{Ref, RefCell};
+use std::io;
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::rc::{Rc, Weak};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::task::JoinHandle;
 use tracing::{info, warn};
 
-/// Connections to servers that a control plane without a request path may hold: those of its probes.
+/// Connections to servers of a control plane without a request path: those of its health checks.
 const PROBE_CONNECTIONS: usize = 8;
 
-/// Where an instance finds what it goes by.
+/// The options of a start.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct StartOptions {
-    /// Its files.
+    /// Where the files are named.
     pub sources: ConfigSources,
-    /// Its state directory, before the operator's file.
+    /// The state directory; takes precedence over the operator's file.
     pub state: Option<PathBuf>,
 }
 
@@ -34,7 +36,43 @@
     std::env::var(name).ok()
 }
 
-/// The control part of one agent. It runs within a [`LocalSet`](tokio::task::LocalSet) from [`ControlPlane::open`] on
+/// Why a control plane could not start.
+#[derive(Debug, thiserror::Error)]
+pub enum ControlPlaneError {
+    /// The files are faulty.
+    #[error(transparent)]
+    Config(#[from] ConfigErrors),
+    /// No balancer can work with the settings.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// Membership's address cannot be listened on.
+    #[error("cannot listen on {address} (membership): {source}")]
+    MembershipListen {
+        /// The address.
+        address: SocketAddr,
+        /// The system's error.
+        source: io::Error,
+    },
+}
+
+/// Why a reload was rejected.
+#[derive(Debug, thiserror::Error)]
+pub enum ReloadError {
+    /// The files are faulty.
+    #[error(transparent)]
+    Config(#[from] ConfigErrors),
+    /// The platform's file lacks keys that the one in force has.
+    #[error("it lacks {}, which the present one has", .0.join(", "))]
+    MissingKeys(Vec<String>),
+    /// The files change what only a restart can.
+    #[error("{} differs, which only a restart can take", .0.join(", "))]
+    NeedsRestart(Vec<&'static str>),
+    /// No balancer can work with the settings.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+}
+
+/// The control plane of one agent. It runs within a [`LocalSet`](tokio::task::LocalSet) from [`ControlPlane::open`] on
 /// until [`ControlPlane::stop`].
 pub struct ControlPlane {
     config: RefCell<Config>,
@@ -42,18 +80,18 @@
     driver: Rc<Driver>,
     registry: Option<Rc<Instance>>,
     remote: RefCell<Option<Remote>>,
-    driving: RefCell<Option<JoinHandle<()>>>,
+    driver_task: RefCell<Option<JoinHandle<()>>>,
 }
 
 impl ControlPlane {
-    /// Reads an agent's files and starts its control part alone, telemetry's sender included.
+    /// Reads an agent's files and starts its control plane alone, telemetry's sender included.
     ///
     /// # Errors
     ///
-    /// The files are wrong, or an address cannot be listened on.
-    pub async fn open(operator: &Path, config: &Path) -> Result<Rc<Self>, String> {
+    /// The files are faulty, or membership's address cannot be listened on.
+    pub async fn open(operator: &Path, config: &Path) -> Result<Rc<Self>, ControlPlaneError> {
         let sources = ConfigSources { operator: Some(operator.to_owned()), config: Some(config.to_owned()) };
-        let config = Config::load(&sources, variable).map_err(|wrong| wrong.join("; "))?;
+        let config = Config::load(&sources, variable)?;
         let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let start = StartOptions { sources, state: None };
         let plane = Self::start(config, start, PROBE_CONNECTIONS, started.as_millis() as u64).await?;
@@ -66,54 +104,53 @@
         Ok(plane)
     }
 
-    /// Starts the decisions, discovery's client and membership. Telemetry's sender waits for
+    /// Starts the driver, discovery's client and membership. Telemetry's sender waits for
     /// [`ControlPlane::send_telemetry`].
     pub(crate) async fn start(
         config: Config,
         start: StartOptions,
         server_connections: usize,
         started_ms: u64,
-    ) -> Result<Rc<Self>, String> {
+    ) -> Result<Rc<Self>, ControlPlaneError> {
         let registry = telemetry::instance(&config, started_ms);
-        let driver = Driver::start(config.clone(), server_connections, registry.clone());
-        let driver = driver.map_err(|e| e.to_string())?;
+        let driver = Driver::start(config.clone(), server_connections, registry.clone())?;
         if let Some(peering) = config.peering.clone() {
-            let (listen, name) = (peering.0, &config.name);
+            let (address, name) = (peering.0, &config.name);
             let decisions = Rc::downgrade(&driver) as Weak<dyn Decisions>;
             let peers = Peers::start(peering, (name, config.seed), driver.clock, decisions).await;
-            let peers = peers.map_err(|e| format!("cannot listen on {listen} (membership): {e}"))?;
-            let heard = peers.address().map_or(listen, |address| address);
-            info!("{name}: peers are heard on {heard}");
+            let peers = peers.map_err(|source| ControlPlaneError::MembershipListen { address, source })?;
+            let address = peers.address().map_or(address, |bound| bound);
+            info!(instance = %name, %address, "membership listening");
             driver.set_peers(peers);
         }
-        let driving = tokio::task::spawn_local(driver.clone().run());
+        let driver_task = tokio::task::spawn_local(driver.clone().run());
         Ok(Rc::new(ControlPlane {
             config: RefCell::new(config),
             start,
             driver,
             registry,
             remote: RefCell::default(),
-            driving: RefCell::new(Some(driving)),
+            driver_task: RefCell::new(Some(driver_task)),
         }))
     }
 
-    /// The decisions, which the request path shares.
+    /// The driver, which the request path shares.
     pub(crate) fn driver(&self) -> &Rc<Driver> {
         &self.driver
     }
 
-    /// What it goes by at present.
+    /// The configuration in force.
     pub(crate) fn config(&self) -> Ref<'_, Config> {
         self.config.borrow()
     }
 
-    /// The task that wakes the decisions: while it runs they can decide. Given once; [`ControlPlane::stop`] ends it
-    /// otherwise.
-    pub(crate) fn take_driving(&self) -> Option<JoinHandle<()>> {
-        self.driving.borrow_mut().take()
+    /// The task of the driver's timers, without which no request would time out. None after the first call; if it is
+    /// not taken, [`ControlPlane::stop`] ends it.
+    pub(crate) fn take_driver_task(&self) -> Option<JoinHandle<()>> {
+        self.driver_task.borrow_mut().take()
     }
 
-    /// Begins to send what is counted, if the operator's file says where to. `refresh` sets the gauges before each sample.
+    /// Starts telemetry's sender if the operator's file names a receiver. `refresh` sets the gauges before each sample.
     pub(crate) fn send_telemetry(&self, refresh: impl Fn() + 'static) {
         let config = self.config();
         let Some((remote, instance)) = telemetry::remote(&config).zip(self.registry.clone()) else { return };
@@ -122,41 +159,41 @@
             instance,
             now: Box::new(move || clock.now()),
             refresh: Box::new(refresh),
-            log: Box::new(move |text| warn!(target: "bellcroft::telemetry", "{name}: {text}")),
+            log: Box::new(move |text| warn!(target: "bellcroft::telemetry", instance = %name, "{text}")),
             seed: config.seed,
         };
         *self.remote.borrow_mut() = Some(Remote::start(remote, owner));
     }
 
-    /// Sets the gauges that membership keeps.
+    /// Sets membership's gauges.
     pub(crate) fn refresh_gauges(&self) {
         if let Some((registry, peers)) = self.registry.as_ref().zip(self.driver.peers()) {
             telemetry::peers(&registry.registry, &peers, self.driver.stalls());
         }
     }
 
-    /// Reads the files again and takes all that is new in them, or nothing. Without an operator's file it is the
-    /// platform's reload, which is about discovery alone.
+    /// Reads the files again and applies them whole, or rejects them. Without an operator's file this is the platform's
+    /// reload, which changes discovery alone.
     ///
     /// # Errors
     ///
-    /// What is wrong with them; all stays as it was then.
-    pub fn reload(&self) -> Result<(), String> {
-        // By the environment alone: there `PROXY_DISCOVERY` is the start's address and does not mask the file's.
+    /// The files are faulty, or they change what only a restart can; the present configuration stays in force.
+    pub fn reload(&self) -> Result<(), ReloadError> {
+        // In the platform's reload, `PROXY_DISCOVERY` is the address of the start and must not hide the file's.
         let platform = self.start.sources.operator.is_none() && self.start.sources.config.is_none();
         let var = |name: &str| variable(name).filter(|_| !platform || name != "PROXY_DISCOVERY");
-        let mut newer = Config::load(&self.start.sources, var).map_err(|wrong| wrong.join("; "))?;
-        let lacks = reconfigure::missing_keys(&self.config().raw, &newer.raw);
-        if !lacks.is_empty() {
-            return Err(format!("it lacks {}, which the present one has", lacks.join(", ")));
+        let mut newer = Config::load(&self.start.sources, var)?;
+        let missing = reconfigure::missing_keys(&self.config().raw, &newer.raw);
+        if !missing.is_empty() {
+            return Err(ReloadError::MissingKeys(missing));
         }
         newer.daemon.state = self.start.state.clone().or(newer.daemon.state);
-        let fixed = self.config().needs_restart(&newer);
-        if !fixed.is_empty() {
-            return Err(format!("{} differs, which only a restart can take", fixed.join(", ")));
+        let needs_restart = self.config().needs_restart(&newer);
+        if !needs_restart.is_empty() {
+            return Err(ReloadError::NeedsRestart(needs_restart));
         }
         let discovery = newer.discovery;
-        self.driver.reconfigure(&newer).map_err(|e| e.to_string())?;
+        self.driver.reconfigure(&newer)?;
         self.driver.set_routes(&newer);
         if let Some(registry) = &self.registry {
             telemetry::budgets(registry, &newer);
@@ -167,39 +204,40 @@
         if let Some((peers, (_, config))) = self.driver.peers().zip(newer.peering.as_ref()) {
             peers.set_expected_size(config.instances);
         }
-        let moved = self.config.replace(newer).discovery != discovery;
-        if moved || platform {
+        let discovery_moved = self.config.replace(newer).discovery != discovery;
+        if discovery_moved || platform {
             self.driver.set_discovery_address(discovery);
         }
         Ok(())
     }
 
-    /// Says good-bye to the other instances.
+    /// Announces to the other instances that this one leaves.
     pub(crate) fn leave(&self) {
         if let Some(peers) = self.driver.peers() {
             peers.leave();
         }
     }
 
-    /// Sends the last counts and ends telemetry's sender.
+    /// Sends the last samples and ends telemetry's sender.
     pub(crate) async fn stop_telemetry(&self) {
         let remote = self.remote.borrow_mut().take();
         let Some(remote) = remote else { return };
         let counts = remote.stop().await;
         if counts.dropped_at_end > 0 {
-            let name = &self.config().name;
-            warn!(target: "bellcroft::telemetry", "{name}: remote write: {} samples were left at the end", counts.dropped_at_end);
+            let samples = counts.dropped_at_end;
+            let instance = &self.config().name;
+            warn!(target: "bellcroft::telemetry", %instance, samples, "remote write: samples dropped at shutdown");
         }
     }
 
-    /// Says good-bye, sends the last counts and ends. Sockets close with the [`LocalSet`](tokio::task::LocalSet).
+    /// Leaves the cluster, sends the last samples and ends the driver. Sockets close with the [`LocalSet`](tokio::task::LocalSet).
     pub async fn stop(&self) {
         self.leave();
-        // The kernel has what was said; a moment more for nobody.
+        // The datagrams are in the kernel; the other tasks run once more.
         tokio::time::sleep(Duration::ZERO).await;
         self.stop_telemetry().await;
-        if let Some(driving) = self.take_driving() {
-            driving.abort();
+        if let Some(driver_task) = self.take_driver_task() {
+            driver_task.abort();
         }
     }
 }
--- a/crates/agent/src/daemon/console.rs
+++ b/crates/agent/src/daemon/console.rs
@@ -1,5 +1,5 @@
-//! The second address, for operators: one line asks, one answer follows (`bellcroft_agent_core::admin` reads and words
-//! them). It never waits for a request, and no request for it.
+//! The admin console: a TCP address on which operators send one line and get one reply (`bellcroft_agent_core::admin`
+//! parses requests and formats replies). It is independent of the request path in both directions.
 
 use crate::clock::Clock;
 use bellcroft_agent_core::admin::{
@@ -16,12 +16,12 @@
 use tokio::net::TcpStream;
 use tokio::task::{AbortHandle, JoinHandle};
 
-/// How often callers that say nothing are looked at.
-const LOOK: Duration = Duration::from_millis(500);
-/// Pause after an accept that failed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// How often sessions that have expired are closed.
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Pause after a failed accept, such as with no descriptor left.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A second address that is being served, until this is dropped.
+/// An admin console that is being served, until this is dropped.
 pub struct Console(JoinHandle<()>);
 
 impl Drop for Console {
@@ -30,23 +30,29 @@
     }
 }
 
+/// The open sessions and their tasks, by session number.
 #[derive(Default)]
-struct Room {
-    callers: AdminSessions,
+struct OpenSessions {
+    sessions: AdminSessions,
     tasks: HashMap<u64, AbortHandle>,
 }
 
-impl Room {
-    fn let_go(&mut self, number: u64) {
-        self.callers.close(number);
-        if let Some(task) = self.tasks.remove(&number) {
+impl OpenSessions {
+    fn abort(&mut self, session: u64) {
+        self.sessions.close(session);
+        if let Some(task) = self.tasks.remove(&session) {
             task.abort();
         }
     }
+
+    fn on_finished(&mut self, session: u64) {
+        self.sessions.close(session);
+        self.tasks.remove(&session);
+    }
 }
 
 impl Console {
-    /// Listens on an address and answers what is asked there.
+    /// Listens on `address` and answers requests by `answer`; returns the address with the port that was bound.
     ///
     /// # Errors
     ///
@@ -54,54 +60,55 @@
     pub async fn serve(
         address: SocketAddr,
         clock: Clock,
-        answers: impl Fn(AdminRequest) -> String + 'static,
+        answer: impl Fn(AdminRequest) -> String + 'static,
     ) -> io::Result<(Self, SocketAddr)> {
         let listener = Listener::bind(address).await?;
         let address = listener.local_addr()?;
-        let task = tokio::task::spawn_local(accept(listener, clock, Rc::new(answers)));
+        let task = tokio::task::spawn_local(accept(listener, clock, Rc::new(answer)));
         Ok((Console(task), address))
     }
 }
 
-async fn accept(listener: Listener, clock: Clock, answers: Rc<dyn Fn(AdminRequest) -> String>) {
-    let room = Rc::new(RefCell::new(Room::default()));
-    let mut look = tokio::time::interval(LOOK);
+async fn accept(listener: Listener, clock: Clock, answer: Rc<dyn Fn(AdminRequest) -> String>) {
+    let open = Rc::new(RefCell::new(OpenSessions::default()));
+    let mut expiry_check = tokio::time::interval(EXPIRY_CHECK_INTERVAL);
     loop {
         let stream = tokio::select! {
-            taken = listener.accept() => match taken {
+            accepted = listener.accept() => match accepted {
                 Ok(stream) => stream,
                 Err(_) => {
-                    tokio::time::sleep(ACCEPT_PAUSE).await;
+                    tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
                     continue;
                 }
             },
-            _ = look.tick() => {
-                let mut room = room.borrow_mut();
-                let overdue = room.callers.expired(clock.now());
-                overdue.into_iter().for_each(|number| room.let_go(number));
+            _ = expiry_check.tick() => {
+                let mut open = open.borrow_mut();
+                let expired = open.sessions.expired(clock.now());
+                expired.into_iter().for_each(|session| open.abort(session));
                 continue;
             }
         };
-        let (number, spared) = room.borrow_mut().callers.open(clock.now());
-        if let Some(spared) = spared {
-            room.borrow_mut().let_go(spared);
+        let (session, evicted) = open.borrow_mut().sessions.open(clock.now());
+        if let Some(evicted) = evicted {
+            open.borrow_mut().abort(evicted);
         }
-        let (answers, own) = (answers.clone(), room.clone());
+        let (answer, own) = (answer.clone(), open.clone());
         let task = tokio::task::spawn_local(async move {
-            // A caller that leaves or says nothing is nobody's trouble.
-            let _ = caller(stream, &*answers).await;
-            let mut room = own.borrow_mut();
-            room.callers.close(number);
-            room.tasks.remove(&number);
+            // An operator that disconnects gets no reply; nothing else depends on it.
+            let _ = serve_session(stream, &*answer).await;
+            own.borrow_mut().on_finished(session);
         });
-        // The task cannot have run yet: this one has not waited since.
-        room.borrow_mut().tasks.insert(number, task.abort_handle());
+        // The task cannot have finished yet: this one has not awaited since.
+        open.borrow_mut().tasks.insert(session, task.abort_handle());
     }
 }
 
-async fn caller(mut stream: Stream<TcpStream>, answers: &dyn Fn(AdminRequest) -> String) -> io::Result<()> {
+async fn serve_session(
+    mut stream: Stream<TcpStream>,
+    answer: &dyn Fn(AdminRequest) -> String,
+) -> io::Result<()> {
     let mut line = Vec::with_capacity(MAX_LINE_BYTES);
-    let call = loop {
+    let request = loop {
         if let Some(end) = line.iter().position(|byte| *byte == b'\n') {
             break parse(&line[..end]);
         }
@@ -110,28 +117,28 @@
         }
         let mut chunk = [0; MAX_LINE_BYTES];
         match stream.read(&mut chunk).await? {
-            // Whoever ends its side behind its word has said it.
+            // The end of the stream ends the line too.
             0 if !line.is_empty() => break parse(&line),
             0 => return Ok(()),
             n => line.extend_from_slice(&chunk[..n]),
         }
     };
-    let text = match call {
-        Ok(call) => {
+    let reply = match request {
+        Ok(request) => {
             await_reactor_poll().await;
-            answers(call)
+            answer(request)
         }
-        Err(bad) => format_reply(false, bad),
+        Err(error) => format_reply(false, error),
     };
-    stream.write_all(text.as_bytes()).await?;
+    stream.write_all(reply.as_bytes()).await?;
     stream.shutdown().await
 }
 
-/// Lets the runtime poll its reactor once, so that a signal that came before the call takes effect before the answer.
+/// Lets the runtime poll its reactor once, so that a signal that arrived before the request takes effect before the reply.
 ///
 /// The signal's handler has run by now, but it only writes to the runtime's pipe. The runtime reads that pipe when it
-/// polls its reactor, and between two polls it may accept a caller and read a call. A yielded task goes on after the
-/// next poll, and behind the instance's own future, which the same poll wakes.
+/// polls its reactor, and between two polls it may accept a connection and read a request. A yielded task continues
+/// after the next poll, and behind the instance's own future, which the same poll wakes.
 async fn await_reactor_poll() {
     tokio::task::yield_now().await;
 }
--- a/crates/agent/src/daemon/control.rs
+++ b/crates/agent/src/daemon/control.rs
@@ -1,9 +1,10 @@
-//! The control socket: one line of JSON asks, one line answers. An answer may bring a descriptor along
+//! The control socket: one line of JSON as the request, one line as the reply. A reply may carry a descriptor
 //! (`SCM_RIGHTS`, unix(7)), by which a supervisor gets back the listening socket of an instance that outlived it.
 
 use rustix::net::{RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags};
 use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags};
-use serde_json::{json, Value};
+use serde::Serialize;
+use serde_json::Value;
 use std::cell::Cell;
 use std::fmt;
 use std::fs::Permissions;
@@ -18,32 +19,45 @@
 use tokio::net::{UnixListener, UnixStream};
 use tokio::time::timeout;
 
-/// A client that has not said what it wants by then is let go.
+/// A client whose exchange takes longer is disconnected.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest line that is read of a client.
+/// Longest request line in bytes.
 const MAX_REQUEST_BYTES: usize = 4 << 10;
-/// The longest answer that is read: the status of a fleet of thousands.
+/// Longest reply line in bytes: the status of a fleet of thousands.
 const MAX_REPLY_BYTES: usize = 16 << 20;
-/// Clients at a time; one more is let go at once.
+/// Clients at a time; a further one is disconnected at once.
 pub(crate) const MAX_CLIENTS: usize = 16;
+/// Pause after a failed accept, such as with no descriptor left.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
+/// Bound of [`request`]; its value stands in [`RequestError::Timeout`]'s text.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// An answer.
+/// A reply to a request.
 pub struct Reply {
-    /// What it says.
+    /// The message.
     pub value: Value,
-    /// A descriptor that goes along.
+    /// A descriptor that goes with it.
     pub descriptor: Option<OwnedFd>,
 }
 
-impl From<Value> for Reply {
-    fn from(value: Value) -> Self {
-        Reply { value, descriptor: None }
+impl Reply {
+    /// A reply without a descriptor.
+    pub fn message(message: &impl Serialize) -> Self {
+        match serde_json::to_value(message) {
+            Ok(value) => Reply { value, descriptor: None },
+            Err(e) => error(e),
+        }
     }
 }
 
-/// An answer that says what was wrong.
-pub fn error(why: impl fmt::Display) -> Reply {
-    json!({"error": why.to_string()}).into()
+#[derive(Serialize)]
+struct ErrorReply {
+    error: String,
+}
+
+/// A reply that reports an error.
+pub fn error(reason: impl fmt::Display) -> Reply {
+    Reply::message(&ErrorReply { error: reason.to_string() })
 }
 
 /// A control socket that is being served; dropping it removes the socket's file.
@@ -60,47 +74,48 @@
 }
 
 impl Control {
-    /// Serves `dir/control.sock`, which no one else may be serving: the caller holds the directory's lock.
+    /// Serves `dir/control.sock`; the caller holds the directory's lock.
     ///
     /// # Errors
     ///
     /// The socket cannot be made.
     pub fn serve(dir: &Path, answer: impl Fn(Value) -> Reply + 'static) -> io::Result<Self> {
         let file = dir.join(super::state::CONTROL_SOCKET);
-        let fresh = dir.join(format!("{}.new", super::state::CONTROL_SOCKET));
-        let _ = std::fs::remove_file(&fresh);
-        let listener = UnixListener::bind(&fresh)?;
-        std::fs::set_permissions(&fresh, Permissions::from_mode(0o600))?;
-        // Under its name it is there only with its mode.
-        std::fs::rename(&fresh, &file)?;
-        let own = rustix::process::geteuid().as_raw();
-        let answer = Rc::new(answer);
-        let clients = Rc::new(Cell::new(0_usize));
-        let task = tokio::task::spawn_local(async move {
-            loop {
-                let Ok((stream, _)) = listener.accept().await else {
-                    tokio::time::sleep(Duration::from_millis(20)).await;
-                    continue;
-                };
-                if clients.get() >= MAX_CLIENTS {
-                    continue;
-                }
-                clients.set(clients.get() + 1);
-                let (answer, clients) = (answer.clone(), clients.clone());
-                tokio::task::spawn_local(async move {
-                    // Whoever leaves or is slow is not waited for.
-                    let _ = timeout(REQUEST_TIMEOUT, client(&stream, own, &*answer)).await;
-                    clients.set(clients.get() - 1);
-                });
-            }
-        });
+        let temporary = dir.join(format!("{}.new", super::state::CONTROL_SOCKET));
+        let _ = std::fs::remove_file(&temporary);
+        let listener = UnixListener::bind(&temporary)?;
+        std::fs::set_permissions(&temporary, Permissions::from_mode(0o600))?;
+        // The socket gets its final name only with its final mode.
+        std::fs::rename(&temporary, &file)?;
+        let task = tokio::task::spawn_local(accept(listener, Rc::new(answer)));
         Ok(Control { file, task })
     }
 }
 
-async fn client(stream: &UnixStream, own: u32, answer: &dyn Fn(Value) -> Reply) -> io::Result<()> {
+async fn accept(listener: UnixListener, answer: Rc<dyn Fn(Value) -> Reply>) {
+    let own_uid = rustix::process::geteuid().as_raw();
+    let clients = Rc::new(Cell::new(0_usize));
+    loop {
+        let Ok((stream, _)) = listener.accept().await else {
+            tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
+            continue;
+        };
+        if clients.get() >= MAX_CLIENTS {
+            continue;
+        }
+        clients.set(clients.get() + 1);
+        let (answer, clients) = (answer.clone(), clients.clone());
+        tokio::task::spawn_local(async move {
+            // A client that disconnects or is slow gets no reply; nothing else depends on it.
+            let _ = timeout(REQUEST_TIMEOUT, serve_client(&stream, own_uid, &*answer)).await;
+            clients.set(clients.get() - 1);
+        });
+    }
+}
+
+async fn serve_client(stream: &UnixStream, own_uid: u32, answer: &dyn Fn(Value) -> Reply) -> io::Result<()> {
     let peer = stream.peer_cred()?;
-    let reply = if is_authorized(own, peer.uid()) {
+    let reply = if is_authorized(own_uid, peer.uid()) {
         let (line, _) = read_line(stream, MAX_REQUEST_BYTES).await?;
         match serde_json::from_slice(&line) {
             Ok(value) => answer(value),
@@ -114,9 +129,9 @@
     write(stream, text.as_bytes(), reply.descriptor).await
 }
 
-/// Whether a user may command the process of another: its own may, and root.
-pub(super) fn is_authorized(own: u32, peer: u32) -> bool {
-    peer == own || peer == 0
+/// Whether a process of user `peer_uid` may command one of user `own_uid`: the same user and root may.
+pub(super) fn is_authorized(own_uid: u32, peer_uid: u32) -> bool {
+    peer_uid == own_uid || peer_uid == 0
 }
 
 /// Writes all of `text`; the descriptor goes with its first byte.
@@ -127,13 +142,13 @@
         let sent = stream
             .async_io(Interest::WRITABLE, || {
                 let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-                let mut along = SendAncillaryBuffer::new(&mut space);
+                let mut ancillary = SendAncillaryBuffer::new(&mut space);
                 let descriptors = descriptor.as_ref().map(|d| [d.as_fd()]);
                 if let Some(descriptors) = &descriptors {
-                    along.push(SendAncillaryMessage::ScmRights(descriptors));
+                    ancillary.push(SendAncillaryMessage::ScmRights(descriptors));
                 }
                 let parts = [IoSlice::new(rest)];
-                let send = || rustix::net::sendmsg(stream, &parts, &mut along, SendFlags::NOSIGNAL);
+                let send = || rustix::net::sendmsg(stream, &parts, &mut ancillary, SendFlags::NOSIGNAL);
                 Ok(rustix::io::retry_on_intr(send)?)
             })
             .await?;
@@ -143,8 +158,11 @@
     Ok(())
 }
 
-/// Reads up to a line's end, and the descriptor that came along.
-pub(super) async fn read_line(stream: &UnixStream, most: usize) -> io::Result<(Vec<u8>, Option<OwnedFd>)> {
+/// Reads up to the end of a line, and the descriptor that came with it.
+pub(super) async fn read_line(
+    stream: &UnixStream,
+    max_bytes: usize,
+) -> io::Result<(Vec<u8>, Option<OwnedFd>)> {
     let mut line = Vec::new();
     let mut descriptor = None;
     loop {
@@ -152,16 +170,17 @@
         let read = stream
             .async_io(Interest::READABLE, || {
                 let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-                let mut along = RecvAncillaryBuffer::new(&mut space);
+                let mut ancillary = RecvAncillaryBuffer::new(&mut space);
                 let mut into = [IoSliceMut::new(&mut chunk)];
-                let receive = || rustix::net::recvmsg(stream, &mut into, &mut along, RecvFlags::CMSG_CLOEXEC);
-                let got = rustix::io::retry_on_intr(receive)?;
-                for message in along.drain() {
+                let receive =
+                    || rustix::net::recvmsg(stream, &mut into, &mut ancillary, RecvFlags::CMSG_CLOEXEC);
+                let received = rustix::io::retry_on_intr(receive)?;
+                for message in ancillary.drain() {
                     if let RecvAncillaryMessage::ScmRights(mut descriptors) = message {
                         descriptor = descriptors.next().or(descriptor.take());
                     }
                 }
-                Ok(got.bytes)
+                Ok(received.bytes)
             })
             .await?;
         line.extend_from_slice(&chunk[..read]);
@@ -172,126 +191,86 @@
         if read == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        if line.len() > most {
+        if line.len() > max_bytes {
             return Err(io::Error::new(io::ErrorKind::InvalidData, "the line is too long"));
         }
     }
 }
 
-/// Why a control socket gave no answer.
-#[derive(Debug)]
+/// Why a request got no good reply.
+#[derive(Debug, thiserror::Error)]
 pub enum ControlError {
-    /// Nobody serves it.
+    /// No process serves the control socket.
+    #[error("not running")]
     NotRunning,
-    /// Somebody does, and this went wrong.
-    Failed(String),
+    /// A process serves it, and the exchange failed.
+    #[error(transparent)]
+    Failed(#[from] RequestError),
 }
 
-impl fmt::Display for ControlError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ControlError::NotRunning => f.write_str("not running"),
-            ControlError::Failed(why) => f.write_str(why),
-        }
-    }
+/// Why an exchange with a running process failed.
+#[derive(Debug, thiserror::Error)]
+pub enum RequestError {
+    /// The socket failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// The request or the reply is no JSON.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// No reply came in time.
+    #[error("no answer within 3 s")]
+    Timeout,
+    /// The process replied with an error.
+    #[error("{0}")]
+    Rejected(String),
 }
 
-/// What a control socket answered.
+/// The reply of a running process.
 pub struct ControlReply {
-    /// What it says.
+    /// The message.
     pub value: Value,
-    /// The descriptor that came along.
+    /// The descriptor that came with it.
     pub descriptor: Option<OwnedFd>,
-    /// The process that made the socket, by the kernel's word (`SO_PEERCRED`) and not by its own.
+    /// The process that made the socket, by the kernel (`SO_PEERCRED`) and not by its own account.
     pub pid: Option<u32>,
 }
 
-/// How long an answer is waited for.
-const REPLY_TIMEOUT: Duration = Duration::from_secs(3);
-
-/// Asks the control socket of a state directory.
+/// Sends a request to the control socket of a state directory.
 ///
 /// # Errors
 ///
-/// Nobody serves it, or no good answer came within 3 s; an answer `{"error": ...}` is one of these.
-pub async fn request(dir: &Path, request: &Value) -> Result<ControlReply, ControlError> {
-    let failed = |e: io::Error| ControlError::Failed(e.to_string());
+/// No process serves it, or no good reply came within 3 s; a reply `{"error": ...}` is [`RequestError::Rejected`].
+pub async fn request(dir: &Path, request: &impl Serialize) -> Result<ControlReply, ControlError> {
+    let timed_out = || ControlError::Failed(RequestError::Timeout);
     let exchange = async {
-        let stream =
-            UnixStream::connect(dir.join(super::state::CONTROL_SOCKET)).await.map_err(|e| {
-                match e.kind() {
-                    io::ErrorKind::NotFound
-                    | io::ErrorKind::ConnectionRefused
-                    | io::ErrorKind::NotADirectory => ControlError::NotRunning,
-                    _ => failed(e),
-                }
-            })?;
-        let pid = stream.peer_cred().map_err(failed)?.pid().and_then(|pid| u32::try_from(pid).ok());
-        let mut line = request.to_string();
-        line.push('\n');
-        write(&stream, line.as_bytes(), None).await.map_err(failed)?;
-        let (line, descriptor) = read_line(&stream, MAX_REPLY_BYTES).await.map_err(failed)?;
-        let value: Value = serde_json::from_slice(&line).map_err(|e| ControlError::Failed(e.to_string()))?;
-        match value.get("error").and_then(Value::as_str) {
-            Some(why) => Err(ControlError::Failed(why.to_owned())),
-            None => Ok(ControlReply { value, descriptor, pid }),
-        }
+        let stream = connect(dir).await?;
+        Ok(exchange(&stream, request).await?)
     };
-    timeout(REPLY_TIMEOUT, exchange).await.unwrap_or(Err(ControlError::Failed("no answer within 3 s".into())))
+    timeout(REPLY_TIMEOUT, exchange).await.unwrap_or_else(|_| Err(timed_out()))
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn only_the_process_s_own_user_and_root_are_admitted() {
-        assert!(is_authorized(1000, 1000) && is_authorized(1000, 0) && is_authorized(0, 0));
-        assert!(!is_authorized(1000, 1001) && !is_authorized(0, 1000));
-    }
+async fn connect(dir: &Path) -> Result<UnixStream, ControlError> {
+    use io::ErrorKind::{ConnectionRefused, NotADirectory, NotFound};
+    let connected = UnixStream::connect(dir.join(super::state::CONTROL_SOCKET)).await;
+    connected.map_err(|e| match e.kind() {
+        NotFound | ConnectionRefused | NotADirectory => ControlError::NotRunning,
+        _ => ControlError::Failed(e.into()),
+    })
+}
 
-    #[tokio::test(flavor = "current_thread")]
-    async fn answers_bring_descriptors_and_silent_clients_hold_nobody_up() {
-        let dir = std::env::temp_dir().join(format!("bellcroft-control-{}", std::process::id()));
-        std::fs::create_dir_all(&dir).expect("a folder");
-        let local = tokio::task::LocalSet::new();
-        local
-            .run_until(async {
-                assert!(matches!(request(&dir, &json!({})).await, Err(ControlError::NotRunning)));
-                let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-                let address = listener.local_addr().expect("an address");
-                let control = Control::serve(&dir, move |value| match value["command"].as_str() {
-                    Some("listener") => Reply {
-                        value: json!({"ok": true}),
-                        descriptor: listener.try_clone().ok().map(OwnedFd::from),
-                    },
-                    _ => error("no such command"),
-                })
-                .expect("a socket");
-                let mode =
-                    std::fs::metadata(dir.join("control.sock")).expect("it is there").permissions().mode();
-                assert_eq!(mode & 0o777, 0o600);
-                let mut silent = Vec::new();
-                for _ in 0..MAX_CLIENTS - 1 {
-                    silent.push(UnixStream::connect(dir.join("control.sock")).await.expect("it is taken"));
-                }
-                let told =
-                    request(&dir, &json!({"command": "listener"})).await.unwrap_or_else(|e| panic!("{e}"));
-                assert_eq!(told.pid, Some(std::process::id()));
-                let got = std::net::TcpListener::from(told.descriptor.expect("a descriptor"));
-                assert_eq!(got.local_addr().expect("an address"), address);
-                let why =
-                    request(&dir, &json!({"command": "else"})).await.err().expect("an error").to_string();
-                assert_eq!(why, "no such command");
-                // Those that say nothing are let go, and their places are free again.
-                for stream in &silent {
-                    let (line, _) = read_line(stream, 10).await.unwrap_or_default();
-                    assert!(line.is_empty());
-                }
-                drop(control);
-                assert!(matches!(request(&dir, &json!({})).await, Err(ControlError::NotRunning)));
-            })
-            .await;
-        std::fs::remove_dir_all(&dir).expect("it is ours");
+async fn exchange(stream: &UnixStream, request: &impl Serialize) -> Result<ControlReply, RequestError> {
+    let pid = stream.peer_cred()?.pid().and_then(|pid| u32::try_from(pid).ok());
+    let mut line = serde_json::to_string(request)?;
+    line.push('\n');
+    write(stream, line.as_bytes(), None).await?;
+    let (line, descriptor) = read_line(stream, MAX_REPLY_BYTES).await?;
+    let value: Value = serde_json::from_slice(&line)?;
+    match value.get("error").and_then(Value::as_str) {
+        Some(reason) => Err(RequestError::Rejected(reason.to_owned())),
+        None => Ok(ControlReply { value, descriptor, pid }),
     }
 }
+
+#[cfg(test)]
+#[path = "../../tests/unit/daemon_control.rs"]
+mod tests;
--- a/crates/agent/src/daemon/descriptors.rs
+++ b/crates/agent/src/daemon/descriptors.rs
@@ -1,7 +1,7 @@
-//! How the descriptors that a process may hold are shared out.
+//! The budget of descriptors that a process may hold.
 //!
-//! What an instance needs to go on at all, discovery above all, is reserved before clients and backends get theirs: clients
-//! that fill all their places, idle ones among them, can't keep it from the server list nor from its operators.
+//! Discovery, operators and the runtime have descriptors reserved before clients and backends get theirs: clients that use
+//! all of their connections, idle ones included, cannot cut the instance off from the endpoint list or its operators.
 
 use super::config::Config;
 use super::control;
@@ -9,33 +9,33 @@
 
 /// Standard input, output and error.
 const STANDARD_STREAMS: usize = 3;
-/// The runtime's own: two of its poll, the one that wakes it, three of its signals.
+/// The runtime's own: two for its poll, one for wake-ups, three for signals.
 const RUNTIME: usize = 6;
-/// The clients' listening socket, the copy of it for a process that takes this one's place, where that one asks, and the
-/// connection to it.
+/// The clients' listening socket, its copy for a process that replaces this one, the handover socket, and the connection to
+/// that process.
 const LISTENING: usize = 4;
-/// Connections to discovery: a watch, a second one that is begun before the first is known to be over, a call for the
-/// complete list, and one that is still closing as the next opens.
+/// Connections to discovery: a watch, a second one that opens before the first is known to have ended, a request for the
+/// full snapshot, and one that still closes while the next opens.
 pub const DISCOVERY_CONNECTIONS: usize = 4;
-/// A client's connection is accepted before it is known whether there is a place for it.
+/// A client's connection is accepted before it is known whether the limit allows it.
 const ACCEPTED_AHEAD: usize = 1;
-/// Datagrams of the other instances.
+/// The socket of membership's datagrams.
 const PEERS: usize = 1;
-/// A file that is read at a reload.
+/// A file that a reload reads.
 const FILES: usize = 1;
-/// Connections that still close when their places are given away.
+/// Connections that still close when their share of the limit is already free.
 const CLOSING: usize = 4;
 /// Always reserved.
 const RESERVED: usize =
     STANDARD_STREAMS + RUNTIME + LISTENING + DISCOVERY_CONNECTIONS + ACCEPTED_AHEAD + PEERS + FILES + CLOSING;
-/// Reserved where operators are answered: the listening socket, its callers, and one that is accepted before another goes.
+/// Reserved for the admin console: the listening socket, its sessions, and one that is accepted before another is evicted.
 const CONSOLE: usize = 1 + MAX_SESSIONS + 1;
-/// Reserved where there is a state directory: its lock, the status that is written and its folder, a copy of the listening
-/// socket, the control socket, and its callers.
+/// Reserved for a state directory: its lock, the status file and its folder, a copy of the listening socket, the control
+/// socket, and its clients.
 const STATE: usize = 5 + control::MAX_CLIENTS;
-/// Reserved where counts are sent: the connection, and one that still closes.
+/// Reserved for remote write: the connection, and one that still closes.
 const REMOTE_WRITE: usize = 2;
-/// The part of the others that is the clients'.
+/// The clients' part of the descriptors that are not reserved.
 const CLIENT_SHARE: f64 = 0.5;
 
 /// Connections that a process may hold.
@@ -48,7 +48,7 @@
 }
 
 impl DescriptorBudget {
-    /// The budget of an instance that goes by this configuration.
+    /// The budget under a configuration.
     pub fn new(config: &Config) -> Self {
         let optional = [
             (config.console.is_some(), CONSOLE),
--- a/crates/agent/src/daemon/handover.rs
+++ b/crates/agent/src/daemon/handover.rs
@@ -1,11 +1,14 @@
-//! How a new process of this agent takes the clients' address from the old one: it asks over a Unix socket in the
-//! temporary folder that both share, and gets the listening socket itself (`SCM_RIGHTS`, unix(7)). So there is one queue of
-//! connections, and none is lost whoever stops taking from it. The tie stays open; its end is the other's end.
+//! Replacement of a process by another one of the same agent.
+//!
+//! The new process connects to a Unix socket in the temporary folder that both share and receives the listening socket
+//! itself (`SCM_RIGHTS`, unix(7)). Both processes then accept from one queue, so that no connection is lost whichever of
+//! them stops. The stream between them stays open; its end means that the other process has exited.
 
 use super::control::{is_authorized, read_line, write};
 use bellcroft_agent_core::handover::HandoverEvent;
 use bellcroft_net::Stream;
-use serde_json::{json, Value};
+use serde::{Deserialize, Serialize};
+use std::cell::Cell;
 use std::fs::Permissions;
 use std::future::poll_fn;
 use std::io;
@@ -19,26 +22,59 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// The old process answers at once, however busy it is; one that does not by then is as good as gone.
-const ANSWER_WITHIN: Duration = Duration::from_secs(3);
-/// The longest line of either side.
-const LINE_MOST: usize = 1 << 10;
-const ASK: &str = "succeed";
+/// Bound of the exchange on both sides. The old process answers from its event loop, however busy it is; one that takes
+/// longer counts as failed.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Longest line of either side.
+const MAX_LINE_BYTES: usize = 1 << 10;
+/// Pause after a failed accept, such as with no descriptor left.
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The socket of an agent that serves `listen` under `name`, in the folder that its processes share. None where there is
-/// no such folder, or where the kernel chooses the port and no two processes can mean the same one.
+/// What the new process requests.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(tag = "command")]
+enum HandoverRequest {
+    /// The listening socket.
+    #[serde(rename = "succeed")]
+    Listener,
+}
+
+/// Why the old process did not hand over its listening socket.
+#[derive(Debug, thiserror::Error)]
+pub enum HandoverError {
+    /// Its Unix socket is there and cannot be connected to.
+    #[error("{}: {source}", path.display())]
+    Connect {
+        /// The Unix socket.
+        path: PathBuf,
+        /// The system's error.
+        source: io::Error,
+    },
+    /// The stream failed before the answer was complete.
+    #[error("the process that serves ended its word: {0}")]
+    Exchange(#[source] io::Error),
+    /// No answer came in time.
+    #[error("the process that serves did not answer within {:?}", EXCHANGE_TIMEOUT)]
+    Timeout,
+    /// The answer came without a descriptor.
+    #[error("the process that serves said {0}")]
+    NoDescriptor(String),
+}
+
+/// The Unix socket of an agent that serves `listen` under `name`, in the folder that its processes share. None where there
+/// is no such folder, or where the kernel chooses the port, for then no two processes can mean the same address.
 pub fn socket_path(folder: Option<PathBuf>, name: &str, listen: SocketAddr) -> Option<PathBuf> {
     let folder = folder.filter(|folder| folder.is_dir() && listen.port() != 0)?;
     let digest = bellcroft_platform_settings::fnv1a(&format!("{name} {listen}"));
     Some(folder.join(format!("bellcroft-{digest:016x}.sock")))
 }
 
-/// A tie to the other process.
+/// The stream to the other process, which closes when that process exits.
 pub struct HandoverStream(Stream<UnixStream>);
 
 impl HandoverStream {
-    /// Waits for the other's end.
-    async fn ended(self) {
+    /// Completes when the other process has exited.
+    async fn closed(self) {
         let mut chunk = [0; 64];
         loop {
             match poll_fn(|cx| self.0.poll_read(cx, &mut chunk)).await {
@@ -48,111 +84,115 @@
         }
     }
 
-    /// Tells of the other's end when it comes.
-    pub fn watch(self, tell: impl FnOnce() + 'static) {
+    /// Calls `on_exit` when the other process has exited.
+    pub fn watch(self, on_exit: impl FnOnce() + 'static) {
         tokio::task::spawn_local(async move {
-            self.ended().await;
-            tell();
+            self.closed().await;
+            on_exit();
         });
     }
 }
 
-/// Asks the old process, if there is one, for the clients' address.
+/// Requests the listening socket from the old process; none if there is no such process.
 ///
 /// # Errors
 ///
-/// There is one, and it did not give it.
+/// There is one, and it did not hand over its socket.
 pub async fn request_listener(
-    file: &Path,
-) -> Result<Option<(std::net::TcpListener, HandoverStream)>, String> {
-    let stream = match UnixStream::connect(file).await {
+    path: &Path,
+) -> Result<Option<(std::net::TcpListener, HandoverStream)>, HandoverError> {
+    let stream = match UnixStream::connect(path).await {
         Ok(stream) => stream,
-        // Nobody, or one that has ended without its last words.
+        // No process, or one that was killed and left its socket's file behind.
         Err(e) if matches!(e.kind(), io::ErrorKind::NotFound | io::ErrorKind::ConnectionRefused) => {
             return Ok(None)
         }
-        Err(e) => return Err(format!("{}: {e}", file.display())),
+        Err(source) => return Err(HandoverError::Connect { path: path.to_owned(), source }),
     };
     let exchange = async {
-        write(&stream, format!("{}\n", json!({"command": ASK})).as_bytes(), None).await?;
-        read_line(&stream, LINE_MOST).await
+        let request = serde_json::to_string(&HandoverRequest::Listener)?;
+        write(&stream, format!("{request}\n").as_bytes(), None).await?;
+        read_line(&stream, MAX_LINE_BYTES).await
     };
-    let (line, descriptor) = match timeout(ANSWER_WITHIN, exchange).await {
-        Ok(Ok(answer)) => answer,
-        Ok(Err(e)) => return Err(format!("the process that serves ended its word: {e}")),
-        Err(_) => return Err(format!("the process that serves did not answer within {ANSWER_WITHIN:?}")),
+    let (line, descriptor) = match timeout(EXCHANGE_TIMEOUT, exchange).await {
+        Ok(answer) => answer.map_err(HandoverError::Exchange)?,
+        Err(_) => return Err(HandoverError::Timeout),
     };
     match descriptor {
         Some(descriptor) => {
-            Ok(Some((std::net::TcpListener::from(descriptor), HandoverStream(Stream::local(stream)))))
+            let listener = std::net::TcpListener::from(descriptor);
+            Ok(Some((listener, HandoverStream(Stream::local(stream)))))
         }
-        None => Err(format!("the process that serves said {}", String::from_utf8_lossy(&line))),
+        None => Err(HandoverError::NoDescriptor(String::from_utf8_lossy(&line).into_owned())),
     }
 }
 
-/// The socket over which the next process asks.
+/// Serves the Unix socket over which the next process requests the listening socket. Dropping it removes the socket's
+/// file unless the next process has replaced that by its own.
 pub struct HandoverListener {
-    file: PathBuf,
+    path: PathBuf,
     task: JoinHandle<()>,
-    /// The next process has made its own socket in its place.
-    pub inherited: std::cell::Cell<bool>,
+    /// The file at the path is the next process's.
+    pub successor_owns_socket: Cell<bool>,
 }
 
 impl Drop for HandoverListener {
     fn drop(&mut self) {
         self.task.abort();
-        if !self.inherited.get() {
-            let _ = std::fs::remove_file(&self.file);
+        if !self.successor_owns_socket.get() {
+            let _ = std::fs::remove_file(&self.path);
         }
     }
 }
 
 impl HandoverListener {
-    /// Answers whoever asks at `file` with a copy of the listening socket, and tells what becomes known.
+    /// Answers each request at `path` with a copy of the listening socket, and reports what becomes known of the
+    /// requesting process to `on_event`.
     ///
     /// # Errors
     ///
     /// The socket cannot be made.
     pub fn serve(
-        file: PathBuf,
+        path: PathBuf,
         listener: OwnedFd,
-        tell: impl Fn(HandoverEvent) + 'static,
+        on_event: impl Fn(HandoverEvent) + 'static,
     ) -> io::Result<Self> {
-        let fresh = file.with_extension("new");
-        let _ = std::fs::remove_file(&fresh);
-        let socket = UnixListener::bind(&fresh)?;
-        std::fs::set_permissions(&fresh, Permissions::from_mode(0o600))?;
-        // In one step over the old process's: whoever asks from here on asks this one.
-        std::fs::rename(&fresh, &file)?;
-        let own = rustix::process::geteuid().as_raw();
-        let tell = Rc::new(tell);
-        let task = tokio::task::spawn_local(async move {
-            loop {
-                let Ok((stream, _)) = socket.accept().await else {
-                    tokio::time::sleep(Duration::from_millis(20)).await;
-                    continue;
-                };
-                let (copy, tell) = (listener.try_clone(), tell.clone());
-                tokio::task::spawn_local(async move {
-                    let exchange = async {
-                        if !is_authorized(own, stream.peer_cred()?.uid()) {
-                            return Err(io::ErrorKind::PermissionDenied.into());
-                        }
-                        let (line, _) = read_line(&stream, LINE_MOST).await?;
-                        let asked: Value = serde_json::from_slice(&line).unwrap_or_default();
-                        if asked["command"] != ASK {
-                            return Err(io::ErrorKind::InvalidInput.into());
-                        }
-                        write(&stream, b"{}\n", Some(copy?)).await
-                    };
-                    if matches!(timeout(ANSWER_WITHIN, exchange).await, Ok(Ok(()))) {
-                        tell(HandoverEvent::ListenerRequested);
-                        HandoverStream(Stream::local(stream)).ended().await;
-                        tell(HandoverEvent::SuccessorExited);
-                    }
-                });
+        let temporary = path.with_extension("new");
+        let _ = std::fs::remove_file(&temporary);
+        let socket = UnixListener::bind(&temporary)?;
+        std::fs::set_permissions(&temporary, Permissions::from_mode(0o600))?;
+        // Atomically over the old process's socket: each request reaches exactly one of the two.
+        std::fs::rename(&temporary, &path)?;
+        let task = tokio::task::spawn_local(accept(socket, listener, Rc::new(on_event)));
+        Ok(HandoverListener { path, task, successor_owns_socket: Cell::new(false) })
+    }
+}
+
+async fn accept(socket: UnixListener, listener: OwnedFd, on_event: Rc<dyn Fn(HandoverEvent)>) {
+    loop {
+        let Ok((stream, _)) = socket.accept().await else {
+            tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
+            continue;
+        };
+        let (copy, on_event) = (listener.try_clone(), on_event.clone());
+        tokio::task::spawn_local(async move {
+            if matches!(timeout(EXCHANGE_TIMEOUT, transfer(&stream, copy)).await, Ok(Ok(()))) {
+                on_event(HandoverEvent::ListenerRequested);
+                HandoverStream(Stream::local(stream)).closed().await;
+                on_event(HandoverEvent::SuccessorExited);
             }
         });
-        Ok(HandoverListener { file, task, inherited: std::cell::Cell::new(false) })
     }
 }
+
+/// Answers one request with the listening socket.
+async fn transfer(stream: &UnixStream, listener: io::Result<OwnedFd>) -> io::Result<()> {
+    if !is_authorized(rustix::process::geteuid().as_raw(), stream.peer_cred()?.uid()) {
+        return Err(io::ErrorKind::PermissionDenied.into());
+    }
+    let (line, _) = read_line(stream, MAX_LINE_BYTES).await?;
+    if serde_json::from_slice::<HandoverRequest>(&line).is_err() {
+        return Err(io::ErrorKind::InvalidInput.into());
+    }
+    write(stream, b"{}\n", Some(listener?)).await
+}
--- /dev/null
+++ b/crates/agent/src/daemon/instance.rs
@@ -0,0 +1,218 @@
+//! A running instance: its parts, its status and its gauges.
+//!
+//! The serving loop, the control socket, the admin console, the handover socket and telemetry all call into one
+//! [`Instance`] from tasks of the same thread and expect their answer at once. It is therefore shared (`Rc`), and
+//! each part with mutable state stands in a cell of its own. No borrow is held across an `await` or a call into
+//! another part.
+
+use super::descriptors::DescriptorBudget;
+use super::notify::Notify;
+use super::reload::ReloadHistory;
+use super::state::StatusWriter;
+use super::status::{self, ConfigStatus, Phase, Status};
+use super::unix_ms;
+use crate::control_plane::ControlPlane;
+use crate::downstream::Server;
+use crate::driver::Driver;
+use bellcroft_agent_core::handover::{Handover, HandoverEvent};
+use bellcroft_telemetry::families;
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::os::fd::OwnedFd;
+use std::rc::Rc;
+use tracing::info;
+
+/// An instance as its serving loop, its control socket and its admin console see it.
+pub(super) struct Instance {
+    pub(super) control: Rc<ControlPlane>,
+    pub(super) driver: Rc<Driver>,
+    pub(super) server: Rc<Server>,
+    pub(super) notify: Notify,
+    /// The address that clients connect to, as it is reported.
+    pub(super) listen: String,
+    /// A copy of the listening socket, for a supervisor that requests it.
+    pub(super) listener_copy: RefCell<Option<OwnedFd>>,
+    /// Connections that this process may hold while it is the only one at its address.
+    pub(super) connection_limits: DescriptorBudget,
+    /// Faults of the start, which do not change afterwards.
+    pub(super) problems: Vec<String>,
+    pub(super) lifecycle: RefCell<Lifecycle>,
+    pub(super) reloads: RefCell<ReloadHistory>,
+    pub(super) status_writer: RefCell<Option<StatusWriter>>,
+    pub(super) shutdown_request: ShutdownRequest,
+    /// Role in the replacement of a process by another.
+    pub(super) handover: RefCell<Handover>,
+}
+
+/// The phase of an instance and its times, in Unix milliseconds.
+#[derive(Debug)]
+pub(super) struct Lifecycle {
+    started_ms: u64,
+    ready_ms: Option<u64>,
+    phase: Phase,
+}
+
+impl Lifecycle {
+    pub(super) fn new(started_ms: u64) -> Self {
+        Lifecycle { started_ms, ready_ms: None, phase: Phase::Starting }
+    }
+
+    /// Enters a phase; true if it is another one than before. The first [`Phase::Ready`] is the time of readiness.
+    fn enter(&mut self, phase: Phase, now_ms: u64) -> bool {
+        if phase == Phase::Ready && self.ready_ms.is_none() {
+            self.ready_ms = Some(now_ms);
+        }
+        std::mem::replace(&mut self.phase, phase) != phase
+    }
+}
+
+/// Who accepts clients at the listening socket after a shutdown that was requested over the control socket.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum SocketAfterShutdown {
+    /// Nobody.
+    Closed,
+    /// Another process, which holds the same socket.
+    HandedOver,
+}
+
+/// A shutdown requested over the control socket.
+#[derive(Debug, Default)]
+pub(super) struct ShutdownRequest {
+    requested: Cell<Option<SocketAfterShutdown>>,
+    wake: tokio::sync::Notify,
+}
+
+impl ShutdownRequest {
+    pub(super) fn request(&self, socket: SocketAfterShutdown) {
+        self.requested.set(Some(socket));
+        self.wake.notify_one();
+    }
+
+    /// Completes once a shutdown is requested, also if that was before the call.
+    pub(super) async fn requested(&self) {
+        self.wake.notified().await;
+    }
+
+    /// Whether the requester hands the listening socket to another process.
+    pub(super) fn hands_over_socket(&self) -> bool {
+        self.requested.get() == Some(SocketAfterShutdown::HandedOver)
+    }
+}
+
+impl Instance {
+    pub(super) fn name(&self) -> String {
+        self.control.config().name.clone()
+    }
+
+    pub(super) fn phase(&self) -> Phase {
+        self.lifecycle.borrow().phase
+    }
+
+    /// Enters a phase and writes the status file if the phase is new.
+    pub(super) fn enter(&self, phase: Phase) {
+        if self.set_phase(phase) {
+            self.write_status();
+        }
+    }
+
+    /// As [`Instance::enter`], without writing the status file.
+    pub(super) fn set_phase(&self, phase: Phase) -> bool {
+        self.lifecycle.borrow_mut().enter(phase, unix_ms())
+    }
+
+    pub(super) fn status(&self) -> Status {
+        let config = self.control.config();
+        let (classes, bad_requests) = self.server.tally.counts();
+        let lifecycle = self.lifecycle.borrow();
+        let reloads = self.reloads.borrow();
+        let servers = self.driver.servers();
+        Status {
+            version: status::VERSION,
+            name: config.name.clone(),
+            pid: std::process::id(),
+            started_ms: lifecycle.started_ms,
+            ready_ms: lifecycle.ready_ms,
+            written_ms: unix_ms(),
+            phase: lifecycle.phase,
+            listen: self.listen.clone(),
+            config: ConfigStatus {
+                digest: config.digest.clone(),
+                generation: reloads.generation(),
+                refused: reloads.last_rejection().map(str::to_owned),
+            },
+            requests: classes.into_iter().collect(),
+            bad_requests,
+            servers,
+            connections: self.server.connections(),
+            discovery: self.driver.discovery_status(),
+            membership: self.driver.peers().map(|peers| peers.status()),
+            violations: self.violations(),
+            problems: self.current_problems(servers.up),
+        }
+    }
+
+    fn current_problems(&self, servers_up: usize) -> Vec<String> {
+        let mut problems = self.problems.clone();
+        if let Some(writer) = &*self.status_writer.borrow() {
+            problems.extend(writer.problem());
+        }
+        if servers_up == 0 {
+            problems.push("no server is up".into());
+        }
+        problems
+    }
+
+    fn violations(&self) -> BTreeMap<String, u64> {
+        let guard = self.driver.guard.borrow();
+        let counted = guard.violations().filter(|(_, count)| *count > 0);
+        counted.map(|(violation, count)| (violation.name().to_owned(), count)).collect()
+    }
+
+    /// The status as it stands in the status file.
+    pub(super) fn status_json(&self) -> Vec<u8> {
+        let mut text = serde_json::to_vec(&self.status()).unwrap_or_default();
+        text.push(b'\n');
+        text
+    }
+
+    pub(super) fn write_status(&self) {
+        if let Some(writer) = &*self.status_writer.borrow() {
+            writer.write(self.status_json());
+        }
+    }
+
+    /// Follows the other process of a replacement; both together hold no more connections than one.
+    pub(super) fn on_handover_event(&self, event: HandoverEvent) {
+        if !self.handover.borrow_mut().handle_event(event) {
+            return;
+        }
+        let handover = *self.handover.borrow();
+        let clients = handover.connection_limit(self.connection_limits.clients);
+        let servers = handover.connection_limit(self.connection_limits.backends);
+        info!(
+            instance = %self.name(),
+            role = ?handover.role(),
+            max_client_connections = clients,
+            max_server_connections = servers,
+            "handover: connection limits changed"
+        );
+        self.server.set_max_connections(clients);
+        self.driver.set_max_connections(servers);
+    }
+
+    /// Sets the gauges that no event updates, before each sample.
+    pub(super) fn refresh_gauges(&self) {
+        let Some(telemetry) = &self.driver.telemetry else { return };
+        let set = |family: &families::Family, labels: &[&str], value: usize| {
+            telemetry.registry.gauge(family, labels).set(value as f64);
+        };
+        let (server_connections, max_server_connections) = self.driver.connections();
+        set(&families::CONNECTIONS, &["client"], self.server.connections());
+        set(&families::CONNECTIONS, &["server"], server_connections);
+        set(&families::CONNECTIONS_MOST, &["client"], self.connection_limits.clients);
+        set(&families::CONNECTIONS_MOST, &["server"], max_server_connections);
+        set(&families::READY, &[], usize::from(self.phase() == Phase::Ready));
+        set(&families::GENERATION, &[], self.reloads.borrow().generation() as usize);
+        self.control.refresh_gauges();
+    }
+}
--- /dev/null
+++ b/crates/agent/src/daemon/listen.rs
@@ -0,0 +1,55 @@
+//! The clients' listening socket: inherited, transferred by a predecessor, or bound by this process.
+
+use super::error::{DaemonError, InheritedListenerError};
+use super::handover::{self, HandoverStream};
+use bellcroft_net::Listener;
+use std::net::SocketAddr;
+use std::path::Path;
+
+/// Where an instance's listening socket comes from.
+pub(super) enum ListenerOrigin {
+    /// This process has bound it.
+    Bound,
+    /// A service manager or a supervisor passed it at the start.
+    Inherited,
+    /// The process that this one replaces transferred it; the stream closes when that process exits.
+    Predecessor(HandoverStream),
+}
+
+/// Takes the inherited socket, else the predecessor's over the Unix socket at `handover_socket`, else binds `address`.
+///
+/// # Errors
+///
+/// The inherited socket is unusable, the predecessor does not transfer its own, or the address cannot be bound.
+pub(super) async fn acquire_listener(
+    address: SocketAddr,
+    handover_socket: Option<&Path>,
+) -> Result<(Listener, ListenerOrigin), DaemonError> {
+    if let Some(socket) = inherited_listener()? {
+        let listener = Listener::adopt(socket).map_err(InheritedListenerError::Unusable)?;
+        return Ok((listener, ListenerOrigin::Inherited));
+    }
+    let predecessor = match handover_socket {
+        Some(path) => handover::request_listener(path)
+            .await
+            .map_err(|source| DaemonError::Handover { address, source })?,
+        None => None,
+    };
+    let listen_error = |source| DaemonError::Listen { address, source };
+    if let Some((socket, stream)) = predecessor {
+        let listener = Listener::adopt(socket).map_err(listen_error)?;
+        return Ok((listener, ListenerOrigin::Predecessor(stream)));
+    }
+    let listener = Listener::bind(address).await.map_err(listen_error)?;
+    Ok((listener, ListenerOrigin::Bound))
+}
+
+/// The socket that a service manager or a supervisor passed (sd_listen_fds(3)), if any.
+fn inherited_listener() -> Result<Option<std::net::TcpListener>, InheritedListenerError> {
+    let mut descriptors = listenfd::ListenFd::from_env();
+    match descriptors.len() {
+        0 => Ok(None),
+        1 => descriptors.take_tcp_listener(0).map_err(InheritedListenerError::NotAListener),
+        count => Err(InheritedListenerError::TooMany(count)),
+    }
+}
--- a/crates/agent/src/daemon/state.rs
+++ b/crates/agent/src/daemon/state.rs
@@ -1,10 +1,9 @@
-//! An instance's state directory: the lock, the status file, the place of the control socket.
+//! A state directory: the lock, the status file, the path of the control socket.
 //!
-//! The directory is the process's own (mode 0700) and the lock is the kernel's (`flock`), so it ends with the process
-//! however that ends. Nothing on the way of a request touches the directory: files are written by a thread of their
-//! own, and what cannot be written is a problem that the status tells, not a reason to stop serving.
+//! The directory belongs to the process's user alone (mode 0700). The lock is the kernel's (`flock`), so it is released
+//! when the process exits for whatever reason. Nothing on the request path touches the directory: the status file is
+//! written by a thread of its own, and a failed write is a problem in the status, not a reason to stop serving.
 
-use std::fmt;
 use std::fs::{DirBuilder, File, OpenOptions, Permissions, TryLockError};
 use std::io::{self, Read, Write};
 use std::os::unix::fs::{DirBuilderExt, MetadataExt, OpenOptionsExt, PermissionsExt};
@@ -13,39 +12,48 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// The status file's name in a state directory.
+/// The name of the status file in a state directory.
 pub const STATUS_FILE: &str = "status.json";
-/// The control socket's name.
+/// The name of the control socket.
 pub const CONTROL_SOCKET: &str = "control.sock";
-/// The lock's name.
-const LOCK: &str = "lock";
+/// The name of the lock file.
+const LOCK_FILE: &str = "lock";
 /// A Unix socket's path has 107 bytes at most (`sun_path`, unix(7)), and the socket is made under a longer name.
 pub const MAX_PATH_BYTES: usize = 107 - "/control.sock.new".len();
 
-/// A lock that is taken is tried again so often: whoever looks whether it is free holds it for that moment.
-const TRIES: u32 = 10;
-const TRY_AGAIN: Duration = Duration::from_millis(10);
+/// Attempts to take a lock that is held: [`is_locked`] of another process holds it for microseconds.
+const LOCK_RETRIES: u32 = 10;
+const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Why a state directory is not this process's.
-#[derive(Debug)]
+/// Why a state directory could not be acquired.
+#[derive(Debug, thiserror::Error)]
 pub enum StateDirError {
-    /// Another process holds it; its id, where its lock file tells.
+    /// Another process holds the lock; its id, if the lock file has one.
+    #[error("already running{}", .0.map(|pid| format!(" as process {pid}")).unwrap_or_default())]
     Held(Option<u32>),
-    /// It cannot be used, for this reason.
-    Unusable(String),
-}
-
-impl fmt::Display for StateDirError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            StateDirError::Held(Some(id)) => write!(f, "already running as process {id}"),
-            StateDirError::Held(None) => write!(f, "already running"),
-            StateDirError::Unusable(why) => f.write_str(why),
-        }
-    }
+    /// The system does not let this process use it.
+    #[error("{}: {operation}: {source}", path.display())]
+    Unusable {
+        /// The directory.
+        path: PathBuf,
+        /// What failed.
+        operation: &'static str,
+        /// The system's error.
+        source: io::Error,
+    },
+    /// It belongs to another user.
+    #[error("{}: belongs to user {owner}, not to user {own}", path.display())]
+    NotOwned {
+        /// The directory.
+        path: PathBuf,
+        /// The user who owns it.
+        owner: u32,
+        /// The user of this process.
+        own: u32,
+    },
 }
 
-/// A state directory that this process holds until it ends.
+/// A state directory that this process holds until it exits.
 #[derive(Debug)]
 pub struct StateDir {
     path: PathBuf,
@@ -53,47 +61,35 @@
 }
 
 impl StateDir {
-    /// Takes the directory, and makes it if it is missing.
+    /// Locks the directory, and creates it if it is missing.
     ///
     /// # Errors
     ///
-    /// [`Refused::Held`] if another process has it, in which case nothing has been touched.
+    /// [`StateDirError::Held`] if another process holds it, in which case nothing has been changed.
     pub fn acquire(path: &Path) -> Result<Self, StateDirError> {
         let unusable =
-            |what: &str, e: io::Error| StateDirError::Unusable(format!("{}: {what}: {e}", path.display()));
-        match DirBuilder::new().recursive(true).mode(0o700).create(path) {
-            Ok(()) => {}
-            Err(e) => return Err(unusable("cannot be made", e)),
-        }
-        let about = std::fs::metadata(path).map_err(|e| unusable("cannot be looked at", e))?;
+            |operation, source| StateDirError::Unusable { path: path.to_owned(), operation, source };
+        DirBuilder::new()
+            .recursive(true)
+            .mode(0o700)
+            .create(path)
+            .map_err(|e| unusable("cannot be made", e))?;
+        let metadata = std::fs::metadata(path).map_err(|e| unusable("cannot be looked at", e))?;
         let own = rustix::process::geteuid().as_raw();
-        if about.uid() != own {
-            let why = format!("{}: belongs to user {}, not to user {own}", path.display(), about.uid());
-            return Err(StateDirError::Unusable(why));
+        if metadata.uid() != own {
+            return Err(StateDirError::NotOwned { path: path.to_owned(), owner: metadata.uid(), own });
         }
-        // A lock file that is there is enough where nothing new can be written.
-        let file = path.join(LOCK);
-        let open =
-            OpenOptions::new().read(true).write(true).create(true).truncate(false).mode(0o600).open(&file);
-        let lock = open.or_else(|e| File::open(&file).map_err(|_| e)).map_err(|e| unusable("lock", e))?;
-        let mut tries = TRIES;
-        loop {
-            match lock.try_lock() {
-                Ok(()) => break,
-                // It may be no more than a look (`held`), which is over in microseconds.
-                Err(TryLockError::WouldBlock) if tries > 0 => {
-                    tries -= 1;
-                    std::thread::sleep(TRY_AGAIN);
-                }
-                Err(TryLockError::WouldBlock) => return Err(StateDirError::Held(holder(path))),
-                Err(TryLockError::Error(e)) => return Err(unusable("lock", e)),
-            }
+        let lock = open_lock_file(path).map_err(|e| unusable("lock", e))?;
+        match lock_with_retries(&lock) {
+            Ok(()) => {}
+            Err(TryLockError::WouldBlock) => return Err(StateDirError::Held(lock_holder(path))),
+            Err(TryLockError::Error(e)) => return Err(unusable("lock", e)),
         }
-        if about.mode() & 0o077 != 0 {
+        if metadata.mode() & 0o077 != 0 {
             std::fs::set_permissions(path, Permissions::from_mode(0o700))
                 .map_err(|e| unusable("others may enter it, and that cannot be changed", e))?;
         }
-        // For people; nothing is decided by it, for a number outlives its process.
+        // For people only: a process id can be reused, so nothing is decided by it.
         let mut text = &lock;
         let _ = lock.set_len(0).and_then(|()| writeln!(text, "{}", std::process::id()));
         Ok(StateDir { path: path.to_owned(), _lock: lock })
@@ -105,39 +101,59 @@
     }
 }
 
+/// Opens the lock file; an existing one is enough where nothing can be written.
+fn open_lock_file(dir: &Path) -> io::Result<File> {
+    let file = dir.join(LOCK_FILE);
+    let open = OpenOptions::new().read(true).write(true).create(true).truncate(false).mode(0o600).open(&file);
+    open.or_else(|e| File::open(&file).map_err(|_| e))
+}
+
+fn lock_with_retries(lock: &File) -> Result<(), TryLockError> {
+    let mut retries = LOCK_RETRIES;
+    loop {
+        match lock.try_lock() {
+            Err(TryLockError::WouldBlock) if retries > 0 => {
+                retries -= 1;
+                std::thread::sleep(LOCK_RETRY_INTERVAL);
+            }
+            result => return result,
+        }
+    }
+}
+
 /// Whether some process holds this directory.
 pub fn is_locked(path: &Path) -> bool {
-    let Ok(lock) = File::open(path.join(LOCK)) else { return false };
+    let Ok(lock) = File::open(path.join(LOCK_FILE)) else { return false };
     matches!(lock.try_lock_shared(), Err(TryLockError::WouldBlock))
 }
 
-/// The process that the lock file names, which need not live any more.
-fn holder(path: &Path) -> Option<u32> {
+/// The process that the lock file names, which may have exited.
+fn lock_holder(path: &Path) -> Option<u32> {
     let mut text = String::new();
-    File::open(path.join(LOCK)).ok()?.take(32).read_to_string(&mut text).ok()?;
+    File::open(path.join(LOCK_FILE)).ok()?.take(32).read_to_string(&mut text).ok()?;
     text.trim().parse().ok()
 }
 
-/// Replaces a file whole: a reader finds the old one or the new one, and a crash leaves one of them.
+/// Replaces a file atomically: a reader finds the old contents or the new ones, also after a crash.
 pub fn write_atomically(file: &Path, text: &[u8]) -> io::Result<()> {
     let mut name = file.file_name().unwrap_or_default().to_owned();
     name.push(".new");
-    let fresh = file.with_file_name(name);
+    let temporary = file.with_file_name(name);
     let write = || {
         let mut opened =
-            OpenOptions::new().write(true).create(true).truncate(true).mode(0o600).open(&fresh)?;
+            OpenOptions::new().write(true).create(true).truncate(true).mode(0o600).open(&temporary)?;
         opened.write_all(text)?;
         drop(opened);
-        std::fs::rename(&fresh, file)
+        std::fs::rename(&temporary, file)
     };
     write().inspect_err(|_| {
-        // Half a file is worth nothing, and takes room on a disk that may be full.
-        let _ = std::fs::remove_file(&fresh);
+        // An incomplete file is useless and takes space on a disk that may be full.
+        let _ = std::fs::remove_file(&temporary);
     })
 }
 
-/// Writes the status file from a thread of its own, so that a slow disk is waited for by nobody else. What comes while
-/// it waits replaces what has come before: only the latest status is worth writing.
+/// Writes the status file from a thread of its own, so that a slow disk delays nothing else. A status that arrives while
+/// another one waits replaces it: only the latest one is written.
 pub struct StatusWriter {
     shared: Arc<Shared>,
     thread: JoinHandle<()>,
@@ -145,36 +161,38 @@
 
 #[derive(Default)]
 struct Shared {
-    slot: Mutex<Slot>,
-    filled: Condvar,
+    state: Mutex<WriterState>,
+    changed: Condvar,
 }
 
 #[derive(Default)]
-struct Slot {
-    text: Option<Vec<u8>>,
+struct WriterState {
+    /// The status to be written next.
+    pending: Option<Vec<u8>>,
     closed: bool,
-    /// Since when the disk is being waited for.
-    busy: Option<Instant>,
+    /// Since when a write is in progress.
+    writing_since: Option<Instant>,
+    /// Why the last write failed.
     problem: Option<String>,
 }
 
 impl Shared {
-    fn slot(&self) -> MutexGuard<'_, Slot> {
-        self.slot.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, WriterState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// How long the end waits for the last status to be written.
-const LAST_WRITE: Duration = Duration::from_millis(500);
-/// A disk that takes longer for one small file is worth telling.
-const SLOW_DISK: Duration = Duration::from_secs(2);
+/// How long a shutdown waits for the last status to be written.
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(500);
+/// A write that takes longer is reported as a problem.
+const SLOW_WRITE_THRESHOLD: Duration = Duration::from_secs(2);
 
 impl StatusWriter {
-    /// A writer of `dir`'s status file.
+    /// Starts the writer of `dir`'s status file.
     ///
     /// # Errors
     ///
-    /// The system has no thread for it.
+    /// No thread can be started.
     pub fn start(dir: &Path) -> io::Result<Self> {
         let shared = Arc::<Shared>::default();
         let (file, own) = (dir.join(STATUS_FILE), shared.clone());
@@ -185,155 +203,54 @@
         Ok(StatusWriter { shared, thread })
     }
 
-    /// Has a status written, in place of one that still waits.
+    /// Queues a status, in place of one that still waits.
     pub fn write(&self, text: Vec<u8>) {
-        self.shared.slot().text = Some(text);
-        self.shared.filled.notify_one();
+        self.shared.lock().pending = Some(text);
+        self.shared.changed.notify_one();
     }
 
-    /// Why the last one could not be written, or is not yet.
+    /// Why the last write failed or is late.
     pub fn problem(&self) -> Option<String> {
-        let slot = self.shared.slot();
-        let slow = slot.busy.is_some_and(|since| since.elapsed() >= SLOW_DISK);
+        let state = self.shared.lock();
+        let slow = state.writing_since.is_some_and(|since| since.elapsed() >= SLOW_WRITE_THRESHOLD);
         if slow {
             Some(format!("{STATUS_FILE}: the disk does not answer"))
         } else {
-            slot.problem.clone()
+            state.problem.clone()
         }
     }
 
-    /// Has the last status written, and waits for it for a moment.
+    /// Writes the last status; waits for it up to [`FINAL_WRITE_TIMEOUT`].
     pub async fn finish(self, text: Vec<u8>) {
         self.write(text);
-        self.shared.slot().closed = true;
-        self.shared.filled.notify_one();
-        let until = Instant::now() + LAST_WRITE;
-        while !self.thread.is_finished() && Instant::now() < until {
+        self.shared.lock().closed = true;
+        self.shared.changed.notify_one();
+        let deadline = Instant::now() + FINAL_WRITE_TIMEOUT;
+        while !self.thread.is_finished() && Instant::now() < deadline {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     }
 }
 
+/// The writer thread: writes each status that is queued, until the writer is closed.
 fn write_all(file: &Path, shared: &Shared) {
-    let mut slot = shared.slot();
+    let mut state = shared.lock();
     loop {
-        let Some(text) = slot.text.take() else {
-            if slot.closed {
+        let Some(text) = state.pending.take() else {
+            if state.closed {
                 return;
             }
-            slot = shared.filled.wait(slot).unwrap_or_else(PoisonError::into_inner);
+            state = shared.changed.wait(state).unwrap_or_else(PoisonError::into_inner);
             continue;
         };
-        slot.busy = Some(Instant::now());
-        drop(slot);
-        let why = write_atomically(file, &text).err().map(|e| format!("{}: {e}", file.display()));
-        slot = shared.slot();
-        (slot.busy, slot.problem) = (None, why);
+        state.writing_since = Some(Instant::now());
+        drop(state);
+        let problem = write_atomically(file, &text).err().map(|e| format!("{}: {e}", file.display()));
+        state = shared.lock();
+        (state.writing_since, state.problem) = (None, problem);
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// A folder of the test's own, which ends with it.
-    struct Folder(PathBuf);
-
-    impl Folder {
-        fn new(name: &str) -> Self {
-            let path = std::env::temp_dir().join(format!("bellcroft-state-{}-{name}", std::process::id()));
-            std::fs::create_dir_all(&path).expect("a folder");
-            Folder(path)
-        }
-    }
-
-    impl Drop for Folder {
-        fn drop(&mut self) {
-            let _ = std::fs::remove_dir_all(&self.0);
-        }
-    }
-
-    #[test]
-    fn a_directory_is_made_private_and_held_once() {
-        let folder = Folder::new("held");
-        let path = folder.0.join("a/b");
-        let state = StateDir::acquire(&path).expect("it is free");
-        assert_eq!(std::fs::metadata(&path).expect("it is there").mode() & 0o777, 0o700);
-        assert!(is_locked(&path));
-        let own = std::process::id();
-        assert!(matches!(StateDir::acquire(&path), Err(StateDirError::Held(Some(id))) if id == own));
-        drop(state);
-        assert!(!is_locked(&path));
-        // A wider mode is narrowed.
-        std::fs::set_permissions(&path, Permissions::from_mode(0o755)).expect("it is ours");
-        let _state = StateDir::acquire(&path).expect("it is free again");
-        assert_eq!(std::fs::metadata(&path).expect("it is there").mode() & 0o777, 0o700);
-    }
-
-    #[test]
-    fn a_look_at_the_lock_does_not_keep_its_owner_out() {
-        let folder = Folder::new("look");
-        let path = folder.0.join("state");
-        drop(StateDir::acquire(&path).expect("it is free"));
-        let over = std::sync::atomic::AtomicBool::new(false);
-        std::thread::scope(|scope| {
-            scope.spawn(|| {
-                while !over.load(std::sync::atomic::Ordering::SeqCst) {
-                    is_locked(&path);
-                }
-            });
-            let taken: Vec<bool> = (0..200).map(|_| StateDir::acquire(&path).is_ok()).collect();
-            over.store(true, std::sync::atomic::Ordering::SeqCst);
-            assert!(taken.iter().all(|taken| *taken));
-        });
-    }
-
-    #[test]
-    fn what_cannot_be_a_directory_is_unusable_and_says_why() {
-        let folder = Folder::new("unusable");
-        let file = folder.0.join("file");
-        std::fs::write(&file, "x").expect("a file");
-        for path in [file.clone(), file.join("below")] {
-            let why = StateDir::acquire(&path).expect_err("no directory").to_string();
-            assert!(why.contains("file"), "{why}");
-        }
-    }
-
-    #[test]
-    fn a_file_is_replaced_whole_or_not_at_all() {
-        let folder = Folder::new("replace");
-        let file = folder.0.join("status.json");
-        write_atomically(&file, b"one").expect("it can be written");
-        write_atomically(&file, b"two").expect("it can be replaced");
-        assert_eq!(std::fs::read(&file).expect("it is there"), b"two");
-        // Where the new one cannot be made, the old one stays.
-        std::fs::create_dir(folder.0.join("status.json.new")).expect("a folder in its way");
-        assert!(write_atomically(&file, b"three").is_err());
-        assert_eq!(std::fs::read(&file).expect("it is there"), b"two");
-    }
-
-    #[tokio::test]
-    async fn a_problem_is_told_and_forgotten_once_it_is_over() {
-        let folder = Folder::new("problem");
-        let writer = StatusWriter::start(&folder.0).expect("a thread");
-        let obstacle = folder.0.join("status.json.new");
-        std::fs::create_dir(&obstacle).expect("a folder in its way");
-        let settled = |bad: bool| {
-            let problem = writer.problem();
-            problem.is_some_and(|why| why.contains("status.json")) == bad
-        };
-        for bad in [true, false] {
-            for _ in 0..1000 {
-                writer.write(b"{}".to_vec());
-                tokio::time::sleep(Duration::from_millis(5)).await;
-                if settled(bad) {
-                    break;
-                }
-            }
-            assert!(settled(bad), "{bad}");
-            let _ = std::fs::remove_dir(&obstacle);
-        }
-        writer.finish(b"last".to_vec()).await;
-        assert_eq!(std::fs::read(folder.0.join(STATUS_FILE)).expect("it is there"), b"last");
-    }
-}
+#[path = "../../tests/unit/daemon_state.rs"]
+mod tests;
--- a/crates/agent/src/daemon/status.rs
+++ b/crates/agent/src/daemon/status.rs
@@ -1,4 +1,4 @@
-//! What an instance says of itself, in its status file and over its control socket.
+//! An instance's status, as its status file and its control socket give it, and the counters of requests in it.
 
 use crate::discovery::monitor::DiscoveryStatus;
 use crate::peers::status::MembershipStatus;
@@ -7,20 +7,20 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The form of [`Status`]; a reader of a higher one finds keys that it does not know, and the old ones as they were.
+/// The version of [`Status`]'s form. A higher one only adds keys.
 pub const VERSION: u32 = 1;
 
 /// What an instance is doing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// It has no server to send to yet.
+    /// It knows no server yet.
     Starting,
     /// It serves.
     Ready,
-    /// It has been told to end, and answers what it has taken.
+    /// It shuts down, and answers the requests that it has accepted.
     Draining,
-    /// It has ended as it was told to.
+    /// It has shut down.
     Stopped,
 }
 
@@ -47,86 +47,86 @@
     pub pid: u32,
     /// When it started.
     pub started_ms: u64,
-    /// When it first had a server to send to.
+    /// When it first knew a server.
     pub ready_ms: Option<u64>,
     /// When this was written.
     pub written_ms: u64,
     /// What it is doing.
     pub phase: Phase,
-    /// Where it takes requests.
+    /// Where clients connect.
     pub listen: String,
-    /// What it goes by.
+    /// Its configuration.
     pub config: ConfigStatus,
     /// Its requests by class.
     pub requests: BTreeMap<String, Counts>,
-    /// Requests that were answered with an error before they had a class, or for what was wrong with them.
+    /// Requests that were malformed or could not be classified.
     pub bad_requests: u64,
-    /// Servers by what the list says of them.
+    /// Servers by their state in the endpoint list.
     pub servers: Servers,
     /// Connections of clients.
     pub connections: usize,
-    /// The calls to discovery.
+    /// The requests to discovery.
     #[serde(default)]
     pub discovery: DiscoveryStatus,
-    /// The other instances, where they are looked for.
+    /// The view of the cluster, if the instance has one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub membership: Option<MembershipStatus>,
-    /// What was done against the rules, by name; empty where nothing was.
+    /// Violations of the rules, by name; empty without any.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub violations: BTreeMap<String, u64>,
-    /// What it cannot do at present, such as write its status.
+    /// Present faults, such as a status file that cannot be written.
     pub problems: Vec<String>,
 }
 
-/// What an instance goes by.
+/// The configuration in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigStatus {
-    /// A hash (FNV-1a, 64 bits) of the bytes of its files as they were last taken.
+    /// A hash (FNV-1a, 64 bits) of the bytes of the files that are in force.
     pub digest: String,
-    /// 1 at the start, one more with each reload that was taken.
+    /// 1 at the start, one more with each accepted reload.
     pub generation: u64,
-    /// What became of the last reload, if there was one that was not taken.
+    /// Why the last reload was rejected; none if it was accepted.
     pub refused: Option<String>,
 }
 
 /// Requests of a class. At any moment `taken` is the sum of the others.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// All that have come whole and well-formed.
+    /// Accepted: complete and well-formed.
     pub taken: u64,
-    /// Answered with a server's answer.
+    /// Answered with a server's response.
     pub served: u64,
     /// Answered 429.
     pub refused: u64,
     /// Answered with another error.
     pub failed: u64,
-    /// Their clients left before there was an answer.
+    /// Their clients disconnected before the response.
     pub left: u64,
-    /// Owed their answer.
+    /// Pending.
     pub open: u64,
 }
 
-/// Servers by what the list says of them.
+/// Servers by their state in the endpoint list.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Servers {
     /// They take requests.
     pub up: usize,
-    /// They finish what they have.
+    /// They take no new requests.
     pub draining: usize,
-    /// They have left lately.
+    /// They have left the list recently.
     pub gone: usize,
 }
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// With a server's answer.
+    /// A server's response.
     Served,
-    /// Refused.
+    /// Rejected with 429.
     Rejected,
-    /// With another error.
+    /// Another error.
     Failed,
-    /// Its client had gone.
+    /// The client disconnected first.
     ClientDisconnected,
 }
 
@@ -134,25 +134,25 @@
 #[derive(Debug)]
 pub struct RequestCounters {
     classes: Rc<RefCell<Vec<(String, Counts)>>>,
-    bad: std::cell::Cell<u64>,
+    bad_requests: std::cell::Cell<u64>,
 }
 
 impl RequestCounters {
-    /// A tally of these classes.
+    /// Counters of these classes.
     pub fn new(classes: &[String]) -> Self {
-        let tally = RequestCounters { classes: Rc::default(), bad: std::cell::Cell::new(0) };
-        tally.add_classes(classes);
-        tally
+        let counters = RequestCounters { classes: Rc::default(), bad_requests: std::cell::Cell::new(0) };
+        counters.add_classes(classes);
+        counters
     }
 
-    /// These classes show from now on, at zero if nothing was counted yet. One that settings drop keeps its counts.
+    /// Adds classes at zero. A class that settings drop keeps its counts.
     pub fn add_classes(&self, classes: &[String]) {
         for name in classes {
-            self.place(name);
+            self.index(name);
         }
     }
 
-    fn place(&self, name: &str) -> usize {
+    fn index(&self, name: &str) -> usize {
         let mut classes = self.classes.borrow_mut();
         let known = classes.iter().position(|(known, _)| known == name);
         known.unwrap_or_else(|| {
@@ -161,38 +161,38 @@
         })
     }
 
-    /// A request of the class has been taken; how it ended is told to what this returns.
+    /// Counts an accepted request of the class; its outcome is recorded by what this returns.
     pub fn on_request(&self, class: &str) -> PendingGuard {
-        let class = self.place(class);
+        let class = self.index(class);
         let counts = &mut self.classes.borrow_mut()[class].1;
         counts.taken += 1;
         counts.open += 1;
-        PendingGuard { classes: self.classes.clone(), class, ended: RequestOutcome::ClientDisconnected }
+        PendingGuard { classes: self.classes.clone(), class, outcome: RequestOutcome::ClientDisconnected }
     }
 
-    /// A request was wrong.
+    /// Counts a malformed request.
     pub fn on_bad_request(&self) {
-        self.bad.set(self.bad.get() + 1);
+        self.bad_requests.set(self.bad_requests.get() + 1);
     }
 
-    /// The counts by class, and of the bad ones.
+    /// The counts by class, and the count of malformed requests.
     pub fn counts(&self) -> (Vec<(String, Counts)>, u64) {
-        (self.classes.borrow().clone(), self.bad.get())
+        (self.classes.borrow().clone(), self.bad_requests.get())
     }
 }
 
-/// A request that has been counted as taken. If this ends with nothing said, its client had left.
+/// An accepted request. Dropping this without [`PendingGuard::finish`] counts it as abandoned by its client.
 #[derive(Debug)]
 pub struct PendingGuard {
     classes: Rc<RefCell<Vec<(String, Counts)>>>,
     class: usize,
-    ended: RequestOutcome,
+    outcome: RequestOutcome,
 }
 
 impl PendingGuard {
-    /// How it ended.
-    pub fn finish(mut self, how: RequestOutcome) {
-        self.ended = how;
+    /// Records the outcome.
+    pub fn finish(mut self, outcome: RequestOutcome) {
+        self.outcome = outcome;
     }
 }
 
@@ -201,7 +201,7 @@
         let mut classes = self.classes.borrow_mut();
         let counts = &mut classes[self.class].1;
         counts.open -= 1;
-        match self.ended {
+        match self.outcome {
             RequestOutcome::Served => counts.served += 1,
             RequestOutcome::Rejected => counts.refused += 1,
             RequestOutcome::Failed => counts.failed += 1,
@@ -211,21 +211,5 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn each_request_is_counted_once_whatever_becomes_of_it() {
-        let tally = RequestCounters::new(&["a".to_owned(), "b".to_owned()]);
-        let first = tally.on_request("b");
-        let second = tally.on_request("b");
-        tally.on_request("b").finish(RequestOutcome::Rejected);
-        assert_eq!(tally.counts().0[1].1, Counts { taken: 3, open: 2, refused: 1, ..Counts::default() });
-        first.finish(RequestOutcome::Served);
-        drop(second);
-        let expected = Counts { taken: 3, served: 1, refused: 1, left: 1, ..Counts::default() };
-        assert_eq!(tally.counts().0, [("a".to_owned(), Counts::default()), ("b".to_owned(), expected)]);
-        drop(tally.on_request("c"));
-        assert_eq!(tally.counts().0[2].1.left, 1, "a class that new settings bring");
-    }
-}
+#[path = "../../tests/unit/daemon_status.rs"]
+mod tests;
--- a/crates/agent/src/exit.rs
+++ b/crates/agent/src/exit.rs
@@ -1,33 +1,42 @@
-//! Exit codes, the same for every command, and the runtime that each long one runs on.
+//! Exit codes, the same for every command, and the runtime of the commands that do I/O.
 
 use crate::log::say;
+use std::fmt::Display;
 use std::future::Future;
+use std::io;
 use std::process::ExitCode;
 
-/// What was asked for was tried and did not come about.
+/// The command was carried out and failed.
 pub(crate) const NOT_DONE: u8 = 1;
-/// A file, an option or the environment is wrong.
+/// A file, an option or the environment is invalid.
 pub(crate) const BAD_INPUT: u8 = 2;
 /// Another process holds the state directory.
 pub(crate) const ALREADY_RUNNING: u8 = 3;
-/// Nobody does.
+/// No process holds the state directory.
 pub(crate) const NOT_RUNNING: u8 = 4;
 
-/// Runs something to its end on this thread. Within [`LocalSet`](tokio::task::LocalSet), for neither an instance nor a
-/// supervisor shares anything with other threads.
-pub(crate) fn block_on<T>(work: impl Future<Output = T>) -> Result<T, String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|e| format!("cannot start the runtime: {e}"))?;
+/// The runtime could not be started.
+#[derive(Debug, thiserror::Error)]
+#[error("cannot start the runtime: {0}")]
+pub(crate) struct RuntimeError(#[from] io::Error);
+
+/// Runs a future to completion on this thread, within a [`LocalSet`](tokio::task::LocalSet): neither an instance nor a
+/// supervisor shares state with other threads.
+pub(crate) fn block_on<T>(work: impl Future<Output = T>) -> Result<T, RuntimeError> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     Ok(tokio::task::LocalSet::new().block_on(&runtime, work))
 }
 
-/// As [`block_on`], with what went wrong in the log and in the code.
-pub(crate) fn run(work: impl Future<Output = Result<(), String>>) -> ExitCode {
-    match block_on(work).and_then(|ended| ended) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            say(format_args!("bellcroft: {why}"));
-            ExitCode::from(BAD_INPUT)
-        }
+/// As [`block_on`]; an error is printed and becomes the exit code [`BAD_INPUT`].
+pub(crate) fn run<E: Display>(work: impl Future<Output = Result<(), E>>) -> ExitCode {
+    match block_on(work) {
+        Ok(Ok(())) => ExitCode::SUCCESS,
+        Ok(Err(error)) => fail(error),
+        Err(error) => fail(error),
     }
 }
+
+fn fail(error: impl Display) -> ExitCode {
+    say(format_args!("bellcroft: {error}"));
+    ExitCode::from(BAD_INPUT)
+}
--- a/crates/agent/src/log.rs
+++ b/crates/agent/src/log.rs
@@ -1,23 +1,41 @@
 //! The log, on standard error: lines for people, or JSON.
 //!
-//! Events carry their level, their target (the part of the program) and fields such as `instance` and `server`. None is on
-//! the ordinary path of a request.
+//! Events carry their level, their target (the part of the program) and fields such as `instance` and `server`. A request
+//! that succeeds logs nothing.
 
 use std::fmt::Display;
 use std::io::{self, Write};
 use std::sync::OnceLock;
-use tracing_subscriber::filter::Targets;
+use tracing_subscriber::filter::{ParseError, Targets};
 use tracing_subscriber::fmt::MakeWriter;
 use tracing_subscriber::layer::SubscriberExt;
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::Layer;
 
-/// Names the format for the instances of a fleet.
+/// The variable of the format, which a fleet sets for its instances.
 pub(crate) const FORMAT_VARIABLE: &str = "BELLCROFT_LOG_FORMAT";
-/// Names the levels for the instances of a fleet.
+/// The variable of the levels, which a fleet sets for its instances.
 pub(crate) const LEVELS_VARIABLE: &str = "BELLCROFT_LOG";
 
-/// What a line looks like.
+/// Why the logger cannot be installed.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum LogSettingsError {
+    /// The variable of the format has an unknown value.
+    #[error("{variable} is {0:?}; text or json was expected", variable = FORMAT_VARIABLE)]
+    Format(String),
+    /// The levels cannot be parsed.
+    #[error(
+        "log levels are {levels:?}: {source}; such as info, or info,bellcroft::discovery=debug, was expected"
+    )]
+    Levels {
+        /// The levels as they were given.
+        levels: String,
+        /// The parser's error.
+        source: ParseError,
+    },
+}
+
+/// The format of a line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, clap::ValueEnum)]
 pub(crate) enum Format {
     /// For people: time, level, part, message, fields.
@@ -28,7 +46,7 @@
 }
 
 impl Format {
-    fn word(self) -> &'static str {
+    fn as_str(self) -> &'static str {
         match self {
             Format::Text => "text",
             Format::Json => "json",
@@ -36,19 +54,18 @@
     }
 }
 
-/// How this process logs; its instances do as it does.
-static CHOSEN: OnceLock<(Format, String)> = OnceLock::new();
+/// Format and levels of this process, which its instances inherit.
+static SETTINGS: OnceLock<(Format, String)> = OnceLock::new();
 
-/// The variables that have an instance log as this process does.
+/// The variables that make an instance log as this process does.
 pub(crate) fn variables() -> Vec<(&'static str, String)> {
-    let of = |(format, levels): &(Format, String)| {
-        vec![(FORMAT_VARIABLE, format.word().to_owned()), (LEVELS_VARIABLE, levels.clone())]
+    let variables = |(format, levels): &(Format, String)| {
+        vec![(FORMAT_VARIABLE, format.as_str().to_owned()), (LEVELS_VARIABLE, levels.clone())]
     };
-    CHOSEN.get().map(of).unwrap_or_default()
+    SETTINGS.get().map(variables).unwrap_or_default()
 }
 
-/// Standard error whose failures are nobody's: a log that cannot be written, on a full disk or to a reader that has gone,
-/// is no reason to end.
+/// Standard error, ignoring write errors: a full disk or a closed pipe must not end the process.
 struct Unfailing;
 
 impl Write for Unfailing {
@@ -70,39 +87,34 @@
     }
 }
 
-/// Begins to log. Levels are such as `info` or `info,bellcroft::discovery=debug`.
+/// Installs the logger. Levels are such as `info` or `info,bellcroft::discovery=debug`.
 ///
 /// # Errors
 ///
-/// Levels that make no sense.
-pub(crate) fn start(format: Option<Format>, levels: Option<String>) -> Result<(), String> {
+/// The format or the levels are invalid.
+pub(crate) fn start(format: Option<Format>, levels: Option<String>) -> Result<(), LogSettingsError> {
     let from = |name: &str| std::env::var(name).ok().filter(|value| !value.is_empty());
     let format = match (format, from(FORMAT_VARIABLE).as_deref()) {
         (Some(format), _) => format,
         (None, None | Some("text")) => Format::Text,
         (None, Some("json")) => Format::Json,
-        (None, Some(other)) => {
-            return Err(format!("{FORMAT_VARIABLE} is {other:?}; text or json was expected"))
-        }
+        (None, Some(other)) => return Err(LogSettingsError::Format(other.to_owned())),
     };
     let levels = levels.or_else(|| from(LEVELS_VARIABLE)).unwrap_or_else(|| "info".to_owned());
-    let filter: Targets = levels.parse().map_err(|e| {
-        format!(
-            "log levels are {levels:?}: {e}; such as info, or info,bellcroft::discovery=debug, was expected"
-        )
-    })?;
+    let filter: Targets =
+        levels.parse().map_err(|source| LogSettingsError::Levels { levels: levels.clone(), source })?;
     let layer = tracing_subscriber::fmt::layer().with_writer(Unfailing).with_ansi(false);
     let layer = match format {
         Format::Text => layer.boxed(),
         Format::Json => layer.json().flatten_event(true).boxed(),
     };
-    // A second start in one process, as tests may have it, keeps the first's.
+    // A second call in one process, as in tests, keeps the first logger.
     let _ = tracing_subscriber::registry().with(layer.with_filter(filter)).try_init();
-    let _ = CHOSEN.set((format, levels));
+    let _ = SETTINGS.set((format, levels));
     Ok(())
 }
 
-/// A last word before there is a log, or of a command: plain, on standard error.
+/// Prints a line without level or time on standard error: errors of commands, and of a start before the logger.
 pub(crate) fn say(line: impl Display) {
     let _ = writeln!(Unfailing, "{line}");
 }
--- a/crates/agent/tests/daemon.rs
+++ b/crates/agent/tests/daemon.rs
@@ -94,7 +94,7 @@
         let line = line.unwrap_or_else(|| panic!("it ended:\n{text}"));
         text.push_str(&line);
         text.push('\n');
-        if let Some((_, address)) = line.split_once("listening on ") {
+        if let Some(address) = log_field(&line, "listening for clients", "address") {
             break address.parse().expect("an address");
         }
     };
@@ -155,7 +155,7 @@
     running.signal("-TERM").await;
     let (code, log) = running.end().await;
     assert_eq!(code, Some(0));
-    assert!(log.contains("totals {"), "{log}");
+    assert!(log.contains("final request totals") && log.contains(" requests={"), "{log}");
     assert_eq!(daemon.file()["phase"], "stopped");
     let (last, code) = daemon.status().await;
     assert_eq!((code, &last["last"]["phase"]), (Some(4), &json!("stopped")));
@@ -313,7 +313,7 @@
         running.signal("-TERM").await;
         let (code, log) = running.end().await;
         assert_eq!(code, Some(0));
-        assert!(log.contains(why) && log.contains("serving goes on"), "{log}");
+        assert!(log.contains(why) && log.contains("start: continuing with a problem"), "{log}");
     }
     assert!(std::fs::read_dir(&foreign)
         .expect("it is there")
--- a/crates/agent/tests/endings.rs
+++ b/crates/agent/tests/endings.rs
@@ -250,6 +250,6 @@
     word.notify_one();
     assert_eq!(client.answer().await.status(), 200);
     assert!(agent.end().await.success());
-    assert_eq!(agent.logged("discovery is at"), 0, "it was read again");
+    assert_eq!(agent.logged("configuration reloaded"), 0, "it was read again");
     assert!(backend.seen.try_recv().is_err(), "sent twice");
 }
--- a/crates/agent/tests/fleet.rs
+++ b/crates/agent/tests/fleet.rs
@@ -233,7 +233,7 @@
         assert_ne!(now["desk-0"], before["desk-0"]);
         assert_eq!((now["desk-1"], now["desk-2"]), (before["desk-1"], before["desk-2"]));
     }
-    assert!(fleet.log().contains("does not end; it is killed"), "{}", fleet.log());
+    assert!(fleet.log().contains("instance did not stop in time, killing it"), "{}", fleet.log());
     let records = traffic.finish().await;
     assert!(fleet.command("stop", &[]).await.status.success());
     assert_clean(&world, &records);
@@ -265,7 +265,8 @@
     let all = instances(&status);
     assert!(all[1]["why"].as_str().is_some_and(|why| why.contains("exit status: 2")), "{}", all[1]);
     assert_eq!((&all[1]["starts"], &all[3]["starts"]), (&3.into(), &3.into()));
-    assert!(fleet.log().contains("desk-3 did not become ready"), "{}", fleet.log());
+    let unusable = "instance unusable, terminating it instance=desk-3 reason=\"did not become ready\"";
+    assert!(fleet.log().contains(unusable), "{}", fleet.log());
     let pids: HashSet<String> = fleet.pids().await.into_keys().collect();
     assert_eq!(pids, HashSet::from(["desk-0".to_owned(), "desk-2".to_owned()]));
     // The file is mended: a restart asks for it once more.
--- a/crates/agent/tests/log.rs
+++ b/crates/agent/tests/log.rs
@@ -22,7 +22,7 @@
     let mut log = BufReader::new(child.stderr.take().expect("its log")).lines();
     let mut lines = Vec::new();
     while let Some(line) = soon("a line", log.next_line()).await.expect("a log") {
-        let listening = line.contains("listening on");
+        let listening = line.contains("listening for clients");
         lines.push(line);
         if listening {
             if rude {
@@ -76,7 +76,7 @@
 #[tokio::test]
 async fn levels_are_chosen_by_part_and_bad_ones_are_refused() {
     let (_, quiet) = lines(&["run", "--log-level", "info,bellcroft::discovery=off"], &[], false).await;
-    assert!(quiet.iter().any(|l| l.contains("listening on")), "{quiet:?}");
+    assert!(quiet.iter().any(|l| l.contains("listening for clients")), "{quiet:?}");
     assert!(!quiet.iter().any(|l| l.contains("left out") || l.contains("server ")), "{quiet:?}");
     let (code, refused) = lines(&["run", "--log-level", "bellcroft=loud"], &[], false).await;
     assert_eq!(code, Some(2));
--- a/crates/agent/tests/operations.rs
+++ b/crates/agent/tests/operations.rs
@@ -290,8 +290,9 @@
         old.term().await;
         assert!(old.end().await.success());
         some_more(served.load(Ordering::SeqCst)).await;
-        assert_eq!(new.logged("half of all places"), 1);
-        assert_eq!(new.logged("all places are here"), 1, "the whole is its own once the old one has ended");
+        assert_eq!(new.logged("handover: connection limits changed"), 2);
+        assert_eq!(new.logged("role=Successor"), 1);
+        assert_eq!(new.logged("role=Standalone"), 1, "it has the full limits once the old one has exited");
         old = new;
     }
     stop.store(true, Ordering::SeqCst);
@@ -325,7 +326,7 @@
     }
     new.child.kill().await.expect("it is ours");
     soon("the end is known", async {
-        while old.logged("all places are here") == 0 {
+        while old.logged("role=Standalone") == 0 {
             tokio::time::sleep(std::time::Duration::from_millis(1)).await;
         }
     })
@@ -335,7 +336,7 @@
     assert!(old.end().await.success());
     // The address and the meeting place are free again.
     let mut next = start(config).await;
-    assert_eq!(next.logged("half of all places"), 0);
+    assert_eq!(next.logged("handover: connection limits changed"), 0);
     assert_eq!(next.get("/read").await.status(), 200);
     next.term().await;
     assert!(next.end().await.success());
--- a/crates/agent/tests/service.rs
+++ b/crates/agent/tests/service.rs
@@ -201,7 +201,7 @@
         agent.replace(&bad.to_string());
         agent.hang_up().await;
         soon("a refusal", async {
-            while agent.logged("all stays as it was") < refused {
+            while agent.logged("configuration reload rejected") < refused {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         })
@@ -231,10 +231,10 @@
         loop {
             log.read_buf(&mut text).await.expect("a log");
             let line = String::from_utf8_lossy(&text);
-            if let Some((_, address)) =
-                line.trim_end().split_once("listening on ").filter(|_| line.contains('\n'))
-            {
-                return address.lines().next().and_then(|a| a.parse().ok()).expect("an address");
+            let complete = line.lines().filter(|_| line.contains('\n'));
+            let mut addresses = complete.filter_map(|l| log_field(l, "listening for clients", "address"));
+            if let Some(address) = addresses.next() {
+                return address.parse().expect("an address");
             }
         }
     })
--- a/crates/agent/tests/shutdown.rs
+++ b/crates/agent/tests/shutdown.rs
@@ -220,7 +220,7 @@
     assert_eq!(client.answer().await.status(), 504);
     assert!(agent.end().await.success());
     soon("the log", async {
-        while agent.logged("all is answered") == 0 {
+        while agent.logged("graceful shutdown: all requests answered") == 0 {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
     })
@@ -230,6 +230,6 @@
         let found = log.iter().filter(|line| line.contains(event) && line.contains(&id)).count();
         assert_eq!(found, 1, "{event}: {log:#?}");
     }
-    assert_eq!(agent.logged("told to end"), 1);
+    assert_eq!(agent.logged("graceful shutdown: started"), 1);
     assert_eq!(agent.logged("violation"), 0);
 }
--- a/crates/agent/tests/telemetry.rs
+++ b/crates/agent/tests/telemetry.rs
@@ -260,7 +260,7 @@
     agent.term().await;
     assert!(agent.end().await.success());
     soon("the log's end", async {
-        while agent.logged("samples were left at the end") == 0 {
+        while agent.logged("remote write: samples dropped at shutdown") == 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     })
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -69,14 +69,14 @@
         let restart = top.section("restart");
         policy.restart = Restart {
             first: restart.time("first", least..=hour).unwrap_or(standard.restart.first),
-            most: restart.time("most", least..=hour).unwrap_or(standard.restart.most),
+            max: restart.time("most", least..=hour).unwrap_or(standard.restart.max),
             jitter: restart.share("jitter").unwrap_or(standard.restart.jitter),
             limit: restart.count("limit", 1..=1000).map_or(standard.restart.limit, |n| n as u32),
             forgive_after: restart
                 .time("forgive_after", least..=hour)
                 .unwrap_or(standard.restart.forgive_after),
         };
-        if policy.restart.most < policy.restart.first {
+        if policy.restart.max < policy.restart.first {
             restart.fault("most", "is shorter than restart.first; it must be as long at least");
         }
         let mut members = Vec::new();
--- /dev/null
+++ b/crates/supervisor/src/machine.rs
@@ -0,0 +1,350 @@
+//! The state machine: from events to actions.
+
+use crate::actions::{Action, Refusal, Report, RollError};
+use crate::events::{Command, Event};
+use crate::policy::Policy;
+use crate::roll::Roll;
+use crate::states::{InstanceId, Phase, ReleaseId, Time};
+use std::time::Duration;
+
+#[derive(Debug, Clone)]
+struct Instance {
+    phase: Phase,
+    release: ReleaseId,
+    /// Deaths in a row, for the back-off before the next start.
+    deaths: u32,
+    /// All starts, for the status.
+    starts: u64,
+}
+
+/// Decides for one fleet.
+pub struct Supervisor {
+    policy: Policy,
+    instances: Vec<Instance>,
+    random: fastrand::Rng,
+    /// The earliest start of any process.
+    next_start: Time,
+    roll: Option<Roll>,
+    stopping: bool,
+    finished: bool,
+}
+
+impl Supervisor {
+    /// A supervisor of this many instances, none of which is known to run; they start one after the other from `now` on.
+    pub fn new(policy: Policy, instances: usize, seed: u64, now: Time) -> Self {
+        let instance = Instance {
+            phase: Phase::Waiting { until: now },
+            release: ReleaseId::default(),
+            deaths: 0,
+            starts: 0,
+        };
+        Supervisor {
+            policy,
+            instances: vec![instance; instances],
+            random: fastrand::Rng::with_seed(seed),
+            next_start: now,
+            roll: None,
+            stopping: false,
+            finished: false,
+        }
+    }
+
+    /// What an instance is doing.
+    pub fn phase(&self, id: InstanceId) -> &Phase {
+        &self.instances[id.0].phase
+    }
+
+    /// Starts of an instance by this supervisor.
+    pub fn starts(&self, id: InstanceId) -> u64 {
+        self.instances[id.0].starts
+    }
+
+    /// The program that an instance runs, or will.
+    pub fn release(&self, id: InstanceId) -> ReleaseId {
+        self.instances[id.0].release
+    }
+
+    /// The progress of a roll: instances renewed, and all of them.
+    pub fn roll(&self) -> Option<(usize, usize)> {
+        self.roll.as_ref().map(Roll::progress)
+    }
+
+    /// Whether a stop command has come.
+    pub fn stopping(&self) -> bool {
+        self.stopping
+    }
+
+    /// The time of the next [`Event::Tick`], if no other event comes before.
+    pub fn next_wake(&self) -> Option<Time> {
+        let due = |instance: &Instance| match instance.phase {
+            Phase::Waiting { until } if !self.stopping => Some(until.max(self.next_start)),
+            Phase::Starting { since } => Some(since + self.policy.ready_within),
+            Phase::Proving { since } => Some(since + self.policy.prove_within),
+            Phase::Stopping { since, killed: false } => Some(since + self.policy.stop_within),
+            _ => None,
+        };
+        self.instances.iter().filter_map(due).min()
+    }
+
+    /// Handles an event and appends the actions that follow.
+    pub fn handle(&mut self, now: Time, event: Event, actions: &mut Vec<Action>) {
+        match event {
+            Event::Adopted(id) => {
+                let instance = &mut self.instances[id.0];
+                if matches!(instance.phase, Phase::Waiting { .. }) {
+                    instance.phase = Phase::Starting { since: now };
+                }
+                // More of these may follow: a start now could be a second process of an instance not reported yet.
+                return;
+            }
+            Event::Ready(id) => self.on_ready(now, id, actions),
+            Event::Proved(id) => self.on_proved(now, id),
+            Event::ProofFailed(id, reason) => {
+                if matches!(self.instances[id.0].phase, Phase::Proving { .. }) {
+                    self.on_unusable(now, id, format!("is ready and does not serve: {reason}"), actions);
+                }
+            }
+            Event::StartFailed(id, reason) => {
+                self.on_exited(now, id, format!("cannot be started: {reason}"), actions);
+            }
+            Event::Exited(id, status) => self.on_exited(now, id, status, actions),
+            Event::Command(command) => self.on_command(now, command, actions),
+            Event::Tick => {}
+        }
+        self.advance(now, actions);
+    }
+
+    fn on_command(&mut self, now: Time, command: Command, actions: &mut Vec<Action>) {
+        if self.stopping && command != Command::Stop {
+            return actions.push(Action::Refused(Refusal::FleetStopping));
+        }
+        match command {
+            Command::Reload => self.reload(actions),
+            Command::Roll(release) => self.begin_roll(now, release, actions),
+            Command::Stop => self.stop(now, actions),
+        }
+    }
+
+    fn reload(&self, actions: &mut Vec<Action>) {
+        let reloads = |instance: &Instance| {
+            instance.phase.running() && !matches!(instance.phase, Phase::Stopping { .. })
+        };
+        let running = self.instances.iter().enumerate().filter(|(_, instance)| reloads(instance));
+        actions.extend(running.map(|(index, _)| Action::Reload(InstanceId(index))));
+    }
+
+    fn begin_roll(&mut self, now: Time, release: Option<ReleaseId>, actions: &mut Vec<Action>) {
+        if let Some((renewed, total)) = self.roll() {
+            return actions.push(Action::Refused(Refusal::RollInProgress { renewed, total }));
+        }
+        for (index, instance) in self.instances.iter_mut().enumerate() {
+            // A roll is also the operator's way to retry failed instances.
+            if matches!(instance.phase, Phase::Failed { .. }) {
+                actions.push(Action::Report(InstanceId(index), Report::Retried));
+                instance.deaths = 0;
+                instance.phase = Phase::Waiting { until: now };
+            }
+        }
+        let ids = (0..self.instances.len()).map(InstanceId);
+        self.roll = Some(Roll::new(ids, release));
+    }
+
+    fn stop(&mut self, now: Time, actions: &mut Vec<Action>) {
+        self.stopping = true;
+        self.end_roll(Err(RollError::FleetStopping), actions);
+        for index in 0..self.instances.len() {
+            match self.instances[index].phase {
+                Phase::Waiting { .. } | Phase::Failed { .. } => {
+                    self.instances[index].phase = Phase::Stopped;
+                }
+                _ => self.terminate(now, InstanceId(index), actions),
+            }
+        }
+    }
+
+    fn on_ready(&mut self, now: Time, id: InstanceId, actions: &mut Vec<Action>) {
+        let instance = &mut self.instances[id.0];
+        if matches!(instance.phase, Phase::Starting { .. }) {
+            instance.phase = Phase::Proving { since: now };
+            actions.push(Action::Prove(id));
+        }
+    }
+
+    fn on_proved(&mut self, now: Time, id: InstanceId) {
+        let instance = &mut self.instances[id.0];
+        if matches!(instance.phase, Phase::Proving { .. }) {
+            instance.phase = Phase::Ready { since: now };
+            if let Some(roll) = &mut self.roll {
+                roll.on_serving(id);
+            }
+        }
+    }
+
+    /// An instance runs and does not serve: its process is terminated, and a roll that was renewing it stops.
+    fn on_unusable(&mut self, now: Time, id: InstanceId, reason: String, actions: &mut Vec<Action>) {
+        actions.push(Action::Report(id, Report::Unusable(reason.clone())));
+        self.fail_roll(id, &reason, actions);
+        self.instances[id.0].deaths += 1;
+        self.terminate(now, id, actions);
+    }
+
+    fn terminate(&mut self, now: Time, id: InstanceId, actions: &mut Vec<Action>) {
+        let instance = &mut self.instances[id.0];
+        if instance.phase.running() && !matches!(instance.phase, Phase::Stopping { .. }) {
+            instance.phase = Phase::Stopping { since: now, killed: false };
+            actions.push(Action::Terminate(id));
+        }
+    }
+
+    /// The process has exited, or could not be started.
+    fn on_exited(&mut self, now: Time, id: InstanceId, status: String, actions: &mut Vec<Action>) {
+        let phase = self.instances[id.0].phase.clone();
+        if !phase.running() {
+            return;
+        }
+        if self.stopping {
+            self.instances[id.0].phase = Phase::Stopped;
+            return;
+        }
+        let expected = matches!(phase, Phase::Stopping { .. });
+        if expected && self.roll.as_mut().is_some_and(|roll| roll.on_exited(id)) {
+            return self.renew(now, id);
+        }
+        if !expected {
+            self.count_death(now, id, &phase, &status, actions);
+        }
+        self.back_off(now, id, status, actions);
+    }
+
+    /// Starts the new process of an instance that a roll renews.
+    fn renew(&mut self, now: Time, id: InstanceId) {
+        let release = self.roll.as_ref().and_then(Roll::release);
+        let instance = &mut self.instances[id.0];
+        instance.release = release.unwrap_or(instance.release);
+        instance.deaths = 0;
+        instance.phase = Phase::Waiting { until: now };
+    }
+
+    fn count_death(
+        &mut self,
+        now: Time,
+        id: InstanceId,
+        phase: &Phase,
+        status: &str,
+        actions: &mut Vec<Action>,
+    ) {
+        self.fail_roll(id, status, actions);
+        let forgive_after = self.policy.restart.forgive_after;
+        let instance = &mut self.instances[id.0];
+        if matches!(phase, Phase::Ready { since } if now.saturating_sub(*since) >= forgive_after) {
+            instance.deaths = 0;
+        }
+        instance.deaths += 1;
+        actions.push(Action::Report(id, Report::Died(status.to_owned())));
+    }
+
+    /// Schedules the next start, or gives up after too many deaths in a row.
+    fn back_off(&mut self, now: Time, id: InstanceId, status: String, actions: &mut Vec<Action>) {
+        let instance = &mut self.instances[id.0];
+        if instance.deaths > self.policy.restart.limit {
+            actions.push(Action::Report(id, Report::Failed { deaths: instance.deaths }));
+            instance.phase = Phase::Failed { reason: status };
+            return;
+        }
+        // Zero deaths: its roll ended while it was stopping, which is no fault of its own.
+        let back_off = match instance.deaths {
+            0 => Duration::ZERO,
+            deaths => self.policy.restart.back_off(deaths, self.random.f64()),
+        };
+        instance.phase = Phase::Waiting { until: now + back_off };
+    }
+
+    /// If the roll was renewing this instance, the roll stops and the instance returns to its previous program.
+    fn fail_roll(&mut self, id: InstanceId, reason: &str, actions: &mut Vec<Action>) {
+        let previous = self.roll.as_ref().and_then(|roll| roll.previous_release(id));
+        let Some(previous) = previous else { return };
+        self.instances[id.0].release = previous;
+        self.end_roll(Err(RollError::Instance { id, reason: reason.to_owned() }), actions);
+    }
+
+    fn end_roll(&mut self, result: Result<(), RollError>, actions: &mut Vec<Action>) {
+        if self.roll.take().is_some() {
+            actions.push(Action::RollEnded(result));
+        }
+    }
+
+    /// Does what is due at `now`.
+    fn advance(&mut self, now: Time, actions: &mut Vec<Action>) {
+        for index in 0..self.instances.len() {
+            self.check_timeout(now, InstanceId(index), actions);
+        }
+        self.continue_roll(now, actions);
+        self.start_next(now, actions);
+        let stopped = |instance: &Instance| matches!(instance.phase, Phase::Stopped);
+        if self.stopping && !self.finished && self.instances.iter().all(stopped) {
+            self.finished = true;
+            actions.push(Action::Finished);
+        }
+    }
+
+    fn check_timeout(&mut self, now: Time, id: InstanceId, actions: &mut Vec<Action>) {
+        match self.instances[id.0].phase {
+            Phase::Starting { since } if now >= since + self.policy.ready_within => {
+                self.on_unusable(now, id, "did not become ready".into(), actions);
+            }
+            Phase::Proving { since } if now >= since + self.policy.prove_within => {
+                self.on_unusable(now, id, "is ready and was not proved to serve".into(), actions);
+            }
+            Phase::Stopping { since, killed: false } if now >= since + self.policy.stop_within => {
+                self.instances[id.0].phase = Phase::Stopping { since, killed: true };
+                actions.push(Action::Report(id, Report::Killed));
+                actions.push(Action::Kill(id));
+            }
+            _ => {}
+        }
+    }
+
+    fn continue_roll(&mut self, now: Time, actions: &mut Vec<Action>) {
+        while let Some(roll) = &mut self.roll {
+            if roll.is_complete() {
+                return self.end_roll(Ok(()), actions);
+            }
+            // Instances that are down for another reason count towards the limit too.
+            let down = |i: &Instance| !matches!(i.phase, Phase::Ready { .. } | Phase::Failed { .. });
+            let down = self.instances.iter().filter(|i| down(i)).count();
+            if down >= self.policy.roll_at_once {
+                return;
+            }
+            let Some(id) = roll.next() else { return };
+            let instance = &self.instances[id.0];
+            match instance.phase {
+                Phase::Ready { .. } => {
+                    roll.start_renewal(id, instance.release);
+                    self.terminate(now, id, actions);
+                }
+                // A failed instance is not renewed.
+                Phase::Failed { .. } => roll.skip(),
+                _ => return,
+            }
+        }
+    }
+
+    /// Starts instances that are due, one at a time, the longest waiting first.
+    fn start_next(&mut self, now: Time, actions: &mut Vec<Action>) {
+        if self.stopping {
+            return;
+        }
+        while now >= self.next_start {
+            let due = |(index, i): (usize, &Instance)| match i.phase {
+                Phase::Waiting { until } if until <= now => Some((until, index)),
+                _ => None,
+            };
+            let Some((_, index)) = self.instances.iter().enumerate().filter_map(due).min() else { return };
+            let instance = &mut self.instances[index];
+            instance.phase = Phase::Starting { since: now };
+            instance.starts += 1;
+            actions.push(Action::Start(InstanceId(index), instance.release));
+            self.next_start = now + self.policy.start_every;
+        }
+    }
+}
--- a/crates/supervisor/src/policy.rs
+++ b/crates/supervisor/src/policy.rs
@@ -1,19 +1,21 @@
+//! The policy of a fleet: intervals, time-outs and back-off.
+
 use std::time::Duration;
 
-/// How a fleet is kept.
+/// How a fleet's instances are started, stopped and restarted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Policy {
     /// Starts are at least this far apart.
     pub start_every: Duration,
-    /// An instance that is not ready this long after its start is ended.
+    /// An instance that is not ready this long after its start is terminated.
     pub ready_within: Duration,
-    /// One that has said that it is ready must be proved to serve within this.
+    /// Time for the proof that a ready instance serves; without it the instance is terminated.
     pub prove_within: Duration,
-    /// One that has been told to end and still runs after this is killed.
+    /// A terminated instance that still runs after this is killed.
     pub stop_within: Duration,
-    /// At most this many are down for a roll at a time.
+    /// Instances that may be down for a roll at a time.
     pub roll_at_once: usize,
-    /// What follows a death.
+    /// The back-off after a death.
     pub restart: Restart,
 }
 
@@ -30,18 +32,18 @@
     }
 }
 
-/// How deaths are answered.
+/// The back-off after deaths. A death is an exit that no action caused.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Restart {
-    /// The pause after the first death; it doubles with each further one in a row.
+    /// The back-off after the first death; it doubles with each further one in a row.
     pub first: Duration,
-    /// The longest pause.
-    pub most: Duration,
-    /// The pause is drawn from this share below it to it, so that what died together does not return together.
+    /// The longest back-off.
+    pub max: Duration,
+    /// The share by which a random draw shortens the back-off, so that instances that died together do not restart together.
     pub jitter: f64,
-    /// More deaths in a row than this, and the instance has failed.
+    /// With more deaths in a row than this, the instance has failed.
     pub limit: u32,
-    /// An instance that was ready for this long has no deaths behind it.
+    /// Readiness for this long resets the count of deaths.
     pub forgive_after: Duration,
 }
 
@@ -49,7 +51,7 @@
     fn default() -> Self {
         Restart {
             first: Duration::from_millis(200),
-            most: Duration::from_secs(30),
+            max: Duration::from_secs(30),
             jitter: 0.25,
             limit: 6,
             forgive_after: Duration::from_secs(30),
@@ -58,27 +60,14 @@
 }
 
 impl Restart {
-    /// The pause after this many deaths in a row; `draw` lies in 0 to 1.
-    pub fn pause(&self, deaths: u32, draw: f64) -> Duration {
+    /// The back-off after this many deaths in a row; `draw` lies in 0 to 1.
+    pub fn back_off(&self, deaths: u32, draw: f64) -> Duration {
         let doubled = 2_f64.powi(deaths.saturating_sub(1).min(40) as i32) * self.first.as_secs_f64();
-        let longest = doubled.min(self.most.as_secs_f64());
+        let longest = doubled.min(self.max.as_secs_f64());
         Duration::from_secs_f64(longest * (1.0 - self.jitter.clamp(0.0, 1.0) * draw))
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn pauses_double_up_to_a_bound_and_jitter_only_shortens_them() {
-        let restart = Restart::default();
-        let full: Vec<u128> = (1..=10).map(|n| restart.pause(n, 0.0).as_millis()).collect();
-        assert_eq!(full, [200, 400, 800, 1600, 3200, 6400, 12800, 25600, 30000, 30000]);
-        for deaths in 1..=10 {
-            let least = restart.pause(deaths, 1.0).as_secs_f64() / restart.pause(deaths, 0.0).as_secs_f64();
-            assert!((least - 0.75).abs() < 1e-6, "{least}");
-        }
-        assert_eq!(restart.pause(u32::MAX, 0.0), restart.most);
-    }
-}
+#[path = "../tests/unit/policy.rs"]
+mod tests;
--- /dev/null
+++ b/crates/supervisor/tests/unit/policy.rs
@@ -0,0 +1,15 @@
+//! The back-off of restarts.
+
+use super::*;
+
+#[test]
+fn back_off_doubles_to_max_and_jitter_only_shortens_it() {
+    let restart = Restart::default();
+    let full: Vec<u128> = (1..=10).map(|n| restart.back_off(n, 0.0).as_millis()).collect();
+    assert_eq!(full, [200, 400, 800, 1600, 3200, 6400, 12800, 25600, 30000, 30000]);
+    for deaths in 1..=10 {
+        let ratio = restart.back_off(deaths, 1.0).as_secs_f64() / restart.back_off(deaths, 0.0).as_secs_f64();
+        assert!((ratio - 0.75).abs() < 1e-6, "{ratio}");
+    }
+    assert_eq!(restart.back_off(u32::MAX, 0.0), restart.max);
+}
--- a/crates/testbed/src/faults/cluster.rs
+++ b/crates/testbed/src/faults/cluster.rs
@@ -7,7 +7,7 @@
 use crate::directory::{Directory, Mood};
 use crate::folder::Folder;
 use crate::http::LONG;
-use crate::process::{kill, program, Agent};
+use crate::process::{kill, log_field, program, Agent};
 use crate::server::Plan;
 use crate::world::World;
 use bellcroft_simulation::{LinkFault, Place, What};
@@ -281,11 +281,11 @@
         let (journal, who) = (self.journal.clone(), name(instance));
         tokio::spawn(async move {
             while let Ok(Some(line)) = log.next_line().await {
-                let at = |word: &str| line.split_once(word).and_then(|(_, at)| at.trim().parse().ok());
-                if let Some(front) = at("listening on ") {
+                let at = |message| log_field(&line, message, "address").and_then(|at| at.parse().ok());
+                if let Some(front) = at("listening for clients") {
                     found.send_modify(|found| found.0 = Some(front));
                 }
-                if let Some(peers) = at("peers are heard on ") {
+                if let Some(peers) = at("membership listening") {
                     found.send_modify(|found| found.1 = Some(peers));
                 }
                 // The time and the level are the journal's own or of no interest.
--- a/crates/testbed/src/fleet.rs
+++ b/crates/testbed/src/fleet.rs
@@ -133,7 +133,10 @@
     /// The totals that each process of an instance told in its log at its end.
     pub fn totals(&self, name: &str) -> Vec<Value> {
         let text = std::fs::read_to_string(self.dir(name).join("log")).unwrap_or_default();
-        let told = text.lines().filter_map(|line| line.split_once(": totals ")).map(|(_, told)| told);
+        let told = text
+            .lines()
+            .filter_map(|line| line.split_once("final request totals")?.1.split_once(" requests="))
+            .map(|(_, told)| told);
         told.map(|told| serde_json::from_str(told).expect("totals are JSON")).collect()
     }
 
--- a/crates/testbed/src/process.rs
+++ b/crates/testbed/src/process.rs
@@ -125,7 +125,7 @@
         let mut first = Vec::new();
         let address = loop {
             let line = soon("the agent's start", log.next_line()).await.expect("a log").expect("a line");
-            let address = line.split_once("listening on ").map(|(_, address)| address.trim().parse());
+            let address = log_field(&line, "listening for clients", "address").map(str::parse);
             first.push(line);
             if let Some(address) = address {
                 break address.expect("an address");
@@ -167,8 +167,8 @@
     /// Where operators ask.
     pub fn console(&self) -> SocketAddr {
         let lines = self.log.lock().unwrap_or_else(PoisonError::into_inner);
-        let found = lines.iter().find_map(|line| line.split_once("operators are answered on "));
-        found.expect("it has a second address").1.trim().parse().expect("an address")
+        let found = lines.iter().find_map(|line| log_field(line, "admin console listening", "address"));
+        found.expect("it has a second address").parse().expect("an address")
     }
 
     /// A figure by its name, such as `svc.in_progress`.
@@ -308,3 +308,10 @@
         assert!(matches!(read, Ok(0) | Err(_)), "more bytes came");
     }
 }
+
+/// The value of a field in a log line (text format) with this message; values that hold spaces are cut at the first.
+pub fn log_field<'a>(line: &'a str, message: &str, field: &str) -> Option<&'a str> {
+    let (_, fields) = line.split_once(message)?;
+    let (_, value) = fields.split_once(&format!(" {field}="))?;
+    value.split_whitespace().next()
+}
