--- a/crates/agent-core/src/admin.rs
+++ b/crates/agent-core/src/admin.rs
@@ -1,33 +1,35 @@
-//! One line asks, one answer follows: the calls of the second address, and the figures that it shows.
+//! The admin console: one command line per connection, one reply; and the statistics that `show-stat` returns.
+//!
+//! The console listens on the instance's second address. Its words, replies and figures are an outer form.
 
 use bellcroft_balancer::{Micros, Time};
 use std::fmt;
 use std::fmt::Write;
 
-/// The longest line that is read.
+/// The maximum length of a command line, in bytes, without its end.
 pub const MAX_LINE_BYTES: usize = 256;
-/// Callers at a time. They come every second or two; the rest is room for those that say nothing.
+/// The maximum of concurrent sessions. Health checks connect every second or two; the rest is capacity for idle sessions.
 pub const MAX_SESSIONS: usize = 12;
-/// A caller that has not completed its line by then is let go.
+/// The time for completing the command line; a session without one is closed then.
 pub const REQUEST_TIMEOUT: Micros = Micros(6_000_000);
-/// Prefix of every figure.
-const PREFIX: &str = "svc";
+/// The prefix of every figure.
+const STATS_PREFIX: &str = "svc";
 
-/// What a line asks for.
+/// A command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdminRequest {
-    /// Whether this process takes clients.
+    /// Whether this process accepts clients.
     Ready,
-    /// The figures.
+    /// Show the statistics.
     ShowStat,
-    /// Take it out of service.
+    /// Start draining.
     Drain,
-    /// Put it back.
+    /// End draining.
     Resume,
 }
 
 impl AdminRequest {
-    /// Every call, with its word.
+    /// Every command, with its word.
     pub const ALL: [(&'static str, AdminRequest); 4] = [
         ("ready", AdminRequest::Ready),
         ("show-stat", AdminRequest::ShowStat),
@@ -36,30 +38,30 @@
     ];
 }
 
-/// A line that asks for nothing that there is.
+/// A line that is no command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdminRequestError {
-    /// It says nothing.
+    /// The line is blank.
     Empty,
-    /// It is longer than [`MAX_LINE_BYTES`], or ended before its line did.
+    /// The line is longer than [`MAX_LINE_BYTES`], or the connection ended before it did.
     LineTooLong,
-    /// It is no text.
+    /// The line is not UTF-8.
     NotUtf8,
-    /// No call has this word.
+    /// No command has this word.
     UnknownCommand(String),
-    /// The call takes no further words.
+    /// This command takes no arguments.
     UnexpectedArgument(&'static str),
 }
 
 impl fmt::Display for AdminRequestError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let words = || AdminRequest::ALL.map(|(word, _)| word).join(", ");
+        let commands = || AdminRequest::ALL.map(|(word, _)| word).join(", ");
         match self {
-            AdminRequestError::Empty => write!(f, "empty; {} can be asked", words()),
+            AdminRequestError::Empty => write!(f, "empty; {} can be asked", commands()),
             AdminRequestError::LineTooLong => write!(f, "no line of at most {MAX_LINE_BYTES} bytes"),
             AdminRequestError::NotUtf8 => f.write_str("not text"),
             AdminRequestError::UnknownCommand(word) => {
-                write!(f, "no call {word:?}; {} can be asked", words())
+                write!(f, "no call {word:?}; {} can be asked", commands())
             }
             AdminRequestError::UnexpectedArgument(word) => write!(f, "{word} takes no further words"),
         }
@@ -68,11 +70,11 @@
 
 impl std::error::Error for AdminRequestError {}
 
-/// Reads a line, with or without its end.
+/// Parses a line, with or without its end.
 ///
 /// # Errors
 ///
-/// It asks for nothing that there is.
+/// The line is no command.
 pub fn parse(line: &[u8]) -> Result<AdminRequest, AdminRequestError> {
     let text = std::str::from_utf8(line).map_err(|_| AdminRequestError::NotUtf8)?;
     if text.len() > MAX_LINE_BYTES + "\r\n".len() {
@@ -81,10 +83,10 @@
     let mut words = text.split_ascii_whitespace();
     let first = words.next().ok_or(AdminRequestError::Empty)?;
     let known = AdminRequest::ALL.iter().find(|(word, _)| *word == first);
-    let (word, call) =
+    let (word, request) =
         known.ok_or_else(|| AdminRequestError::UnknownCommand(first.chars().take(32).collect()))?;
     match words.next() {
-        None => Ok(*call),
+        None => Ok(*request),
         Some(_) => Err(AdminRequestError::UnexpectedArgument(word)),
     }
 }
@@ -94,47 +96,47 @@
     format!("{} {says}\n", if good { 200 } else { 400 })
 }
 
-/// Requests of a class that are over.
+/// The finished requests of a class.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ClassStats {
-    /// Its name.
+    /// The name of the class.
     pub name: String,
-    /// Served.
+    /// Requests with a response from a server.
     pub passed: u64,
-    /// Refused.
+    /// Rejected requests.
     pub dropped: u64,
-    /// Failed.
+    /// Failed requests.
     pub bad_gateway: u64,
 }
 
-/// What an instance shows of itself. Counts are of this process, from its start.
+/// The statistics of an instance. Counts are of this process, from its start.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// By class.
+    /// Requests by class.
     pub classes: Vec<ClassStats>,
-    /// Attempts that were written whole to a server.
+    /// Attempts that were completely written to a server.
     pub upstream_tries: u64,
-    /// Requests that are taken and not over.
+    /// Accepted requests that are not finished.
     pub in_progress: u64,
-    /// Servers in the list.
+    /// Listed servers.
     pub known_backends: u64,
-    /// Those of them that get nothing at present, or less than their share.
+    /// Listed servers that get no requests at present, or fewer than their weight.
     pub skipped_backends: u64,
-    /// Files that were taken at SIGHUP.
+    /// Successful reloads.
     pub loads: u64,
-    /// Files that were turned down there.
+    /// Rejected reloads.
     pub load_errors: u64,
 }
 
 impl fmt::Display for Stats {
-    /// A line a figure, in the form `svc.name=value`.
+    /// One figure a line, in the form `svc.name=value`.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for class in &self.classes {
             let name = &class.name;
             for (word, value) in
                 [("passed", class.passed), ("dropped", class.dropped), ("bad_gateway", class.bad_gateway)]
             {
-                writeln!(f, "{PREFIX}.handled.{name}.{word}={value}")?;
+                writeln!(f, "{STATS_PREFIX}.handled.{name}.{word}={value}")?;
             }
         }
         for (word, value) in [
@@ -145,14 +147,14 @@
             ("loads", self.loads),
             ("load_errors", self.load_errors),
         ] {
-            writeln!(f, "{PREFIX}.{word}={value}")?;
+            writeln!(f, "{STATS_PREFIX}.{word}={value}")?;
         }
         Ok(())
     }
 }
 
 impl Stats {
-    /// The whole answer to `show-stat`: its line, the figures, `EOF`.
+    /// The complete reply to `show-stat`: the status line, the figures, `EOF`.
     pub fn reply(&self) -> String {
         let mut text = format_reply(true, "figures");
         // Writing to a string cannot fail.
@@ -161,92 +163,44 @@
     }
 }
 
-/// Who is connected: callers that say nothing must not keep out those that do.
+#[derive(Debug)]
+struct Session {
+    number: u64,
+    opened_at: Time,
+}
+
+/// The open sessions. Idle sessions cannot keep others out: the oldest is evicted if all are taken.
 #[derive(Debug, Default)]
 pub struct AdminSessions {
-    /// By number, since when.
-    waiting: Vec<(u64, Time)>,
+    /// The sessions by age, the oldest first.
+    sessions: Vec<Session>,
     next: u64,
 }
 
 impl AdminSessions {
-    /// One has connected. It gets a number; if all places are taken, the one that has waited longest is let go.
+    /// Opens a session and returns its number, with the number of the session that is evicted for it, if any.
+    #[must_use = "an evicted session has to be closed"]
     pub fn open(&mut self, now: Time) -> (u64, Option<u64>) {
-        let spared = (self.waiting.len() >= MAX_SESSIONS).then(|| self.waiting.remove(0).0);
+        let evicted = (self.sessions.len() >= MAX_SESSIONS).then(|| self.sessions.remove(0).number);
         let number = self.next;
         self.next += 1;
-        self.waiting.push((number, now));
-        (number, spared)
+        self.sessions.push(Session { number, opened_at: now });
+        (number, evicted)
     }
 
-    /// One has been answered, or has left.
+    /// A session has been answered, or its client has disconnected.
     pub fn close(&mut self, number: u64) {
-        self.waiting.retain(|(known, _)| *known != number);
+        self.sessions.retain(|session| session.number != number);
     }
 
-    /// How many there are.
+    /// The number of open sessions.
     pub fn count(&self) -> usize {
-        self.waiting.len()
+        self.sessions.len()
     }
 
-    /// Those whose time is over.
+    /// The sessions whose [`REQUEST_TIMEOUT`] has passed.
     pub fn expired(&self, now: Time) -> Vec<u64> {
-        let over = |(_, since): &&(u64, Time)| now.since(*since) >= REQUEST_TIMEOUT;
-        self.waiting.iter().filter(over).map(|(number, _)| *number).collect()
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn each_call_is_read_in_every_form_of_its_line_and_nothing_else_is() {
-        for (word, call) in AdminRequest::ALL {
-            for line in [word.to_owned(), format!("{word}\n"), format!("  {word} \r\n")] {
-                assert_eq!(parse(line.as_bytes()), Ok(call), "{line:?}");
-            }
-            assert_eq!(
-                parse(format!("{word} now").as_bytes()),
-                Err(AdminRequestError::UnexpectedArgument(word))
-            );
-            assert!(parse(word.to_uppercase().as_bytes()).is_err(), "words are as the page has them");
-        }
-        assert_eq!(parse(b"\n"), Err(AdminRequestError::Empty));
-        assert_eq!(parse(b"GET / HTTP/1.1"), Err(AdminRequestError::UnknownCommand("GET".into())));
-        assert_eq!(parse(&[0xff, 0xfe, b'\n']), Err(AdminRequestError::NotUtf8));
-        assert_eq!(parse(&[b'a'; MAX_LINE_BYTES + 3]), Err(AdminRequestError::LineTooLong));
-        assert!(AdminRequestError::Empty.to_string().contains("ready, show-stat, drain, resume"));
-    }
-
-    #[test]
-    fn figures_stand_line_by_line_and_end_with_their_word() {
-        let class = ClassStats { name: "pay".into(), passed: 812, dropped: 2, bad_gateway: 1 };
-        let figures = Stats { classes: vec![class], in_progress: 14, ..Stats::default() };
-        let text = figures.reply();
-        let lines: Vec<&str> = text.lines().collect();
-        assert!(lines[0].starts_with("200"));
-        assert_eq!(
-            lines[1..4],
-            ["svc.handled.pay.passed=812", "svc.handled.pay.dropped=2", "svc.handled.pay.bad_gateway=1"]
-        );
-        assert!(lines.contains(&"svc.in_progress=14"));
-        assert_eq!((lines.len(), lines.last()), (1 + 3 + 6 + 1, Some(&"EOF")));
-        assert!(text.ends_with("EOF\n"));
-    }
-
-    #[test]
-    fn callers_that_say_nothing_keep_nobody_out() {
-        let mut callers = AdminSessions::default();
-        for n in 0..MAX_SESSIONS as u64 {
-            assert_eq!(callers.open(Time(n)), (n, None));
-        }
-        callers.close(3);
-        assert_eq!(callers.open(Time(100)).1, None, "one has left, there is a place");
-        let (number, spared) = callers.open(Time(101));
-        assert_eq!((number, spared), (MAX_SESSIONS as u64 + 1, Some(0)), "the oldest gives way");
-        assert_eq!(callers.count(), MAX_SESSIONS);
-        let late = Time(REQUEST_TIMEOUT.0 + 2);
-        assert_eq!(callers.expired(late), [1, 2], "the others have some time left");
+        let is_expired = |session: &&Session| now.since(session.opened_at) >= REQUEST_TIMEOUT;
+        self.sessions.iter().filter(is_expired).map(|session| session.number).collect()
     }
 }
--- a/crates/agent-core/src/body_limits.rs
+++ b/crates/agent-core/src/body_limits.rs
@@ -1,37 +1,36 @@
-//! Bodies: what is taken whole, what is passed on as it comes, and how long a side that says nothing is waited for.
+//! Limits of bodies: which are buffered and which streamed, how long a peer may make no progress, and the memory of buffers.
 
 use bellcroft_balancer::{Micros, Time};
 
-/// A body up to this is taken whole before it goes on, and can be tried again; above it, it is passed on.
+/// The maximum of a buffered body, in bytes; a request with one can be retried. Longer bodies are streamed.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
-/// The longest body of either direction.
+/// The maximum of a body in either direction, in bytes.
 pub const MAX_BODY_BYTES: u64 = 32 << 20;
-/// What any body keeps of its begin, however little memory there is.
-const KEPT_LEAST: usize = 4 << 10;
-/// The part of the memory that the begins of all bodies may take together.
-const KEPT_SHARE: usize = 4;
-/// An answer of unknown length that has not come whole this long after its head is passed on: its client may be waiting
-/// for what is there.
-const GATHER_MOST: Micros = Micros(40_000);
-
-/// What is wrong with a body.
+/// The first bytes of a request body that are always buffered, however little memory is free.
+pub const MIN_REPLAY_BYTES: usize = 4 << 10;
+/// The memory of the process is divided by this for the buffers of all request bodies.
+pub const POOL_MEMORY_PARTS: usize = 4;
+/// How long a response of unknown length is buffered, from its head on: its client may be waiting for the first bytes.
+pub const MAX_BUFFERING_TIME: Micros = Micros(40_000);
+
+/// A body exceeds [`MAX_BODY_BYTES`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BodyTooLarge;
 
-/// How a body is taken in.
+/// How a body is forwarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ForwardingMode {
-    /// It is, or may be, short: gather it up to [`MAX_BUFFERED_BODY_BYTES`] and see.
+    /// Buffered up to [`MAX_BUFFERED_BODY_BYTES`]; streamed from there if it is longer.
     Buffered,
-    /// It is long by its own word.
+    /// Streamed from the first byte: its declared length exceeds the buffer.
     Streamed,
 }
 
-/// How a body of this length by its own word is taken in.
+/// How a body of this declared length is forwarded.
 ///
 /// # Errors
 ///
-/// It is longer than anything that is carried.
+/// The declared length exceeds [`MAX_BODY_BYTES`].
 pub fn forwarding_mode(length: Option<u64>) -> Result<ForwardingMode, BodyTooLarge> {
     match length {
         Some(length) if length > MAX_BODY_BYTES => Err(BodyTooLarge),
@@ -40,99 +39,100 @@
     }
 }
 
-/// The begin of an answer's body, as it comes.
+/// The phase in which a response's body is buffered: until it is complete, or has to be streamed.
 #[derive(Debug, Clone, Copy)]
 pub struct BufferingPhase {
     length: Option<u64>,
-    head: Time,
-    gathered: usize,
+    head_at: Time,
+    buffered: usize,
 }
 
 impl BufferingPhase {
-    /// Of an answer whose head came now.
+    /// The phase of a response whose head has just been received.
     pub fn new(length: Option<u64>, now: Time) -> Self {
-        BufferingPhase { length, head: now, gathered: 0 }
+        BufferingPhase { length, head_at: now, buffered: 0 }
     }
 
-    /// So much more has come; true if it is passed on from here, so that it can be no other attempt's any more.
+    /// More bytes have been received, or the deadline has passed. Returns whether the body is streamed from here on; then
+    /// the request can no longer be retried.
     ///
-    /// A long one begins with its first bytes: its time is that of these. What may still be short is kept back for a
-    /// moment, for an answer that turns out spoilt can be asked for again only as long as its client has seen nothing.
+    /// A response with a long declared length is streamed from its first byte. One that may be short is buffered, since a
+    /// request can be retried after a broken response only while its client has received nothing.
+    #[must_use = "a body that is not streamed in time keeps its client waiting"]
     pub fn on_bytes(&mut self, more: usize, now: Time) -> bool {
-        self.gathered += more;
-        let long =
-            self.length.is_some_and(|length| length > MAX_BUFFERED_BODY_BYTES as u64) && self.gathered > 0;
-        long || self.gathered > MAX_BUFFERED_BODY_BYTES || self.waited(now)
+        self.buffered += more;
+        let is_long = self.length.is_some_and(|length| length > MAX_BUFFERED_BODY_BYTES as u64);
+        (is_long && self.buffered > 0) || self.buffered > MAX_BUFFERED_BODY_BYTES || self.is_overdue(now)
     }
 
-    /// Until when the rest is waited for.
+    /// The end of the phase; none for a response with a declared length.
     pub fn deadline(&self) -> Option<Time> {
-        self.length.is_none().then(|| self.head + GATHER_MOST)
+        self.length.is_none().then(|| self.head_at + MAX_BUFFERING_TIME)
     }
 
-    fn waited(&self, now: Time) -> bool {
-        self.gathered > 0 && self.deadline().is_some_and(|until| now >= until)
+    fn is_overdue(&self, now: Time) -> bool {
+        self.buffered > 0 && self.deadline().is_some_and(|until| now >= until)
     }
 }
 
-/// More of a body must come within this: slow it may be, but not silent.
-const GAP_MOST: Micros = Micros(2_000_000);
-/// A body may keep its reader waiting for so long in all, and longer by what it brings: this much a second at least. A
-/// slow line brings some ten times as much; whoever brings less holds a place to hold it.
-const SLOWEST: u64 = 4 << 10;
+/// The longest time without a byte of a body that is being received.
+pub const PROGRESS_TIMEOUT: Micros = Micros(2_000_000);
+/// The rate, in bytes per second, at which a body earns further waiting time beyond its time-out. A slow line is about ten
+/// times faster; a slower peer only occupies a connection.
+const MIN_BYTES_PER_SECOND: u64 = 4 << 10;
 
-/// How long a body that is coming is waited for. Only the time counts in which its reader had room for more: what a slow
-/// server takes is not its client's fault.
+/// The time-out of a body that is being received. Only the time counts in which its reader had capacity for more: a client
+/// is not responsible for a slow server.
 #[derive(Debug, Clone, Copy)]
 pub struct ProgressTimeout {
-    gap: Micros,
-    came: u64,
+    timeout: Micros,
+    received: u64,
     waited: Micros,
-    since: Option<Time>,
+    waiting_since: Option<Time>,
 }
 
 impl Default for ProgressTimeout {
     fn default() -> Self {
-        ProgressTimeout::new(GAP_MOST)
+        ProgressTimeout::new(PROGRESS_TIMEOUT)
     }
 }
 
 impl ProgressTimeout {
-    /// With one who may say nothing for so long.
-    pub fn new(gap: Micros) -> Self {
-        ProgressTimeout { gap, came: 0, waited: Micros::ZERO, since: None }
+    /// A time-out after this time without a byte.
+    pub fn new(timeout: Micros) -> Self {
+        ProgressTimeout { timeout, received: 0, waited: Micros::ZERO, waiting_since: None }
     }
 
-    /// There is room for more, and nothing has come.
+    /// The reader has capacity for more, and no byte is available.
     pub fn on_wait(&mut self, now: Time) {
-        self.since.get_or_insert(now);
+        self.waiting_since.get_or_insert(now);
     }
 
-    /// So much more has come.
+    /// More bytes have been received.
     pub fn on_bytes(&mut self, more: usize, now: Time) {
-        self.came += more as u64;
-        if let Some(since) = self.since.take() {
+        self.received += more as u64;
+        if let Some(since) = self.waiting_since.take() {
             self.waited = Micros(self.waited.0 + now.since(since).0);
         }
     }
 
-    /// When it is over; none while nothing is waited for.
+    /// When the body has timed out; none while its reader does not wait.
     pub fn deadline(&self) -> Option<Time> {
-        let earned = Micros(self.gap.0 + self.came * 1_000_000 / SLOWEST);
-        self.since.map(|since| since + earned.saturating_sub(self.waited).min(self.gap))
+        let earned = Micros(self.timeout.0 + self.received * 1_000_000 / MIN_BYTES_PER_SECOND);
+        self.waiting_since.map(|since| since + earned.saturating_sub(self.waited).min(self.timeout))
     }
 }
 
-/// A body that is being passed on, counted against the longest there may be.
+/// The bytes of a streamed body, counted against [`MAX_BODY_BYTES`].
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ForwardedBytes(u64);
 
 impl ForwardedBytes {
-    /// So much more goes on.
+    /// More bytes are forwarded.
     ///
     /// # Errors
     ///
-    /// That makes it longer than anything that is carried, whatever it said of itself.
+    /// The body exceeds the maximum, whatever its declared length.
     pub fn add(&mut self, more: usize) -> Result<(), BodyTooLarge> {
         self.0 += more as u64;
         if self.0 > MAX_BODY_BYTES {
@@ -141,162 +141,45 @@
         Ok(())
     }
 
-    /// How much has gone on.
+    /// The number of forwarded bytes.
     pub fn total(&self) -> u64 {
         self.0
     }
 }
 
-/// The memory that the begins of request bodies take, all together.
+/// The memory for the buffered beginnings of all request bodies.
 #[derive(Debug)]
 pub struct BufferPool {
-    most: usize,
-    taken: usize,
+    capacity: usize,
+    in_use: usize,
 }
 
 impl BufferPool {
-    /// Of a process with so much memory.
+    /// The pool of a process with this memory, in bytes.
     pub fn new(memory: usize) -> Self {
-        BufferPool { most: memory / KEPT_SHARE, taken: 0 }
+        BufferPool { capacity: memory / POOL_MEMORY_PARTS, in_use: 0 }
     }
 
-    /// How much of its begin the next body may keep. Whoever gets little is passed on sooner and can be tried again less
-    /// long; nobody waits for memory.
+    /// Reserves a buffer for the next body and returns its size. With a small buffer a body is streamed sooner and its
+    /// request cannot be retried as long; no request waits for memory.
+    #[must_use = "the buffer has to be released"]
     pub fn acquire(&mut self) -> usize {
-        let granted = if self.taken + MAX_BUFFERED_BODY_BYTES <= self.most {
+        let granted = if self.in_use + MAX_BUFFERED_BODY_BYTES <= self.capacity {
             MAX_BUFFERED_BODY_BYTES
         } else {
-            KEPT_LEAST
+            MIN_REPLAY_BYTES
         };
-        self.taken += granted;
+        self.in_use += granted;
         granted
     }
 
-    /// A body has let go of what it kept.
+    /// Returns a buffer of this size.
     pub fn release(&mut self, granted: usize) {
-        self.taken = self.taken.saturating_sub(granted);
+        self.in_use = self.in_use.saturating_sub(granted);
     }
 
-    /// What is kept at present.
+    /// The size of all reserved buffers.
     pub fn in_use(&self) -> usize {
-        self.taken
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_body_s_own_word_decides_how_it_is_taken() {
-        assert_eq!(forwarding_mode(None), Ok(ForwardingMode::Buffered));
-        assert_eq!(forwarding_mode(Some(0)), Ok(ForwardingMode::Buffered));
-        assert_eq!(forwarding_mode(Some(MAX_BUFFERED_BODY_BYTES as u64)), Ok(ForwardingMode::Buffered));
-        assert_eq!(forwarding_mode(Some(MAX_BUFFERED_BODY_BYTES as u64 + 1)), Ok(ForwardingMode::Streamed));
-        assert_eq!(forwarding_mode(Some(MAX_BODY_BYTES)), Ok(ForwardingMode::Streamed));
-        assert_eq!(forwarding_mode(Some(MAX_BODY_BYTES + 1)), Err(BodyTooLarge));
-        assert_eq!(forwarding_mode(Some(u64::MAX)), Err(BodyTooLarge));
-    }
-
-    #[test]
-    fn a_long_answer_begins_with_its_first_bytes_and_a_short_one_is_kept_back() {
-        let mut long = BufferingPhase::new(Some(MAX_BUFFERED_BODY_BYTES as u64 + 1), Time(0));
-        assert!(!long.on_bytes(0, Time(u64::MAX)), "a head alone is nothing to pass on");
-        assert!(long.on_bytes(1, Time(1)));
-        let mut short = BufferingPhase::new(Some(MAX_BUFFERED_BODY_BYTES as u64), Time(0));
-        assert!(
-            !short.on_bytes(MAX_BUFFERED_BODY_BYTES, Time(u64::MAX)),
-            "however slow it is, it can be asked for again"
-        );
-    }
-
-    #[test]
-    fn one_of_unknown_length_is_kept_back_for_a_moment() {
-        let mut begin = BufferingPhase::new(None, Time(0));
-        assert!(!begin.on_bytes(1000, GATHER_MOST.before()));
-        assert!(begin.on_bytes(0, Time(GATHER_MOST.0)));
-        let mut nothing = BufferingPhase::new(None, Time(0));
-        assert!(!nothing.on_bytes(0, Time(u64::MAX)), "there is nothing to pass on");
-        let mut quick = BufferingPhase::new(None, Time(0));
-        assert!(!quick.on_bytes(MAX_BUFFERED_BODY_BYTES, Time(1)));
-        assert!(quick.on_bytes(1, Time(1)), "it is long");
-    }
-
-    trait Before {
-        fn before(self) -> Time;
-    }
-
-    impl Before for Micros {
-        fn before(self) -> Time {
-            Time(self.0 - 1)
-        }
-    }
-
-    #[test]
-    fn what_goes_on_without_end_is_cut_off() {
-        let mut passed = ForwardedBytes::default();
-        for _ in 0..MAX_BODY_BYTES / 1024 {
-            assert_eq!(passed.add(1024), Ok(()));
-        }
-        assert_eq!(passed.add(1), Err(BodyTooLarge));
-    }
-
-    #[test]
-    fn a_body_may_be_slow_but_not_silent_and_not_endless() {
-        let mut slow = ProgressTimeout::default();
-        let mut now = Time(0);
-        for _ in 0..1000 {
-            slow.on_wait(now);
-            now = now + Micros(100_000);
-            assert!(slow.deadline().is_some_and(|until| until > now), "64 kB/s are enough");
-            slow.on_bytes(6400, now);
-            assert_eq!(slow.deadline(), None, "its reader has enough");
-            // A server that takes its time is not its client's fault.
-            now = now + Micros(5_000_000);
-        }
-        slow.on_wait(now);
-        assert_eq!(slow.deadline(), Some(now + GAP_MOST));
-        let mut trickle = ProgressTimeout::default();
-        let mut bytes = 0;
-        loop {
-            trickle.on_wait(now);
-            if trickle.deadline().is_none_or(|until| until <= now + Micros(500_000)) {
-                break;
-            }
-            now = now + Micros(500_000);
-            trickle.on_bytes(1, now);
-            bytes += 1;
-        }
-        assert!(bytes <= 4, "a byte now and then holds no place");
-    }
-
-    /// A side that is given more time at once trickles no longer for it.
-    #[test]
-    fn a_trickle_ends_whatever_the_gap() {
-        let gap = Micros(30_000_000);
-        let (mut trickle, mut now, mut bytes) = (ProgressTimeout::new(gap), Time(0), 0);
-        loop {
-            trickle.on_wait(now);
-            let next = now + Micros(1_000_000);
-            if trickle.deadline().is_none_or(|until| until <= next) {
-                break;
-            }
-            now = next;
-            trickle.on_bytes(1, now);
-            bytes += 1;
-        }
-        assert!((25..=30).contains(&bytes), "{bytes}: silent for the gap in all, not each time");
-    }
-
-    /// However many bodies there are, what they keep is bounded by a little each beyond the share.
-    #[test]
-    fn begins_share_the_memory_that_there_is() {
-        let memory = 32 << 20;
-        let mut store = BufferPool::new(memory);
-        let granted: Vec<usize> = (0..500).map(|_| store.acquire()).collect();
-        assert!(store.in_use() <= memory / KEPT_SHARE + 500 * KEPT_LEAST);
-        assert_eq!((granted[0], granted[499]), (MAX_BUFFERED_BODY_BYTES, KEPT_LEAST));
-        granted.into_iter().for_each(|one| store.release(one));
-        assert_eq!((store.in_use(), store.acquire()), (0, MAX_BUFFERED_BODY_BYTES));
+        self.in_use
     }
 }
--- a/crates/agent-core/src/guard.rs
+++ b/crates/agent-core/src/guard.rs
@@ -1,45 +1,44 @@
-//! The one guard that is asked before anything is sent, repeated or closed and before the process ends, and that is told
-//! what was done.
+//! The guard: checks every send, retry, close and exit against the limits, and counts violations.
 //!
-//! Every limit is derived here, from the client's deadline, the time by which a server may be sent anything new, the effect
-//! of the request, and the end of the process; the earliest one binds. What happens against a limit all the same is counted
-//! as a [`Violation`].
+//! All limits are derived here: from the client's deadline, the latest time for a new attempt to a server, the retry safety
+//! of the request, and the shutdown of the process. The earliest one binds. Whatever is done against a limit nevertheless
+//! is counted as a [`Violation`].
 
 use crate::shutdown::ShutdownSchedule;
 use bellcroft_balancer::{DedupScope, Micros, Outcome, RetrySafety, Time};
 
-/// What sockets and clocks may add to a limit before it counts as broken; the platform's own measure.
-const SLACK: Micros = Micros(50_000);
+/// How late a response may be before it counts as a violation: the platform's own allowance for sockets and clocks.
+const ANSWER_SLACK: Micros = Micros(50_000);
 
-/// When an attempt may begin and when it ends.
+/// The time in which an attempt may start, and its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptWindow<T> {
-    /// Its first byte is written by then, or none is.
+    /// The latest time for its first byte; later nothing is written.
     pub start_by: T,
-    /// It ends by then.
+    /// When the attempt ends.
     pub end_by: T,
 }
 
 impl<T: Copy + Ord> AttemptWindow<T> {
-    /// Whether its first byte may be written now. A process that was held up may ask after its end.
+    /// Whether the first byte may be written now. After a stall, `now` may be later than the attempt's end.
     pub fn may_start(&self, now: T) -> bool {
         now <= self.start_by && now <= self.end_by
     }
 }
 
-/// A server as far as repeats are concerned: the groups that it drops repeats with.
+/// The groups of servers that recognise the same repeated requests as a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerGroups {
-    /// Its zone.
+    /// The zone.
     pub zone: u32,
-    /// Its cell.
+    /// The deduplication group, numbered by discovery.
     pub cell: u32,
 }
 
-/// The attempts of one request that may have run, or still may, as far as they bind later ones.
+/// The attempts of one request that may have been executed, or still may be.
 #[derive(Debug, Clone, Default)]
 pub struct AttemptHistory {
-    effect: RetrySafety,
+    retry_safety: RetrySafety,
     attempts: Vec<PriorAttempt>,
 }
 
@@ -51,19 +50,19 @@
 }
 
 impl AttemptHistory {
-    /// Of a request with this effect that has not been sent.
-    pub fn new(effect: RetrySafety) -> Self {
-        AttemptHistory { effect, attempts: Vec::new() }
+    /// The history of a request that has not been sent.
+    pub fn new(retry_safety: RetrySafety) -> Self {
+        AttemptHistory { retry_safety, attempts: Vec::new() }
     }
 
-    /// An attempt goes out.
+    /// An attempt is sent.
     pub fn on_sent(&mut self, number: u32, sent: Time, groups: ServerGroups) {
-        if self.effect != RetrySafety::Idempotent {
+        if self.retry_safety != RetrySafety::Idempotent {
             self.attempts.push(PriorAttempt { number, sent, groups });
         }
     }
 
-    /// An attempt is over. One that never ran binds no later one.
+    /// An attempt has its outcome. One that was never executed does not restrict later ones.
     pub fn on_outcome(&mut self, number: u32, outcome: Outcome) {
         if outcome.never_ran() {
             self.attempts.retain(|attempt| attempt.number != number);
@@ -71,49 +70,49 @@
     }
 }
 
-/// Why nothing is sent.
+/// Why an attempt is not sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendDenied {
-    /// The request could run twice.
+    /// The request may only be executed once, and an earlier attempt may have been.
     MayRunTwice,
-    /// Servers may no longer drop the repeat.
+    /// The time in which servers recognise a repeat is over.
     OutsideDedupWindow,
-    /// The server does not know what the earlier one has run.
+    /// The server does not recognise repeats of a request that an earlier attempt sent to another group.
     OutsideDedupGroup,
-    /// The process ends before there could be an answer.
+    /// The process ends before a response could arrive.
     ProcessEnding,
 }
 
-/// What a client's connection is doing.
+/// The state of a client's connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionState {
-    /// Nothing has come over it yet.
+    /// No byte has been received.
     Unused,
-    /// A request's head is on its way.
+    /// A request's head is being received.
     ReceivingHead,
-    /// Its body is.
+    /// A request's body is being received.
     ReceivingBody,
-    /// A request is complete and has no answer yet.
+    /// A request is complete, and its response is not.
     Pending,
-    /// All that came has its answer.
+    /// All requests have their responses.
     Idle,
 }
 
-/// Something that was done against a limit.
+/// A limit that was broken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
-    /// An answer was decided after its client's time.
+    /// A response was decided after its client's deadline.
     LateAnswer,
-    /// The decisions wanted to send what could have run twice; it was not sent.
+    /// The balancer scheduled an attempt that could have executed a request twice; it was not sent.
     UnsafeRepeat,
-    /// A connection with a complete request was closed without an answer.
+    /// A connection with a complete request was closed without a response.
     ClosedWhilePending,
-    /// The process ended with requests that had no answer.
+    /// The process ended with pending requests.
     EndedWhilePending,
 }
 
 impl Violation {
-    /// All of them, in their order.
+    /// All violations, in the order of their counters.
     pub const ALL: [Violation; 4] = [
         Violation::LateAnswer,
         Violation::UnsafeRepeat,
@@ -121,7 +120,7 @@
         Violation::EndedWhilePending,
     ];
 
-    /// Its name in the status and in the log.
+    /// The name in the status and in the log.
     pub fn name(self) -> &'static str {
         match self {
             Violation::LateAnswer => "late_answer",
@@ -132,7 +131,7 @@
     }
 }
 
-/// The guard of one process.
+/// The guard of one process: running, or shutting down by a [`ShutdownSchedule`].
 #[derive(Debug, Default)]
 pub struct Guard {
     shutdown: Option<ShutdownSchedule>,
@@ -140,32 +139,32 @@
 }
 
 impl Guard {
-    /// The process has been told to end. A second time changes nothing.
+    /// The process shuts down. The first schedule stays.
     pub fn begin_shutdown(&mut self, schedule: ShutdownSchedule) {
         self.shutdown.get_or_insert(schedule);
     }
 
-    /// The times of the shutdown, once it has begun.
+    /// The schedule of the shutdown, once it has begun.
     pub fn shutdown(&self) -> Option<ShutdownSchedule> {
         self.shutdown
     }
 
-    /// When a request has its answer: by its own deadline, and before the process ends.
+    /// When a response is due: by its deadline, and before the process ends.
     pub fn answer_by(&self, deadline: Time) -> Time {
         self.shutdown.map_or(deadline, |shutdown| deadline.min(shutdown.answer_by()))
     }
 
-    /// When an attempt may begin, and when it ends.
+    /// The window of an attempt, limited by the shutdown.
     pub fn window(&self, start_by: Time, end_by: Time) -> AttemptWindow<Time> {
         let end_by = self.answer_by(end_by);
         AttemptWindow { start_by: start_by.min(end_by), end_by }
     }
 
-    /// Whether an attempt may go out to a server of these groups, after what went out before it.
+    /// Checks whether an attempt may be sent to a server of these groups, after the earlier attempts of its request.
     ///
     /// # Errors
     ///
-    /// It must not; what the decisions should have known is counted.
+    /// It must not be sent. Unless the process is ending, this counts as a violation by the balancer.
     pub fn may_send(
         &mut self,
         now: Time,
@@ -175,7 +174,7 @@
         if self.shutdown.is_some_and(|shutdown| now >= shutdown.answer_by()) {
             return Err(SendDenied::ProcessEnding);
         }
-        let denial = |prior| may_repeat(now, history.effect, prior, groups).err();
+        let denial = |prior| may_repeat(now, history.retry_safety, prior, groups).err();
         let denied = history.attempts.iter().find_map(denial);
         match denied {
             None => Ok(()),
@@ -186,7 +185,7 @@
         }
     }
 
-    /// Whether a client's connection may be closed as it is, with nothing lost.
+    /// Whether a client's connection can be closed without losing a request.
     pub fn may_close(state: ConnectionState) -> bool {
         match state {
             ConnectionState::Unused | ConnectionState::Idle => true,
@@ -196,36 +195,36 @@
         }
     }
 
-    /// Whether the process must end now, whatever still hangs.
+    /// Whether the process must exit now, even with pending requests.
     pub fn must_end(&self, now: Time) -> bool {
         self.shutdown.is_some_and(|shutdown| now >= shutdown.exit_by())
     }
 
-    /// Whether requests that have no answer are given up now.
+    /// Whether all pending requests must get their final responses now.
     pub fn must_answer_all(&self, now: Time) -> bool {
         self.shutdown.is_some_and(|shutdown| now >= shutdown.answer_by())
     }
 
-    /// A request has its answer, and its client waits until `client_deadline`.
+    /// A response has been decided; its client waits until `client_deadline`.
     pub fn on_answer(&mut self, now: Time, client_deadline: Time) {
-        if now > client_deadline + SLACK {
+        if now > client_deadline + ANSWER_SLACK {
             self.record(Violation::LateAnswer);
         }
     }
 
-    /// This process closes a client's connection in this state.
+    /// A client's connection in this state is closed by this process.
     pub fn on_close(&mut self, state: ConnectionState) {
         if state == ConnectionState::Pending {
             self.record(Violation::ClosedWhilePending);
         }
     }
 
-    /// The process ends with so many requests that have no answer.
+    /// The process exits with this number of pending requests.
     pub fn on_end(&mut self, pending: usize) {
         self.violations[Violation::EndedWhilePending as usize] += pending as u64;
     }
 
-    /// What was done against the limits so far.
+    /// The counts of violations so far.
     pub fn violations(&self) -> impl Iterator<Item = (Violation, u64)> + '_ {
         Violation::ALL.into_iter().map(|violation| (violation, self.violations[violation as usize]))
     }
@@ -235,21 +234,21 @@
     }
 }
 
-/// Whether a request may go out though an earlier attempt of it may have run.
+/// Whether a request may be sent though an earlier attempt may have been executed.
 fn may_repeat(
     now: Time,
-    effect: RetrySafety,
+    retry_safety: RetrySafety,
     prior: &PriorAttempt,
     groups: ServerGroups,
 ) -> Result<(), SendDenied> {
-    match effect {
+    match retry_safety {
         RetrySafety::Idempotent => Ok(()),
         RetrySafety::AtMostOnce => Err(SendDenied::MayRunTwice),
         RetrySafety::Deduplicated { window, .. } if now > prior.sent + window => {
             Err(SendDenied::OutsideDedupWindow)
         }
-        RetrySafety::Deduplicated { scope: group, .. } => {
-            let shared = match group {
+        RetrySafety::Deduplicated { scope, .. } => {
+            let shared = match scope {
                 DedupScope::All => true,
                 DedupScope::Zone => groups.zone == prior.groups.zone,
                 DedupScope::Group => groups.cell == prior.groups.cell,
--- a/crates/agent-core/src/handover.rs
+++ b/crates/agent-core/src/handover.rs
@@ -1,49 +1,52 @@
-//! Two processes of one agent: the old one that serves, and the new one that is to take its place. Together they may hold
-//! no more than one.
+//! A rolling restart: the old process of an agent, which serves, and its successor. Together they stay within the limits of
+//! one process.
+//!
+//! A process starts as [`HandoverRole::Standalone`]. A process that asks for its listening sockets makes it the predecessor;
+//! receiving another process's sockets makes it the successor, until that process has exited.
 
-/// Which of the two this process is.
+/// The role of this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum HandoverRole {
-    /// There is no other.
+    /// There is no other process.
     #[default]
     Standalone,
-    /// Another one has asked for the clients' address and lives.
+    /// A successor has asked for the listening sockets and runs.
     Predecessor,
-    /// It took the clients' address from another one that still lives.
+    /// It has the listening sockets of a predecessor that still runs.
     Successor,
 }
 
-/// What has become known of the other process.
+/// A change of the other process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HandoverEvent {
-    /// It has asked for the clients' address.
+    /// It has asked for the listening sockets.
     ListenerRequested,
-    /// It has given the clients' address.
+    /// It has transferred the listening sockets.
     ListenerTransferred,
-    /// It has ended, or this one's tie to it has.
+    /// It has exited, or the connection to it has ended.
     SuccessorExited,
 }
 
-/// A process's part in a succession.
+/// The state of this process in a handover.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Handover {
     role: HandoverRole,
-    /// Processes that have asked and live: one that fails may be followed by another before its end is known.
-    asked: usize,
+    /// The running processes that have asked: the next may ask before the exit of one that failed is noticed.
+    successors: usize,
 }
 
 impl Handover {
-    /// Which of the two it is.
+    /// The role of this process.
     pub fn role(&self) -> HandoverRole {
         self.role
     }
 
-    /// Takes in what has become known; true if this process's share has changed.
-    pub fn handle_event(&mut self, news: HandoverEvent) -> bool {
-        let before = self.role;
-        match news {
+    /// Takes in a change; returns whether the role, and with it the connection limit, has changed.
+    pub fn handle_event(&mut self, event: HandoverEvent) -> bool {
+        let former = self.role;
+        match event {
             HandoverEvent::ListenerRequested => {
-                self.asked += 1;
+                self.successors += 1;
                 self.role = HandoverRole::Predecessor;
             }
             HandoverEvent::ListenerTransferred => self.role = HandoverRole::Successor,
@@ -51,75 +54,26 @@
                 self.role = HandoverRole::Standalone
             }
             HandoverEvent::SuccessorExited => {
-                self.asked = self.asked.saturating_sub(1);
-                if self.asked == 0 {
+                self.successors = self.successors.saturating_sub(1);
+                if self.successors == 0 {
                     self.role = HandoverRole::Standalone;
                 }
             }
         }
-        self.role != before
+        self.role != former
     }
 
-    /// Whether connections that come from now on have somebody else to take them: a process that was asked for its
-    /// address and told to end must not wait for them, and one whose successor has failed must.
+    /// Whether a successor accepts new connections. A process that shuts down goes on accepting only without one.
     pub fn is_replaced(&self) -> bool {
         self.role == HandoverRole::Predecessor
     }
 
-    /// How much of a limit that holds for both together this process may use. Halves: the old one has what it has, and
-    /// the new one must be able to take over at any moment.
-    pub fn connection_limit(&self, whole: usize) -> usize {
+    /// The part of a limit of both processes that this one may use. Half each: the predecessor keeps its connections, and
+    /// the successor has to be able to take over at any time.
+    pub fn connection_limit(&self, limit: usize) -> usize {
         match self.role {
-            HandoverRole::Standalone => whole,
-            HandoverRole::Predecessor | HandoverRole::Successor => whole / 2,
+            HandoverRole::Standalone => limit,
+            HandoverRole::Predecessor | HandoverRole::Successor => limit / 2,
         }
     }
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn both_together_hold_no_more_than_one() {
-        let (mut old, mut new) = (Handover::default(), Handover::default());
-        assert_eq!(old.connection_limit(385), 385);
-        assert!(
-            old.handle_event(HandoverEvent::ListenerRequested)
-                && new.handle_event(HandoverEvent::ListenerTransferred)
-        );
-        assert!(old.is_replaced() && !new.is_replaced());
-        assert!(old.connection_limit(385) + new.connection_limit(385) <= 385);
-        assert!(new.handle_event(HandoverEvent::SuccessorExited));
-        assert_eq!((new.connection_limit(385), new.role()), (385, HandoverRole::Standalone));
-    }
-
-    #[test]
-    fn a_successor_that_fails_leaves_all_as_it_was() {
-        let mut old = Handover::default();
-        old.handle_event(HandoverEvent::ListenerRequested);
-        assert!(old.handle_event(HandoverEvent::SuccessorExited));
-        assert!(!old.is_replaced(), "its clients have nobody else");
-        assert_eq!(old.connection_limit(10), 10);
-    }
-
-    #[test]
-    fn one_that_fails_after_the_next_has_asked_takes_nothing_from_it() {
-        let mut old = Handover::default();
-        old.handle_event(HandoverEvent::ListenerRequested);
-        assert!(!old.handle_event(HandoverEvent::ListenerRequested));
-        assert!(!old.handle_event(HandoverEvent::SuccessorExited));
-        assert!(old.is_replaced());
-        assert!(old.handle_event(HandoverEvent::SuccessorExited));
-        assert_eq!(old.role(), HandoverRole::Standalone);
-    }
-
-    /// A successor is the next one's predecessor, also while its own still lives.
-    #[test]
-    fn a_chain_of_three() {
-        let mut middle = Handover::default();
-        middle.handle_event(HandoverEvent::ListenerTransferred);
-        middle.handle_event(HandoverEvent::ListenerRequested);
-        assert!(middle.is_replaced());
-    }
-}
--- a/crates/agent-core/src/lib.rs
+++ b/crates/agent-core/src/lib.rs
@@ -1,9 +1,17 @@
-//! What an instance that serves must decide for the people who run it, without I/O: what a line over its second address
-//! asks ([`admin`]), what it may still do while it is being taken out of service or replaced ([`service`]) and until when
-//! ([`shutdown`]), what may be sent, repeated and closed at all ([`guard`]), how two processes share one agent's limits
-//! ([`handover`]), by how much its wall clock is off ([`clock_skew`]), what it does after it stood still ([`stall`]), when a large body is passed on ([`body_limits`], [`chunks`]), which rules bind while new settings take over ([`reconfigure`]).
+//! The agent's state machines without I/O.
 //!
-//! Nothing here owns a clock, a socket or a file. Times are [`bellcroft_balancer::Time`], on whatever clock the caller has.
+//! - [`guard`]: what may be sent, retried and closed, and the count of violations.
+//! - [`shutdown`]: the times of a graceful shutdown.
+//! - [`service`]: serving, draining and shutting down.
+//! - [`handover`]: the limits of two processes during a rolling restart.
+//! - [`stall`]: the deferral of decisions after the process stood still.
+//! - [`clock_skew`]: the difference between the wall clocks of this machine and the platform.
+//! - [`body_limits`] and [`chunks`]: buffering, time-outs and framing of bodies.
+//! - [`reconfigure`]: the rules that apply while new settings take over.
+//! - [`admin`]: commands and statistics of the admin console.
+//!
+//! Nothing here owns a clock, a socket or a file. Times are [`bellcroft_balancer::Time`], on the caller's clock; durations
+//! are [`bellcroft_balancer::Micros`].
 
 pub mod admin;
 pub mod body_limits;
--- a/crates/agent-core/src/shutdown.rs
+++ b/crates/agent-core/src/shutdown.rs
@@ -1,22 +1,22 @@
-//! What a process that was told to end may still do, and until when.
+//! The times of a graceful shutdown.
 //!
 //! The platform sends SIGTERM, and SIGKILL no sooner than the longest deadline (3 s at most) and 0.7 s more after it. All
-//! times here are reckoned from the moment in which the process read the signal, which may be [`MAX_STALL`] after it was
-//! sent; an answer that is due may be written [`MAX_STALL`] after it was due.
+//! times here count from the moment at which the process read the signal, which may be [`MAX_STALL`] after it was sent; a
+//! response may be written [`MAX_STALL`] after it was due.
 
 use bellcroft_balancer::{Micros, Time};
 
-/// The platform waits for no deadline that is longer.
+/// The longest request deadline that the platform waits for.
 pub const MAX_PLATFORM_DEADLINE: Micros = Micros(3_000_000);
-/// What it waits beyond the longest deadline.
+/// The time that the platform waits beyond the longest deadline.
 pub const PLATFORM_KILL_MARGIN: Micros = Micros(700_000);
-/// The longest that a process may be held up between reading its clock and writing.
+/// The longest pause of this process between reading its clock and writing.
 pub const MAX_STALL: Micros = Micros(150_000);
-/// For writing what has been decided to all clients.
+/// The time for writing the responses to all clients.
 pub const WRITE_RESERVE: Micros = Micros(50_000);
-/// New connections go on coming for 0.4 s after SIGTERM; each is still taken.
+/// The time in which connections are accepted: new ones arrive for 0.4 s after SIGTERM.
 pub const ACCEPT_TIMEOUT: Micros = Micros(650_000);
-/// Between the last answers and the exit at the latest: whatever comes meanwhile is refused at once.
+/// The time between the last responses and the exit, in which requests are rejected at once.
 pub const EXIT_RESERVE: Micros = Micros(100_000);
 
 /// The times of one shutdown.
@@ -27,8 +27,8 @@
 }
 
 impl ShutdownSchedule {
-    /// Told to end at `signalled`, with `longest_deadline` in the settings that hold then. An operator may want it sooner:
-    /// `operator_limit` after no more connections come.
+    /// The schedule after a signal at `signalled`, with the longest deadline of the settings at that time. An operator may
+    /// shorten the shutdown: `operator_limit` counts from the end of accepting.
     pub fn new(signalled: Time, longest_deadline: Micros, operator_limit: Option<Micros>) -> Self {
         let killed_at = signalled + longest_deadline.min(MAX_PLATFORM_DEADLINE) + PLATFORM_KILL_MARGIN;
         let platform = killed_at - MAX_STALL - MAX_STALL - WRITE_RESERVE;
@@ -36,22 +36,22 @@
         ShutdownSchedule { signalled, answer_by: platform.min(operator) }
     }
 
-    /// When it was told.
+    /// When the signal was read.
     pub fn signalled(&self) -> Time {
         self.signalled
     }
 
-    /// Connections that come by then are taken.
+    /// The end of accepting connections.
     pub fn accept_until(&self) -> Time {
         (self.signalled + ACCEPT_TIMEOUT).min(self.exit_by())
     }
 
-    /// All requests that were taken have their answer by then; those that come later are refused at once.
+    /// When the responses to all accepted requests are due; later requests are rejected at once.
     pub fn answer_by(&self) -> Time {
         self.answer_by
     }
 
-    /// The process ends by then.
+    /// When the process exits at the latest.
     pub fn exit_by(&self) -> Time {
         self.answer_by + EXIT_RESERVE
     }
--- a/crates/agent-core/tests/clock_skew.rs
+++ b/crates/agent-core/tests/clock_skew.rs
@@ -1,6 +1,6 @@
 //! Starts of servers by a clock that was stepped before the process started.
 
-use bellcroft_agent_core::clock_skew::ClockSkew;
+use bellcroft_agent_core::clock_skew::{ClockSkew, StartRecency};
 use bellcroft_balancer::{Micros, Time};
 
 const SECOND: Micros = Micros(1_000_000);
@@ -12,18 +12,18 @@
     (platform, Time::from_ms(1e9 + (seconds + ahead) * 1e3))
 }
 
-/// How old a server is by the process's clock, whose start was heard of when it was so old, and which is looked at later.
+/// The age of a server by the process's clock, in seconds.
 fn age_later(skew: &ClockSkew, started: Time, now: Time) -> f64 {
     now.since(skew.local(started)).ms() / 1e3
 }
 
 #[test]
-fn a_fresh_server_is_fresh_whatever_the_step_before_the_start() {
+fn fresh_server_stays_fresh_after_a_clock_step() {
     for ahead in [0.0, 3.0, -3.0, 45.0, -45.0, HOUR, -HOUR] {
         let mut skew = ClockSkew::default();
         let (started, _) = clocks(100.0, ahead);
         let (_, heard) = clocks(100.2, ahead);
-        skew.on_start(heard, started, true);
+        skew.on_start(heard, started, StartRecency::Recent);
         let (_, later) = clocks(105.2, ahead);
         let age = age_later(&skew, started, later);
         // What a small step may add is below the threshold for it; an hour is none of it.
@@ -32,34 +32,34 @@
 }
 
 #[test]
-fn a_start_in_the_future_tells_of_a_clock_that_is_behind_even_in_a_first_list() {
+fn future_start_in_first_list_reveals_slow_clock() {
     let mut skew = ClockSkew::default();
     let (started, now) = clocks(0.0, -HOUR);
-    skew.on_start(now, started, false);
+    skew.on_start(now, started, StartRecency::Unknown);
     let (_, later) = clocks(20.0, -HOUR);
     assert!((age_later(&skew, started, later) - 20.0).abs() < 0.01, "it grows old in real time");
 }
 
 #[test]
-fn one_start_that_is_young_when_it_is_news_vouches_for_the_clock() {
+fn recent_start_of_low_age_confirms_the_clock() {
     let mut skew = ClockSkew::default();
     let (old, _) = clocks(0.0, 0.0);
     let (_, now) = clocks(500.0, 0.0);
-    // A server that is listed anew after long may be old; for want of better it is treated as one that has just started.
-    skew.on_start(now, old, true);
+    // A server that is listed again may be old; without another recent start it is treated as just started.
+    skew.on_start(now, old, StartRecency::Recent);
     assert!(age_later(&skew, old, now) < 1.0);
     let (young, _) = clocks(600.0, 0.0);
     let (_, heard) = clocks(601.0, 0.0);
-    skew.on_start(heard, young, true);
+    skew.on_start(heard, young, StartRecency::Recent);
     assert!((age_later(&skew, old, heard) - 601.0).abs() < 0.01, "the clock is good, so it is old");
     assert!((age_later(&skew, young, heard + SECOND) - 2.0).abs() < 0.01);
 }
 
 #[test]
-fn old_starts_of_a_first_list_say_nothing_of_the_clock() {
+fn old_starts_of_the_first_list_are_ignored() {
     let mut skew = ClockSkew::default();
     let (old, _) = clocks(0.0, 0.0);
     let (_, now) = clocks(5_000.0, 0.0);
-    skew.on_start(now, old, false);
+    skew.on_start(now, old, StartRecency::Unknown);
     assert!((age_later(&skew, old, now) - 5_000.0).abs() < 0.01);
 }
--- a/crates/agent-core/tests/guard.rs
+++ b/crates/agent-core/tests/guard.rs
@@ -16,7 +16,7 @@
 /// SIGKILL comes the longest deadline, 3 s at most, and 0.7 s after SIGTERM; the signal may be read 0.15 s late and the answers
 /// written 0.15 s late.
 #[test]
-fn answers_and_exit_come_before_the_kill_whatever_the_deadlines() {
+fn responses_and_exit_precede_sigkill_for_all_deadlines() {
     for deadline_ms in (10..20_000).step_by(10).map(f64::from) {
         let sent = at(0.0);
         let killed = sent + MS * deadline_ms.min(3_000.0) + MS * 700.0;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn an_operator_s_limit_can_only_shorten_the_end() {
+fn operator_limit_only_shortens_the_shutdown() {
     let platform = ShutdownSchedule::new(at(0.0), MS * 2_500.0, None);
     let shorter = ShutdownSchedule::new(at(0.0), MS * 2_500.0, Some(MS * 200.0));
     let longer = ShutdownSchedule::new(at(0.0), MS * 2_500.0, Some(MS * 60_000.0));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn the_end_of_the_process_binds_every_deadline_and_window_and_the_first_signal_stands() {
+fn first_shutdown_limits_all_deadlines_and_windows() {
     let mut guard = Guard::default();
     assert_eq!(guard.answer_by(at(60_000.0)), at(60_000.0));
     let schedule = ShutdownSchedule::new(at(0.0), MS * 2_000.0, None);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_attempt_starts_within_its_window_and_not_after_its_end() {
+fn attempt_starts_only_within_its_window() {
     let window = AttemptWindow { start_by: at(100.0), end_by: at(50.0) };
     assert!(window.may_start(at(50.0)) && !window.may_start(at(50.1)));
     let window = AttemptWindow { start_by: at(20.0), end_by: at(50.0) };
@@ -70,7 +70,7 @@
 
 /// Which repeats pass, by effect, what the earlier attempt may have done, server and time.
 #[test]
-fn repeats_pass_only_where_nothing_can_run_twice() {
+fn retry_is_allowed_only_if_it_cannot_run_twice() {
     let dedup = |group| RetrySafety::Deduplicated { scope: group, window: MS * 500.0 };
     let (ran, never) = (Outcome::ConnectionReset, Outcome::ConnectFailed);
     let twice = Err(SendDenied::MayRunTwice);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn what_is_done_against_the_limits_is_counted_by_kind() {
+fn violations_are_counted_by_kind() {
     let mut guard = Guard::default();
     guard.on_answer(at(1_050.0), at(1_000.0));
     assert_eq!(guard.violations().map(|(_, count)| count).sum::<u64>(), 0, "within the slack");
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn only_connections_with_nothing_on_the_way_may_close() {
+fn only_connections_without_requests_may_close() {
     use ConnectionState::{Idle, Pending, ReceivingBody, ReceivingHead, Unused};
     assert!([Unused, Idle].into_iter().all(Guard::may_close));
     assert!(![ReceivingHead, ReceivingBody, Pending].into_iter().any(Guard::may_close));
--- /dev/null
+++ b/crates/agent-core/tests/reconfigure.rs
@@ -0,0 +1,156 @@
+//! New settings: missing keys, stable indexes, and the rules that bind during a transition.
+
+use bellcroft_agent_core::reconfigure::*;
+use bellcroft_balancer::{Class, DedupScope, Micros, RetrySafety, Time};
+use serde_json::json;
+
+const KEYED: RetrySafety = RetrySafety::Deduplicated { scope: DedupScope::All, window: Micros(7_500_000) };
+
+fn class(effect: RetrySafety) -> Class {
+    Class { retry_safety: effect, ..Class::default() }
+}
+
+fn names(words: &[&str]) -> Vec<String> {
+    words.iter().map(|word| (*word).to_owned()).collect()
+}
+
+fn registry() -> ClassRegistry {
+    let classes = [RetrySafety::Idempotent, KEYED, RetrySafety::AtMostOnce].map(class);
+    ClassRegistry::new(&names(&["read", "log", "pay"]), &classes)
+}
+
+#[test]
+fn missing_keys_are_reported_with_their_paths() {
+    let present = json!({"a": 1, "b": {"c": 1.5, "d": "x"}, "z": null,
+                         "l": [{"n": "1", "m": 1, "only": 1}, {"n": "2", "m": 2}], "p": [1, 2]});
+    assert_eq!(missing_keys(&present, &present), Vec::<String>::new());
+    let more = json!({"a": 2, "b": {"c": 1, "d": "y", "new": 1}, "l": [{"n": "3", "m": 0}], "p": [], "e": 1});
+    assert_eq!(missing_keys(&present, &more), Vec::<String>::new());
+    let less = json!({"b": {"c": null}, "l": [{"n": "1"}, {"n": 2, "m": 2}], "p": {}});
+    assert_eq!(
+        missing_keys(&present, &less),
+        [
+            "a",
+            "b.c (another kind of value)",
+            "b.d",
+            "l[0].m",
+            "l[1].n (another kind of value)",
+            "p (another kind of value)"
+        ]
+    );
+    assert_eq!(missing_keys(&present, &json!([])), [" (another kind of value)"]);
+}
+
+#[test]
+fn unchanged_class_keeps_its_index() {
+    let mut registry = registry();
+    let classes = [RetrySafety::Idempotent, KEYED, RetrySafety::AtMostOnce].map(class);
+    assert!(registry.reconfigure(Time(1), &names(&["read", "log", "pay"]), &classes, |_| true).is_empty());
+    let turned = [KEYED, RetrySafety::Idempotent, RetrySafety::AtMostOnce].map(class);
+    assert!(registry.reconfigure(Time(2), &names(&["log", "read", "pay"]), &turned, |_| true).is_empty());
+    assert_eq!(
+        registry.find(Time(3), "log", ClassSignature::WithIdempotencyKey),
+        Ok(1),
+        "whatever the order"
+    );
+}
+
+/// Old clients and new ones at the same time, each by the rules that it goes by.
+#[test]
+fn request_signature_selects_former_or_present_class() {
+    let mut registry = registry();
+    let classes = [KEYED, RetrySafety::AtMostOnce].map(class);
+    let changed = registry.reconfigure(Time(10), &names(&["read", "pay"]), &classes, |_| true);
+    assert_eq!(changed, [(3, Some(0))]);
+    let soon = Time(10) + FORMER_CLASS_RETENTION * 0.9;
+    assert_eq!(registry.find(soon, "read", ClassSignature::SafeMethod), Ok(0));
+    assert_eq!(registry.find(soon, "read", ClassSignature::WithIdempotencyKey), Ok(3));
+    assert_eq!(
+        registry.find(soon, "log", ClassSignature::WithIdempotencyKey),
+        Ok(1),
+        "it has been dropped, and clients will hear so"
+    );
+    let later = Time(10) + FORMER_CLASS_RETENTION * 1.1;
+    assert_eq!(
+        registry.find(later, "read", ClassSignature::SafeMethod),
+        Err(IncompatibleClass::Signature(KEYED))
+    );
+    assert_eq!(
+        registry.find(later, "log", ClassSignature::WithIdempotencyKey),
+        Err(IncompatibleClass::Unknown)
+    );
+    assert_eq!(registry.find(later, "pay", ClassSignature::WithIdempotencyKey), Ok(2), "a key does no harm");
+    assert_eq!(
+        registry.find(later, "pay", ClassSignature::SafeMethod),
+        Err(IncompatibleClass::Signature(RetrySafety::AtMostOnce))
+    );
+}
+
+#[test]
+fn ambiguous_signature_gets_the_narrower_rules_during_transition() {
+    let mut registry = registry();
+    let newer = RetrySafety::Deduplicated { scope: DedupScope::Zone, window: Micros(9_000_000) };
+    let classes = [RetrySafety::Idempotent, newer, RetrySafety::AtMostOnce].map(class);
+    let changed = registry.reconfigure(Time(0), &names(&["read", "log", "pay"]), &classes, |_| true);
+    assert_eq!(changed, [(3, Some(1)), (4, Some(1))]);
+    let effect = |at: Time| {
+        registry.classes()[registry.find(at, "log", ClassSignature::WithIdempotencyKey).expect("it is there")]
+            .retry_safety
+    };
+    assert_eq!(
+        effect(Time(1)),
+        RetrySafety::Deduplicated { scope: DedupScope::Zone, window: Micros(7_500_000) }
+    );
+    assert_eq!(effect(Time(0) + TRANSITION_PERIOD), newer);
+}
+
+#[test]
+fn indexes_are_reused_only_when_unreferenced() {
+    let mut registry = registry();
+    let mut now = Time(0);
+    let mut most = 0;
+    for n in 0..1000_u64 {
+        now = now + FORMER_CLASS_RETENTION * 1.5;
+        let classes = [Class { deadline: Micros(1_000_000 + n), ..class(RetrySafety::Idempotent) }];
+        let changed = registry.reconfigure(now, &names(&["read"]), &classes, |place| place != 1);
+        assert!(changed.iter().all(|(place, _)| *place != 1), "somebody refers to it");
+        assert_eq!(
+            registry.classes()[registry.find(now, "read", ClassSignature::SafeMethod).expect("it is there")],
+            classes[0]
+        );
+        most = most.max(registry.len());
+    }
+    assert!(most <= 6, "{most} places for one class");
+}
+
+/// Files by the dozen within the time of the first: a request is never given rules that no file had.
+#[test]
+fn rapid_reloads_never_widen_the_rules() {
+    let mut registry = registry();
+    for n in 0..20_u64 {
+        let window = Micros(1_000_000 * (n + 1));
+        let effect = RetrySafety::Deduplicated { scope: DedupScope::All, window };
+        registry.reconfigure(Time(n), &names(&["log"]), &[class(effect)], |_| true);
+        let place = registry.find(Time(n), "log", ClassSignature::WithIdempotencyKey).expect("it is there");
+        let RetrySafety::Deduplicated { window: bound, .. } = registry.classes()[place].retry_safety else {
+            panic!("keyed");
+        };
+        assert!(bound <= window, "the narrower one binds");
+        assert_eq!(registry.name(place), "log");
+    }
+}
+
+#[test]
+fn merged_names_keep_their_indexes() {
+    let (all, places) = merge_names(&names(&["a", "b"]), &names(&["c", "b", "c"]));
+    assert_eq!((all, places), (names(&["a", "b", "c"]), vec![2, 1, 2]));
+}
+
+#[test]
+fn former_attempt_limit_binds_during_transition() {
+    let mut attempts = AttemptLimitTransition::default();
+    assert_eq!(attempts.max_attempts(Time(0)), None);
+    attempts.on_limit_changed(2, Time(0));
+    assert_eq!(attempts.max_attempts(Time(1)), Some(2));
+    assert_eq!(attempts.max_attempts(Time(0) + TRANSITION_PERIOD), None);
+}
--- /dev/null
+++ b/crates/agent-core/tests/service.rs
@@ -0,0 +1,41 @@
+//! Draining, resuming and shutting down an instance.
+
+use bellcroft_agent_core::service::*;
+use bellcroft_balancer::{Micros, Time};
+
+const SECOND: Micros = Micros(1_000_000);
+
+#[test]
+fn drained_instance_resumes() {
+    let mut service = Service::default();
+    assert!(service.is_ready() && !service.closes_connections() && service.close_idle_at().is_none());
+    assert!(service.drain(Time(5)));
+    assert!(!service.drain(Time(9)), "a second word changes nothing, not even the time");
+    assert!(!service.is_ready() && service.closes_connections());
+    let closed = service.close_idle_at().expect("they are closed");
+    assert!(closed > Time(5) + SECOND, "whoever was told yes a moment ago still comes and asks");
+    assert!(closed < Time(5) + SECOND * 2.0, "and what asked then is two seconds old when it is looked at");
+    assert!(service.resume());
+    assert!(service.is_ready() && service.close_idle_at().is_none());
+}
+
+#[test]
+fn shutdown_cannot_be_resumed_or_changed() {
+    let mut service = Service::default();
+    service.shut_down(Time(7), true);
+    assert!(!service.resume() && !service.drain(Time(8)));
+    service.shut_down(Time(9), false);
+    assert_eq!(service.state(), ServingState::End { since: Time(7), replaced: true });
+    assert!(!service.is_ready() && service.closes_connections());
+}
+
+/// With the platform's shortest patience after SIGTERM: the longest deadline and 0.7 s.
+#[test]
+fn replaced_process_closes_idle_connections_before_its_kill() {
+    let mut service = Service::default();
+    service.shut_down(Time(0), true);
+    assert!(service.close_idle_at().expect("a time") < Time(0) + SECOND * 0.7);
+    let mut alone = Service::default();
+    alone.shut_down(Time(0), false);
+    assert_eq!(alone.close_idle_at(), Some(Time(0)));
+}
--- a/crates/agent/src/downstream/framing.rs
+++ b/crates/agent/src/downstream/framing.rs
@@ -202,11 +202,11 @@
                     continue;
                 }
                 Stage::Chunked(mut chunks) if !this.ahead.is_empty() => {
-                    match chunks.take(&this.ahead) {
+                    match chunks.advance(&this.ahead) {
                         Ok(n) => {
                             this.pass = n;
                             this.stage = Stage::Chunked(chunks);
-                            if chunks.over() {
+                            if chunks.is_complete() {
                                 this.stage = Stage::Whole;
                                 this.client.enter(ConnectionState::Pending);
                             }
--- a/crates/agent/src/driver/endpoints.rs
+++ b/crates/agent/src/driver/endpoints.rs
@@ -6,7 +6,7 @@
 use crate::discovery::error::CallError;
 use crate::discovery::monitor::DiscoveryStatus;
 use crate::discovery::EndpointSink;
-use bellcroft_agent_core::clock_skew::ClockSkew;
+use bellcroft_agent_core::clock_skew::{ClockSkew, StartRecency};
 use bellcroft_agent_core::guard::ServerGroups;
 use bellcroft_balancer::{
     DedupGroupId, Endpoint, EndpointUpdate, Event, MachineTypeId, ServerId, Status, Time, ZoneId,
@@ -51,7 +51,7 @@
     up: HashSet<ServerId>,
     skew: ClockSkew,
     /// From then on an unknown start has just happened; none before the first list.
-    news_from: Option<Time>,
+    recent_from: Option<Time>,
     /// The version of the list; none after discovery has moved, since each service counts its own versions.
     version: Option<u64>,
     /// Rejected entries that have been logged.
@@ -69,15 +69,15 @@
             left: HashMap::new(),
             up: HashSet::new(),
             skew: ClockSkew::default(),
-            news_from: None,
+            recent_from: None,
             version: Some(version),
             rejected_entries: HashSet::new(),
         }
     }
 
     /// Starts that are unknown from `at` on have just happened.
-    pub(super) fn set_news_from(&mut self, at: Time) {
-        self.news_from.get_or_insert(at);
+    pub(super) fn set_recent_from(&mut self, at: Time) {
+        self.recent_from.get_or_insert(at);
     }
 
     /// The number of servers that are listed as up.
@@ -140,8 +140,11 @@
     fn on_start(&mut self, now: Time, server: ServerId, born_ms: f64) {
         let is_known = self.starts.get(&server).is_some_and(|start| start.born_ms == born_ms);
         if born_ms > 0.0 && !is_known {
-            let is_news = self.news_from.is_some_and(|from| now >= from);
-            self.skew.on_start(now, Time::from_ms(born_ms), is_news);
+            let recency = match self.recent_from {
+                Some(from) if now >= from => StartRecency::Recent,
+                Some(_) | None => StartRecency::Unknown,
+            };
+            self.skew.on_start(now, Time::from_ms(born_ms), recency);
         }
     }
 
@@ -334,7 +337,7 @@
                 true => EndpointUpdate::Snapshot(self.apply_list(state, list)),
                 false => EndpointUpdate::Delta(self.apply_list(state, list)),
             };
-            state.endpoints.set_news_from(self.clock.now());
+            state.endpoints.set_recent_from(self.clock.now());
             update
         };
         self.update_endpoints(update);
--- a/crates/agent/src/driver/mod.rs
+++ b/crates/agent/src/driver/mod.rs
@@ -160,7 +160,7 @@
         let state = &mut *self.state.borrow_mut();
         let endpoints = self.apply_list(state, known);
         if !endpoints.is_empty() {
-            state.endpoints.set_news_from(self.clock.now() + FIRST_ANSWER_TIME);
+            state.endpoints.set_recent_from(self.clock.now() + FIRST_ANSWER_TIME);
         }
         state.events.push_back(Event::Endpoints(EndpointUpdate::SavedSnapshot(endpoints)));
         for action in actions {
--- a/crates/agent/src/driver/timers.rs
+++ b/crates/agent/src/driver/timers.rs
@@ -63,7 +63,7 @@
     fn next_wake(&self, next_sweep: Instant) -> Instant {
         let next_timer = self.state.borrow().timers.next_due();
         let deferred_until =
-            self.stall_detector.get().and_then(|detector| detector.waits_until(self.clock.now()));
+            self.stall_detector.get().and_then(|detector| detector.deferred_until(self.clock.now()));
         let due = deferred_until.or(next_timer).map(|at| self.clock.instant(at));
         due.map_or(next_sweep, |due| due.min(next_sweep))
     }
@@ -90,7 +90,7 @@
             self.wake.notify_one();
         }
         self.stall_detector.set(Some(detector));
-        detector.waits_until(now).is_some()
+        detector.deferred_until(now).is_some()
     }
 
     /// A list has arrived: decisions are no longer deferred.
