--- a/crates/balancer/src/decisions/admission.rs
+++ b/crates/balancer/src/decisions/admission.rs
@@ -38,14 +38,14 @@
         let spent = self.time_spent_before(&request);
         let deadline = now + request.time_left.min(request.limits().timeout);
         let objective = self.settings.classes[request.class.0].latency_objective;
-        let objective_left =
+        let time_to_objective =
             if request.streaming { request.time_left } else { objective.saturating_sub(spent) };
         self.traffic.count(now, &request);
         let over_quota = self.is_over_quota(&request);
         PendingRequest {
             request,
             deadline,
-            objective_deadline: (now + objective_left).min(deadline),
+            objective_deadline: (now + time_to_objective).min(deadline),
             attempts: Vec::new(),
             is_bound: false,
             is_exhausted: false,
--- a/crates/balancer/src/decisions/dispatch.rs
+++ b/crates/balancer/src/decisions/dispatch.rs
@@ -70,8 +70,8 @@
     /// The latest time for the first byte of an attempt: within the connect timeout, the drain grace period and the
     /// deduplication window of an earlier attempt.
     fn write_deadline(&self, now: Time, pending: &PendingRequest, timeout_at: Time) -> Time {
-        let objective_left = pending.objective_deadline.since(now);
-        let connect_timeout = (objective_left * CONNECT_TIMEOUT_FRACTION).max(MIN_CONNECT_TIMEOUT);
+        let time_to_objective = pending.objective_deadline.since(now);
+        let connect_timeout = (time_to_objective * CONNECT_TIMEOUT_FRACTION).max(MIN_CONNECT_TIMEOUT);
         let write_by = timeout_at.min(now + self.max_start_delay().min(connect_timeout));
         let retry_safety = self.settings.classes[pending.request.class.0].retry_safety;
         match (pending.first_that_may_have_run(), retry_safety) {
--- a/crates/balancer/src/decisions/endpoints.rs
+++ b/crates/balancer/src/decisions/endpoints.rs
@@ -41,8 +41,8 @@
     fn schedule_watch_retry(&mut self, now: Time) {
         let jitter = MIN_JITTER + (1.0 - MIN_JITTER) * self.rng.f64();
         let watched_for = now.since(self.watch.started_at);
-        let left = MAX_WATCH_RETRY_DELAY.saturating_sub(IDLE_TICK_INTERVAL).saturating_sub(watched_for);
-        let delay = self.watch.backoff.min(left.max(MIN_WATCH_RETRY_DELAY)) * jitter;
+        let remaining = MAX_WATCH_RETRY_DELAY.saturating_sub(IDLE_TICK_INTERVAL).saturating_sub(watched_for);
+        let delay = self.watch.backoff.min(remaining.max(MIN_WATCH_RETRY_DELAY)) * jitter;
         self.watch.retry_at = Some(now + delay);
         let max_backoff = self.settings.poll_interval * MAX_BACKOFF_FRACTION;
         self.watch.backoff = (self.watch.backoff * 2.0).min(max_backoff);
--- a/crates/balancer/src/decisions/outcomes.rs
+++ b/crates/balancer/src/decisions/outcomes.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Closes the idle connections of a sparse balancer, except those to the remembered server. Random draws reach the whole
+    /// Closes the idle connections of a sparse balancer, except those to the remembered server. Random draws reach the entire
     /// fleet: idle connections would grow to balancers times servers and exhaust the servers' limits.
     fn close_idle_connections(&self, server: usize, actions: &mut Vec<Action>) {
         let is_idle = self.servers[server].in_flight == 0;
--- a/crates/balancer/src/decisions/overdue.rs
+++ b/crates/balancer/src/decisions/overdue.rs
@@ -25,7 +25,7 @@
 impl Balancer {
     /// Ejects or deprioritizes servers that are silent, and cancels the overdue attempts that may be retried elsewhere.
     pub(super) fn find_overdue(&mut self, now: Time, actions: &mut Vec<Action>) {
-        let mut overdue = self.attempts_at_silent_servers(now);
+        let mut overdue = self.attempts_at_unresponsive_servers(now);
         if self.sparse {
             overdue.extend(self.attempts_in_unreachable_zones(now, actions));
             overdue.sort_unstable();
@@ -46,12 +46,12 @@
     }
 
     /// The overdue attempts at servers that have not responded since.
-    fn attempts_at_silent_servers(&self, now: Time) -> Vec<OverdueAttempt> {
-        let is_silent = |attempt: &InFlightAttempt| {
+    fn attempts_at_unresponsive_servers(&self, now: Time) -> Vec<OverdueAttempt> {
+        let is_unresponsive = |attempt: &InFlightAttempt| {
             self.servers[attempt.server].last_response < attempt.sent_at && !attempt.is_streaming
         };
         let overdue = self.in_flight.iter().filter(|(key, attempt)| {
-            is_silent(attempt) && now.since(attempt.sent_at) > self.overdue_after(**key, attempt)
+            is_unresponsive(attempt) && now.since(attempt.sent_at) > self.overdue_after(**key, attempt)
         });
         overdue.map(|(key, attempt)| OverdueAttempt { key: *key, server: attempt.server }).collect()
     }
--- a/crates/balancer/src/decisions/retry_safety.rs
+++ b/crates/balancer/src/decisions/retry_safety.rs
@@ -24,12 +24,12 @@
     /// Whether attempts and time are left, apart from retry safety.
     fn can_send_again(&self, now: Time, pending: &PendingRequest) -> bool {
         let max_attempts = self.settings.max_attempts.min(pending.request.limits().max_attempts);
-        let may_run_beside_another = self.settings.hedging && !pending.request.streaming;
+        let may_hedge = self.settings.hedging && !pending.request.streaming;
         pending.attempts.len() < max_attempts as usize
             && !pending.is_bound
             && !pending.is_exhausted
             && now < pending.deadline
-            && (!pending.has_attempt_in_flight() || may_run_beside_another)
+            && (!pending.has_attempt_in_flight() || may_hedge)
     }
 }
 
--- a/crates/balancer/src/decisions/slow_start.rs
+++ b/crates/balancer/src/decisions/slow_start.rs
@@ -5,7 +5,7 @@
 use crate::state::*;
 
 /// The fraction of the overload threshold that is used while no server is warm: bursts may double the load.
-const COLD_FLEET_FACTOR: f64 = 0.5;
+const SLOW_START_FLEET_FACTOR: f64 = 0.5;
 /// The lower bound of a class's usual latency, which is a divisor, in milliseconds.
 const MIN_USUAL_MS: f64 = 0.001;
 
@@ -57,10 +57,11 @@
         let (warm_servers, total) = warmths
             .fold((0, 0.0), |(warm, total), warmth| (warm + usize::from(warmth >= 1.0), total + warmth));
         let average = if self.serving.is_empty() { 1.0 } else { total / self.serving.len() as f64 };
-        let all_cold = warm_servers == 0 && total > 0.0 && self.settings.balancers > FEW_BALANCERS;
-        let factor = self.settings.overload_factor * if all_cold { COLD_FLEET_FACTOR } else { 1.0 };
+        let all_in_slow_start = warm_servers == 0 && total > 0.0 && self.settings.balancers > FEW_BALANCERS;
+        let factor =
+            self.settings.overload_factor * if all_in_slow_start { SLOW_START_FLEET_FACTOR } else { 1.0 };
         self.slow_start.warm_servers = warm_servers;
-        self.slow_start.admitted = if self.sparse || all_cold { average * factor } else { 1.0 };
+        self.slow_start.admitted = if self.sparse || all_in_slow_start { average * factor } else { 1.0 };
     }
 
     /// The usual latency of a class in milliseconds.
--- a/crates/balancer/src/decisions/traffic.rs
+++ b/crates/balancer/src/decisions/traffic.rs
@@ -50,8 +50,8 @@
 }
 
 impl Balancer {
-    /// Whether a request belongs to the excess of its tenant's traffic over the quota, chosen at random. Quotas are of the
-    /// whole service; a balancer applies them to its own traffic, as a sample.
+    /// Whether a request belongs to the excess of its tenant's traffic over the quota, chosen at random. Quotas apply to the
+    /// entire service; a balancer uses its own traffic as a sample.
     pub(super) fn is_over_quota(&mut self, request: &Request) -> bool {
         let Some(tenant) = request.tenant.filter(|tenant| tenant.0 < self.settings.tenants.len()) else {
             return false;
--- a/crates/balancer/src/state/averages.rs
+++ b/crates/balancer/src/state/averages.rs
@@ -16,7 +16,7 @@
         self.sum * (-now.since(self.updated_at).ms() / self.time_constant_ms.max(1.0)).exp()
     }
 
-    /// Adds a term; the whole sum decays with the new time constant from now on.
+    /// Adds a term; the sum decays with the new time constant from now on.
     pub(crate) fn add(&mut self, now: Time, time_constant_ms: f64, term: f64) {
         *self = DecayingSum { sum: self.at(now) + term, time_constant_ms, updated_at: now };
     }
--- a/crates/balancer/src/state/reconfigure.rs
+++ b/crates/balancer/src/state/reconfigure.rs
@@ -18,7 +18,7 @@
         changed: &[(usize, Option<usize>)],
     ) -> Result<(), SettingsError> {
         settings.check()?;
-        self.keep_attempt_limit(&settings);
+        self.cap_pending_attempts(&settings);
         self.classes.resize(settings.classes.len(), ClassStats::INITIAL);
         self.traffic.resize(settings.classes.len(), settings.tenants.len());
         for &(class, inherited_from) in changed {
@@ -30,7 +30,7 @@
     }
 
     /// Pending requests do not gain attempts from a higher limit.
-    fn keep_attempt_limit(&mut self, new: &Settings) {
+    fn cap_pending_attempts(&mut self, new: &Settings) {
         let allowed = self.settings.max_attempts;
         if new.max_attempts <= allowed {
             return;
