--- a/crates/agent/src/peers/mod.rs
+++ b/crates/agent/src/peers/mod.rs
@@ -1,30 +1,27 @@
-//! The other instances: the datagrams of [`bellcroft_membership`] on a socket, and what becomes of its news.
+//! Group membership over UDP: runs the [`bellcroft_membership`] state machine on a socket and a clock.
 //!
-//! Nothing on a request's way waits for a peer: what is told is sent if the kernel takes it at once, and dropped
-//! otherwise.
+//! No request waits for a peer: a datagram that the kernel does not accept at once is dropped and counted.
 
+mod change_log;
 mod hints;
 pub mod status;
 
 use crate::clock::Clock;
-use bellcroft_balancer::{FleetState, PeerId, Signal};
-use bellcroft_membership::{
-    Change, Config, Digest, Id, Membership, Output, PeerReports, QuorumState, ReportVerdict, Stats,
-};
+use bellcroft_balancer::{FleetState, PeerId, Signal, Time};
+use bellcroft_membership::{Config, Digest, Id, Membership, Output, PeerReports, ReportVerdict, Stats};
 use bellcroft_net::DatagramSocket;
-use status::{MemberStatus, MembershipStatus, SeenStatus, SiteStatus};
+use status::MembershipStatus;
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::sleep_until;
-use tracing::{info, warn};
 
-/// Longer than any datagram that is taken; what is cut off here is refused for its length.
-const BUFFER: usize = 512;
-/// After a socket's failure, it is read again after this.
-const PAUSE: Duration = Duration::from_millis(20);
+/// Bytes of the receive buffer. Longer than any valid datagram: a truncated one is still rejected for its length.
+const RECEIVE_BUFFER_BYTES: usize = 512;
+/// Pause after a failed receive, so that a persistent failure does not spin.
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 pub use hints::name_hash;
 
@@ -51,25 +48,28 @@
     pub heard: [u64; 4],
 }
 
-/// The other instances.
+/// The membership of this instance, with its socket.
 pub struct Peers {
+    /// The instance's name, for log lines.
     name: String,
-    core: RefCell<Membership>,
-    hearsay: RefCell<PeerReports>,
+    membership: RefCell<Membership>,
+    reports: RefCell<PeerReports>,
     socket: DatagramSocket,
     clock: Clock,
     decisions: Weak<dyn Decisions>,
     counts: Cell<Counts>,
-    reckoned: Cell<u32>,
-    wake: tokio::sync::Notify,
+    /// The effective size that the decisions were given last.
+    effective_size: Cell<u32>,
+    /// Wakes the task when a deadline may have come closer from outside of it.
+    deadline_changed: tokio::sync::Notify,
 }
 
 impl Peers {
-    /// Listens for the others and begins to look for them.
+    /// Binds the socket and starts the task that runs the protocol.
     ///
     /// # Errors
     ///
-    /// The address cannot be listened on.
+    /// The address cannot be bound.
     pub async fn start(
         (listen, config): (SocketAddr, Config),
         (name, seed): (&str, u64),
@@ -77,66 +77,64 @@
         decisions: Weak<dyn Decisions>,
     ) -> io::Result<Rc<Self>> {
         let socket = DatagramSocket::bind(listen).await?;
-        let life = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
-        let core = Membership::new(config, clock.now(), life, seed);
+        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let membership = Membership::new(config, clock.now(), unix_time.as_millis() as u64, seed);
         let peers = Rc::new(Peers {
             name: name.to_owned(),
-            reckoned: Cell::new(0),
-            core: RefCell::new(core),
-            hearsay: RefCell::default(),
+            membership: RefCell::new(membership),
+            reports: RefCell::default(),
             socket,
             clock,
             decisions,
             counts: Cell::default(),
-            wake: tokio::sync::Notify::new(),
+            effective_size: Cell::new(0),
+            deadline_changed: tokio::sync::Notify::new(),
         });
-        peers.settle();
+        peers.update_effective_size();
         tokio::task::spawn_local(peers.clone().run());
         Ok(peers)
     }
 
-    /// Where it hears the others.
+    /// The address that the socket is bound to.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
     async fn run(self: Rc<Self>) {
-        let mut buffer = [0; BUFFER];
+        let mut buffer = [0; RECEIVE_BUFFER_BYTES];
         loop {
-            let next = self.clock.instant(self.core.borrow().next());
+            let deadline = self.clock.instant(self.membership.borrow().next());
             tokio::select! {
-                got = self.socket.receive(&mut buffer) => match got {
+                received = self.socket.receive(&mut buffer) => match received {
                     Ok((length, from)) => {
-                        self.turn(|core, now, out| core.receive(now, from, &buffer[..length], out));
+                        self.process(|membership, now, out| {
+                            membership.receive(now, from, &buffer[..length], out);
+                        });
                     }
-                    Err(_) => tokio::time::sleep(PAUSE).await,
+                    Err(_) => tokio::time::sleep(RECEIVE_RETRY_DELAY).await,
                 },
-                () = sleep_until(next) => {}
-                () = self.wake.notified() => {}
+                () = sleep_until(deadline) => {}
+                () = self.deadline_changed.notified() => {}
             }
-            // Also behind a datagram: a flood of them must not keep probes and suspicions from their times.
-            if self.clock.now() >= self.core.borrow().next() {
-                self.turn(Membership::tick);
+            // Checked after a datagram too: a flood of datagrams must not delay probes and suspicions.
+            if self.clock.now() >= self.membership.borrow().next() {
+                self.process(Membership::tick);
             }
-            self.settle();
+            self.update_effective_size();
         }
     }
 
-    /// Has the protocol do something, and carries out what comes of it. The protocol isn't borrowed meanwhile, for the
-    /// decisions may answer a hint with one.
-    fn turn(&self, act: impl FnOnce(&mut Membership, bellcroft_balancer::Time, &mut Vec<Output>)) {
-        let mut out = Vec::new();
+    /// Runs one step of the protocol, then carries out its outputs. The membership is not borrowed meanwhile, as the decisions
+    /// may answer a hint by sending one.
+    fn process(&self, step: impl FnOnce(&mut Membership, Time, &mut Vec<Output>)) {
+        let mut outputs = Vec::new();
         let now = self.clock.now();
-        act(&mut self.core.borrow_mut(), now, &mut out);
-        for output in out {
+        step(&mut self.membership.borrow_mut(), now, &mut outputs);
+        for output in outputs {
             match output {
-                Output::Send(to, bytes) => {
-                    if self.socket.send_now(&bytes, to).is_err() {
-                        self.count(|counts| counts.unsent += 1);
-                    }
-                }
-                Output::Change(change) => self.log(&change),
-                Output::Hint(from, payload) => self.hear(from, payload),
+                Output::Send(to, bytes) => self.send(to, &bytes),
+                Output::Change(change) => change_log::write(&self.name, &change),
+                Output::Hint(from, payload) => self.on_hint(from, &payload),
                 Output::Fleet(state) => {
                     if let Some(decisions) = self.decisions.upgrade() {
                         decisions.fleet(state);
@@ -146,13 +144,19 @@
         }
     }
 
-    /// Tells the decisions by how many to reckon, if that has changed. Never from within a decision, which holds its own
-    /// state: what it tells a peer leaves by [`Peers::turn`] alone.
-    fn settle(&self) {
-        let reckoned = self.core.borrow().effective_size(self.clock.now());
-        if self.reckoned.replace(reckoned) != reckoned {
+    fn send(&self, to: SocketAddr, bytes: &[u8]) {
+        if self.socket.send_now(bytes, to).is_err() {
+            self.count(|counts| counts.unsent += 1);
+        }
+    }
+
+    /// Passes a changed effective size to the decisions. Not called from within a decision, which has its state borrowed: from
+    /// there only [`Peers::process`] runs.
+    fn update_effective_size(&self) {
+        let size = self.membership.borrow().effective_size(self.clock.now());
+        if self.effective_size.replace(size) != size {
             if let Some(decisions) = self.decisions.upgrade() {
-                decisions.reckon(reckoned);
+                decisions.reckon(size);
             }
         }
     }
@@ -163,163 +167,87 @@
         self.counts.set(counts);
     }
 
-    fn hear(&self, from: Id, payload: Vec<u8>) {
+    fn on_hint(&self, from: Id, payload: &[u8]) {
         let Some(decisions) = self.decisions.upgrade() else { return };
-        // Of another form, by a newer program perhaps: it says nothing here.
-        let Some(name) = hints::read(&payload) else { return };
-        let heard =
-            self.hearsay.borrow_mut().on_report(self.clock.now(), from, &payload, decisions.servers());
-        self.count(|counts| counts.heard[heard as usize] += 1);
-        if matches!(heard, ReportVerdict::Accepted | ReportVerdict::Unconfirmed) {
-            decisions.hint(PeerId(from.0), name, heard == ReportVerdict::Unconfirmed);
+        // Another encoding, perhaps of a newer version: ignored.
+        let Some(server) = hints::decode(payload) else { return };
+        let listed = decisions.servers();
+        let verdict = self.reports.borrow_mut().on_report(self.clock.now(), from, payload, listed);
+        self.count(|counts| counts.heard[verdict as usize] += 1);
+        if matches!(verdict, ReportVerdict::Accepted | ReportVerdict::Unconfirmed) {
+            decisions.hint(PeerId(from.0), server, verdict == ReportVerdict::Unconfirmed);
         }
     }
 
-    /// Tells a peer's decisions that the server of this name is doubted here, if that peer is here.
+    /// Sends a hint about the server of this name to a peer's decisions, if the peer is reachable.
     pub fn send_hint(&self, to: PeerId, name: &str) {
-        let (mut sent, payload) = (false, hints::write(name_hash(name)));
-        self.turn(|core, now, out| sent = core.send_hint(now, Id(to.0), payload, out));
+        let payload = hints::encode(name_hash(name));
+        let mut sent = false;
+        self.process(|membership, now, out| sent = membership.send_hint(now, Id(to.0), payload, out));
         self.count(|counts| if sent { counts.told.0 += 1 } else { counts.told.1 += 1 });
     }
 
-    /// What this instance's decisions have seen of answers, to be shared.
-    pub fn record_responses(&self, signs: impl ExactSizeIterator<Item = Signal>) {
-        // Most of what happens shows nothing.
-        if signs.len() == 0 {
+    /// Records the signals of this instance's decisions in the digest.
+    pub fn record_responses(&self, signals: impl ExactSizeIterator<Item = Signal>) {
+        // Most events have none.
+        if signals.len() == 0 {
             return;
         }
-        self.count_in(|digest, now, _| {
-            signs.for_each(|s| digest.record_response(now, s.zone.0 as u8, s.latency, s.load))
+        self.record(|digest, now, _| {
+            signals.for_each(|signal| {
+                digest.record_response(now, signal.zone.0 as u8, signal.latency, signal.load);
+            });
         });
     }
 
-    /// A request has come to this instance.
+    /// Records a request that this instance received.
     pub fn on_request_received(&self) {
-        self.count_in(Digest::record_request);
+        self.record(Digest::record_request);
     }
 
-    /// One of those was refused.
+    /// Records that one of those was rejected.
     pub fn on_request_rejected(&self) {
-        self.count_in(Digest::record_rejection);
+        self.record(Digest::record_rejection);
     }
 
-    fn count_in(&self, count: impl FnOnce(&mut Digest, bellcroft_balancer::Time, u8)) {
-        let mut core = self.core.borrow_mut();
-        let (now, site) = (self.clock.now(), core.config().site);
-        // While nothing is held, nobody waits for the moment to hand it over.
-        let slept = core.digest().is_empty();
-        count(core.digest(), now, site);
-        if slept && !core.digest().is_empty() {
-            self.wake.notify_one();
+    fn record(&self, record: impl FnOnce(&mut Digest, Time, u8)) {
+        let mut membership = self.membership.borrow_mut();
+        let (now, site) = (self.clock.now(), membership.config().site);
+        // An empty digest has no exchange deadline, so the task has to learn of the first record.
+        let was_empty = membership.digest().is_empty();
+        record(membership.digest(), now, site);
+        if was_empty && !membership.digest().is_empty() {
+            self.deadline_changed.notify_one();
         }
     }
 
-    /// From now on there are to be so many.
+    /// Sets the expected number of instances.
     pub fn set_expected_size(&self, instances: u32) {
-        self.turn(|core, now, _| core.set_expected_size(now, instances));
-        self.settle();
-        self.wake.notify_one();
+        self.process(|membership, now, _| membership.set_expected_size(now, instances));
+        self.update_effective_size();
+        self.deadline_changed.notify_one();
     }
 
-    /// Says good-bye to the others.
+    /// Notifies the other members that this instance leaves.
     pub fn leave(&self) {
-        self.turn(Membership::leave);
+        self.process(Membership::leave);
     }
 
-    /// What the protocol and this side of it have counted.
+    /// The counters of the protocol, and those of this module.
     pub fn stats(&self) -> (Stats, Counts) {
-        (self.core.borrow().stats(), self.counts.get())
+        (self.membership.borrow().stats(), self.counts.get())
     }
 
-    /// The others by what is held of them.
+    /// The number of other members in each [`bellcroft_membership::State`].
     pub fn states(&self) -> [usize; 5] {
         let mut states = [0; 5];
-        self.core.borrow().members().for_each(|m| states[m.state as usize] += 1);
+        self.membership.borrow().members().for_each(|member| states[member.state as usize] += 1);
         states
     }
 
-    /// What an operator is told.
+    /// The status for operators.
     pub fn status(&self) -> MembershipStatus {
-        let core = self.core.borrow();
-        let now = self.clock.now();
-        let config = core.config();
-        let (size, size_error) = core.size();
-        let here = size.round() as u32;
-        let ago = |at: bellcroft_balancer::Time| now.since(at).0 / 1000;
-        MembershipStatus {
-            cluster: config.cluster.clone(),
-            number: config.number.0,
-            listen: self.address().map(|address| address.to_string()).unwrap_or_default(),
-            stance: core.quorum_state().as_str().to_owned(),
-            reason: reason(core.quorum_state(), here, core.roster()),
-            here,
-            size_error,
-            roster: core.roster(),
-            reckoned: core.effective_size(now),
-            doubt: core.local_health(),
-            fleet: SeenStatus::of(core.fleet(now)),
-            sites: core.sites().map(|(site, seen)| SiteStatus { site, seen: SeenStatus::of(seen) }).collect(),
-            members: core
-                .members()
-                .map(|member| MemberStatus {
-                    number: member.id.0,
-                    state: member.state.as_str().to_owned(),
-                    since_ms: ago(member.since),
-                    by: member.reported_by.0,
-                    address: member.address.to_string(),
-                    site: member.site,
-                    duty: format!("{:?}", member.role).to_lowercase(),
-                    life: member.incarnation.epoch,
-                    round: member.incarnation.counter,
-                    answered_ms: member.last_ack.map(ago),
-                })
-                .collect(),
-        }
-    }
-
-    /// One line a change.
-    fn log(&self, change: &Change) {
-        let name = &self.name;
-        match change {
-            Change::Member { id, from, to, reported_by: by, restarted: anew } => {
-                let (id, by, from, to) = (id.0, by.0, from.as_str(), to.as_str());
-                let anew = if *anew { ", started anew" } else { "" };
-                info!(
-                    target: "bellcroft::membership", member = id, from, to, by,
-                    "{name}: member {id} is {to}{anew}"
-                );
-            }
-            Change::Quorum { from, to, here, roster } => {
-                let why = reason(*to, *here, *roster);
-                let (from, to) = (from.as_str(), to.as_str());
-                info!(target: "bellcroft::membership", from, to, here, roster, "{name}: stance is {to}: {why}");
-            }
-            Change::ResumedAfterStall(slept) => warn!(
-                target: "bellcroft::membership", slept_ms = slept.ms(),
-                "{name}: this process stood still for {:.1} s; it accuses nobody until it has heard the others",
-                slept.ms() / 1e3
-            ),
-            Change::DuplicateIdentity => warn!(
-                target: "bellcroft::membership",
-                "{name}: another process speaks under this one's number; each needs its own"
-            ),
-            Change::AddressMismatch(id, address) => warn!(
-                target: "bellcroft::membership", member = id.0, %address,
-                "{name}: member {} is spoken for from {address}, which is not its address; that is not heard", id.0
-            ),
-        }
-    }
-}
-
-/// Why a stance is what it is.
-fn reason(stance: QuorumState, here: u32, roster: u32) -> String {
-    let counts = format!("{here} of {roster} are here");
-    match stance {
-        QuorumState::Recovering => format!("just started, or stood still; {counts} by what it holds"),
-        QuorumState::Isolated if roster <= 1 => "there is to be one".to_owned(),
-        QuorumState::Isolated => format!("nobody else is heard, of {roster}"),
-        QuorumState::Minority => format!("{counts}, half or less"),
-        QuorumState::Majority => format!("{counts}, more than half, and a quarter or more is missing"),
-        QuorumState::Degraded | QuorumState::Complete => counts,
+        let listen = self.address().map(|address| address.to_string()).unwrap_or_default();
+        MembershipStatus::new(&self.membership.borrow(), self.clock.now(), listen)
     }
 }
--- a/crates/agent/src/peers/status.rs
+++ b/crates/agent/src/peers/status.rs
@@ -1,54 +1,56 @@
-//! What an instance tells of the others.
+//! The membership part of `status.json` and of the control socket's replies. Field names are external: they do not change.
 
+use bellcroft_balancer::{FleetState, Time};
+use bellcroft_membership::{Member, Membership, QuorumState, Role};
 use serde::{Deserialize, Serialize};
 
-/// What an instance holds of the others, and of itself among them.
+/// An instance's quorum state and its view of the other members.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MembershipStatus {
     /// The cluster.
     pub cluster: String,
     /// This instance's number.
     pub number: u32,
-    /// Where it hears the others.
+    /// The address that its socket is bound to.
     pub listen: String,
-    /// What it holds of itself: `waking`, `alone`, `minority`, `majority`, `degraded` or `whole`.
+    /// Its quorum state: `waking`, `alone`, `minority`, `majority`, `degraded` or `whole`.
     pub stance: String,
-    /// Why.
+    /// The counts behind the quorum state, as text.
     pub reason: String,
-    /// Members here, this one among them.
+    /// Reachable members, this one included.
     pub here: u32,
-    /// The relative standard error of that; none where all are held.
+    /// The relative standard error of `here`; none where the view holds all members.
     pub size_error: Option<f64>,
-    /// How many there are to be.
+    /// Expected number of instances.
     pub roster: u32,
-    /// By how many it reckons what is counted for the whole fleet.
+    /// The effective size: the number of instances that share limits of the whole fleet.
     pub reckoned: u32,
-    /// How much it doubts its own hearing, 0 to 3.
+    /// The local health score: 0 (healthy) to 3.
     pub doubt: u32,
-    /// What all instances together see of the servers, as far as it is known here.
+    /// The digest of all servers, as known here.
     pub fleet: SeenStatus,
-    /// The same by the servers' sites.
+    /// The same by site.
     pub sites: Vec<SiteStatus>,
-    /// The others, as far as they are held.
+    /// The other members that the view holds.
     pub members: Vec<MemberStatus>,
 }
 
-/// What instances see of servers, over the last quarter of a second or so.
+/// Averages over servers, decaying by 1/e in 250 ms.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SeenStatus {
-    /// Answers that it rests on, by how much they still count, up to 32.
+    /// The effective number of responses, up to 32.
     pub answers: f64,
-    /// What an answer takes, as a share of its wanted time.
+    /// Latency of responses, as a share of the latency target.
     pub took: f64,
-    /// What the servers' load speaks for, likewise.
+    /// Latency that the servers' load predicts, likewise.
     pub full: f64,
-    /// The share of requests that instances refuse.
+    /// The share of requests that instances reject.
     pub refused: f64,
 }
 
 impl SeenStatus {
-    /// Rounded to what means something.
-    pub fn of(state: bellcroft_balancer::FleetState) -> Self {
+    /// Rounded to three decimals.
+    pub fn of(state: FleetState) -> Self {
         let round = |value: f64| (value * 1e3).round() / 1e3;
         SeenStatus {
             answers: round(state.weight),
@@ -59,37 +61,104 @@
     }
 }
 
-/// What is seen of a site.
+/// The averages of one site.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SiteStatus {
-    /// Its number in the platform's settings. Answers count for the site of their server, refusals for that of the instance.
+    /// Its number in the platform's settings. Responses count for their server's site, rejections for the instance's.
     pub site: u8,
-    /// What is seen.
+    /// The averages.
     #[serde(flatten)]
     pub seen: SeenStatus,
 }
 
-/// What is held of a member.
+/// A member, as this instance holds it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
     /// Its number.
     pub number: u32,
     /// `absent`, `alive`, `suspect`, `dead` or `left`.
     pub state: String,
-    /// For how many milliseconds.
+    /// Milliseconds since the state began.
     pub since_ms: u64,
-    /// By whose word.
+    /// The member whose observation led to the state.
     pub by: u32,
-    /// Where it is reached.
+    /// Its address.
     pub address: String,
     /// Its site.
     pub site: u8,
-    /// What it is for.
+    /// Its role: `agent` or `observer`.
     pub duty: String,
-    /// When it started, by its own clock (Unix milliseconds) ...
+    /// The epoch of its incarnation: its start by its own clock, in Unix milliseconds ...
     pub life: u64,
-    /// ... and how often it has refuted since.
+    /// ... and the counter.
     pub round: u32,
-    /// Milliseconds since it last answered a probe from here.
+    /// Milliseconds since it last acked a probe of this instance.
     pub answered_ms: Option<u64>,
 }
+
+impl MembershipStatus {
+    /// The status of a membership whose socket is bound to `listen`.
+    pub(super) fn new(membership: &Membership, now: Time, listen: String) -> Self {
+        let config = membership.config();
+        let (size, size_error) = membership.size();
+        let (here, roster) = (size.round() as u32, membership.roster());
+        let quorum_state = membership.quorum_state();
+        MembershipStatus {
+            cluster: config.cluster.clone(),
+            number: config.number.0,
+            listen,
+            stance: quorum_state.as_str().to_owned(),
+            reason: quorum_reason(quorum_state, here, roster),
+            here,
+            size_error,
+            roster,
+            reckoned: membership.effective_size(now),
+            doubt: membership.local_health(),
+            fleet: SeenStatus::of(membership.fleet(now)),
+            sites: membership
+                .sites()
+                .map(|(site, state)| SiteStatus { site, seen: SeenStatus::of(state) })
+                .collect(),
+            members: membership.members().map(|member| MemberStatus::new(member, now)).collect(),
+        }
+    }
+}
+
+impl MemberStatus {
+    fn new(member: &Member, now: Time) -> Self {
+        let ms_since = |at: Time| now.since(at).0 / 1000;
+        MemberStatus {
+            number: member.id.0,
+            state: member.state.as_str().to_owned(),
+            since_ms: ms_since(member.since),
+            by: member.reported_by.0,
+            address: member.address.to_string(),
+            site: member.site,
+            duty: role_name(member.role).to_owned(),
+            life: member.incarnation.epoch,
+            round: member.incarnation.counter,
+            answered_ms: member.last_ack.map(ms_since),
+        }
+    }
+}
+
+/// A role's external name.
+fn role_name(role: Role) -> &'static str {
+    match role {
+        Role::Agent => "agent",
+        Role::Observer => "observer",
+    }
+}
+
+/// Why an instance has its quorum state, for `status.json` and the log.
+pub(super) fn quorum_reason(state: QuorumState, here: u32, roster: u32) -> String {
+    let counts = format!("{here} of {roster} are here");
+    match state {
+        QuorumState::Recovering => format!("just started, or stood still; {counts} by what it holds"),
+        QuorumState::Isolated if roster <= 1 => "there is to be one".to_owned(),
+        QuorumState::Isolated => format!("nobody else is heard, of {roster}"),
+        QuorumState::Minority => format!("{counts}, half or less"),
+        QuorumState::Majority => format!("{counts}, more than half, and a quarter or more is missing"),
+        QuorumState::Degraded | QuorumState::Complete => counts,
+    }
+}
--- a/crates/testbed/src/faults/journal.rs
+++ b/crates/testbed/src/faults/journal.rs
@@ -65,3 +65,8 @@
         Self::new()
     }
 }
+
+/// The text of a log line by which a member's state changed; see `bellcroft::membership` in the agent.
+pub fn member_change(member: usize, to: &str) -> String {
+    format!("member={member} to=\"{to}\"")
+}
--- a/crates/testbed/src/faults/mod.rs
+++ b/crates/testbed/src/faults/mod.rs
@@ -15,7 +15,7 @@
 mod timeline;
 
 pub use cluster::{Cluster, Shape};
-pub use journal::{Entry, Journal};
+pub use journal::{member_change, Entry, Journal};
 pub use links::{Links, Node};
 pub use play::{play, Verdict};
 pub use shim::Shim;
--- a/crates/testbed/src/faults/play.rs
+++ b/crates/testbed/src/faults/play.rs
@@ -100,7 +100,7 @@
         })
         .collect();
     let mistaken = entries.iter().filter(|entry| {
-        let dead = entry.what.split_once("member ").and_then(|(_, rest)| rest.split_once(" is dead"));
+        let dead = entry.what.split_once("member=").and_then(|(_, rest)| rest.split_once(" to=\"dead\""));
         dead.and_then(|(number, _)| number.parse().ok()).is_some_and(|n: usize| !troubled.contains(&n))
     });
     let verdict = Verdict {
