--- a/crates/agent/tests/daemon.rs
+++ b/crates/agent/tests/daemon.rs
@@ -94,7 +94,7 @@
         let line = line.unwrap_or_else(|| panic!("it ended:\n{text}"));
         text.push_str(&line);
         text.push('\n');
-        if let Some((_, address)) = line.split_once("listening on ") {
+        if let Some(address) = log_field(&line, "listening for clients", "address") {
             break address.parse().expect("an address");
         }
     };
@@ -155,7 +155,7 @@
     running.signal("-TERM").await;
     let (code, log) = running.end().await;
     assert_eq!(code, Some(0));
-    assert!(log.contains("totals {"), "{log}");
+    assert!(log.contains("final request totals") && log.contains(" requests={"), "{log}");
     assert_eq!(daemon.file()["phase"], "stopped");
     let (last, code) = daemon.status().await;
     assert_eq!((code, &last["last"]["phase"]), (Some(4), &json!("stopped")));
@@ -222,7 +222,7 @@
 #[tokio::test]
 async fn of_two_that_start_at_once_one_serves_and_the_other_ends_with_3() {
     let (_backend, _directory, mut config) = world().await;
-    config["listen"] = nobody().await.to_string().into();
+    config["listen"] = unshared_address().await.to_string().into();
     let daemon = Daemon::new(&config);
     for round in 0..50 {
         let first = daemon.command().spawn().expect("it starts");
@@ -313,7 +313,7 @@
         running.signal("-TERM").await;
         let (code, log) = running.end().await;
         assert_eq!(code, Some(0));
-        assert!(log.contains(why) && log.contains("serving goes on"), "{log}");
+        assert!(log.contains(why) && log.contains("start: continuing with a problem"), "{log}");
     }
     assert!(std::fs::read_dir(&foreign)
         .expect("it is there")
@@ -344,7 +344,7 @@
 async fn on_a_full_disk_serving_goes_on_and_the_status_says_so() {
     let (_backend, _directory, config) = world().await;
     let daemon = Daemon::new(&config);
-    let listen = nobody().await;
+    let listen = unshared_address().await;
     let log = daemon.folder.path().join("log");
     let mut command = Command::new("/bin/sh");
     let script = "trap '' XFSZ; ulimit -f 0; exec \"$0\" run --operator \"$1\" 2>>\"$2\"";
--- a/crates/agent/tests/operations.rs
+++ b/crates/agent/tests/operations.rs
@@ -209,11 +209,6 @@
     }
 }
 
-/// An address that no other test uses: a process that is replaced must have one that its successor can name.
-async fn own_address(place: u8) -> String {
-    format!("127.77.0.{place}:{}", nobody().await.port())
-}
-
 /// Clients that ask one request after another, on the connection that they have for as long as it stays open.
 async fn ask_on(address: String, stop: Arc<AtomicBool>, served: Arc<AtomicUsize>) -> Vec<String> {
     let mut wrong = Vec::new();
@@ -254,7 +249,7 @@
     let directory = Directory::start(Mood::Mute).await;
     let folder = Folder::new();
     let mut config = operated(&directory, &[host("s", backend.address, "up")]);
-    config["listen"] = json!(own_address(1).await);
+    config["listen"] = json!(unshared_address().await.to_string());
     let start = || {
         Agent::with(config.clone(), |command| {
             command.env("TMPDIR", folder.path());
@@ -290,8 +285,9 @@
         old.term().await;
         assert!(old.end().await.success());
         some_more(served.load(Ordering::SeqCst)).await;
-        assert_eq!(new.logged("half of all places"), 1);
-        assert_eq!(new.logged("all places are here"), 1, "the whole is its own once the old one has ended");
+        assert_eq!(new.logged("handover: connection limits changed"), 2);
+        assert_eq!(new.logged("role=Successor"), 1);
+        assert_eq!(new.logged("role=Standalone"), 1, "it has the full limits once the old one has exited");
         old = new;
     }
     stop.store(true, Ordering::SeqCst);
@@ -309,7 +305,7 @@
     let directory = Directory::start(Mood::Mute).await;
     let folder = Folder::new();
     let mut config = operated(&directory, &[host("s", backend.address, "up")]);
-    config["listen"] = json!(own_address(2).await);
+    config["listen"] = json!(unshared_address().await.to_string());
     let start = |config: Value| {
         Agent::with(config, |command| {
             command.env("TMPDIR", folder.path());
@@ -325,7 +321,7 @@
     }
     new.child.kill().await.expect("it is ours");
     soon("the end is known", async {
-        while old.logged("all places are here") == 0 {
+        while old.logged("role=Standalone") == 0 {
             tokio::time::sleep(std::time::Duration::from_millis(1)).await;
         }
     })
@@ -335,7 +331,7 @@
     assert!(old.end().await.success());
     // The address and the meeting place are free again.
     let mut next = start(config).await;
-    assert_eq!(next.logged("half of all places"), 0);
+    assert_eq!(next.logged("handover: connection limits changed"), 0);
     assert_eq!(next.get("/read").await.status(), 200);
     next.term().await;
     assert!(next.end().await.success());
