--- a/crates/agent/src/control_plane.rs
+++ b/crates/agent/src/control_plane.rs
@@ -5,7 +5,7 @@
 
 use crate::daemon::config::{Config, ConfigErrors, ConfigSources};
 use crate::driver::Driver;
-use crate::peers::{Decisions, Peers};
+use crate::peers::{PeerEventHandler, Peers, PeersConfig};
 use crate::telemetry;
 use bellcroft_agent_core::reconfigure;
 use bellcroft_balancer::SettingsError;
@@ -114,13 +114,15 @@
     ) -> Result<Rc<Self>, ControlPlaneError> {
         let registry = telemetry::instance(&config, started_ms);
         let driver = Driver::start(config.clone(), server_connections, registry.clone())?;
-        if let Some(peering) = config.peering.clone() {
-            let (address, name) = (peering.0, &config.name);
-            let decisions = Rc::downgrade(&driver) as Weak<dyn Decisions>;
-            let peers = Peers::start(peering, (name, config.seed), driver.clock, decisions).await;
-            let peers = peers.map_err(|source| ControlPlaneError::MembershipListen { address, source })?;
-            let address = peers.address().map_or(address, |bound| bound);
-            info!(instance = %name, %address, "membership listening");
+        if let Some((listen, membership)) = config.peering.clone() {
+            let handler = Rc::downgrade(&driver) as Weak<dyn PeerEventHandler>;
+            let instance = config.name.clone();
+            let peers_config = PeersConfig { instance, listen, membership, seed: config.seed };
+            let peers = Peers::start(peers_config, driver.clock, handler).await;
+            let peers =
+                peers.map_err(|source| ControlPlaneError::MembershipListen { address: listen, source })?;
+            let address = peers.address().unwrap_or(listen);
+            info!(instance = %config.name, %address, "membership listening");
             driver.set_peers(peers);
         }
         let driver_task = tokio::task::spawn_local(driver.clone().run());
--- a/crates/agent/src/driver/peers.rs
+++ b/crates/agent/src/driver/peers.rs
@@ -1,7 +1,7 @@
 //! What peers contribute to the balancer's decisions, as advice.
 
 use super::Driver;
-use crate::peers::{name_hash, Decisions, Peers};
+use crate::peers::{name_hash, PeerEventHandler, Peers};
 use bellcroft_balancer::{Event, FleetState, PeerId, UNCONFIRMED_HINT};
 use std::rc::Rc;
 use tracing::warn;
@@ -19,28 +19,28 @@
     }
 }
 
-impl Decisions for Driver {
-    fn servers(&self) -> usize {
+impl PeerEventHandler for Driver {
+    fn listed_servers(&self) -> usize {
         self.state.borrow().endpoints.up_count()
     }
 
-    fn hint(self: Rc<Self>, from: PeerId, name: u64, lone: bool) {
+    fn on_hint(self: Rc<Self>, from: PeerId, server: u64, unconfirmed: bool) {
         {
             let mut state = self.state.borrow_mut();
-            let Some(server) = state.endpoints.find(|own| name_hash(own) == name) else { return };
+            let Some(server) = state.endpoints.find(|name| name_hash(name) == server) else { return };
             let mut payload = server.0.to_be_bytes().to_vec();
-            payload.extend(lone.then_some(UNCONFIRMED_HINT));
+            payload.extend(unconfirmed.then_some(UNCONFIRMED_HINT));
             state.events.push_back(Event::PeerMessage { from, payload });
         }
         self.pump();
     }
 
-    fn fleet(self: Rc<Self>, fleet: FleetState) {
-        self.state.borrow_mut().events.push_back(Event::Fleet(fleet));
+    fn on_fleet_state(self: Rc<Self>, state: FleetState) {
+        self.state.borrow_mut().events.push_back(Event::Fleet(state));
         self.pump();
     }
 
-    fn reckon(&self, instances: u32) {
+    fn on_fleet_size(&self, instances: u32) {
         self.fleet_size.set(instances);
         let mut state = self.state.borrow_mut();
         let mut settings = state.balancer.settings().clone();
--- a/crates/agent/src/peers/mod.rs
+++ b/crates/agent/src/peers/mod.rs
@@ -25,40 +25,55 @@
 
 pub use hints::name_hash;
 
-/// What the decisions hear of peers, as advice.
-pub trait Decisions {
-    /// Servers that the list calls up: the measure of what hearsay may doubt.
-    fn servers(&self) -> usize;
-    /// A peer's decisions doubt the server of this name, by [`named`]; nobody else does where the word is `lone`.
-    fn hint(self: Rc<Self>, from: PeerId, name: u64, lone: bool);
-    /// What the whole fleet has seen of its servers of late.
-    fn fleet(self: Rc<Self>, state: FleetState);
-    /// What is counted for the whole fleet is shared by so many from now on.
-    fn reckon(&self, instances: u32);
+/// Receives what other members contribute to this instance's decisions. All of it is advice.
+pub trait PeerEventHandler {
+    /// The number of servers that the list calls up: bounds how many may count as reported.
+    fn listed_servers(&self) -> usize;
+    /// A peer reports the server with this [`name_hash`]; `unconfirmed` if no other peer does.
+    fn on_hint(self: Rc<Self>, from: PeerId, server: u64, unconfirmed: bool);
+    /// The state of the fleet's servers has changed.
+    fn on_fleet_state(self: Rc<Self>, state: FleetState);
+    /// Limits of the whole fleet are to be shared by this number of instances.
+    fn on_fleet_size(&self, instances: u32);
 }
 
-/// Counts beside those of the protocol.
+/// Counters besides those of the protocol.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Counts {
-    /// Datagrams that the kernel did not take.
-    pub unsent: u64,
-    /// Hints that were told to peers, and that were dropped as the peer isn't here.
-    pub told: (u64, u64),
-    /// Hints heard: taken, too often from one peer, too many servers, one peer's word alone.
-    pub heard: [u64; 4],
+pub struct PeerCounters {
+    /// Datagrams that the kernel did not accept.
+    pub unsent_datagrams: u64,
+    /// Hints sent.
+    pub hints_sent: u64,
+    /// Hints dropped, as their receiver was not reachable.
+    pub hints_undelivered: u64,
+    /// Received hints, by [`ReportVerdict`].
+    pub hint_verdicts: [u64; 4],
+}
+
+/// What [`Peers::start`] needs to know.
+#[derive(Debug)]
+pub struct PeersConfig {
+    /// The instance's name, for log lines.
+    pub instance: String,
+    /// The address to bind.
+    pub listen: SocketAddr,
+    /// The protocol's configuration.
+    pub membership: Config,
+    /// The seed of the protocol's random draws.
+    pub seed: u64,
 }
 
 /// The membership of this instance, with its socket.
 pub struct Peers {
     /// The instance's name, for log lines.
-    name: String,
+    instance: String,
     membership: RefCell<Membership>,
     reports: RefCell<PeerReports>,
     socket: DatagramSocket,
     clock: Clock,
-    decisions: Weak<dyn Decisions>,
-    counts: Cell<Counts>,
-    /// The effective size that the decisions were given last.
+    handler: Weak<dyn PeerEventHandler>,
+    counters: Cell<PeerCounters>,
+    /// The effective size that the handler got last.
     effective_size: Cell<u32>,
     /// Wakes the task when a deadline may have come closer from outside of it.
     deadline_changed: tokio::sync::Notify,
@@ -71,22 +86,23 @@
     ///
     /// The address cannot be bound.
     pub async fn start(
-        (listen, config): (SocketAddr, Config),
-        (name, seed): (&str, u64),
+        config: PeersConfig,
         clock: Clock,
-        decisions: Weak<dyn Decisions>,
+        handler: Weak<dyn PeerEventHandler>,
     ) -> io::Result<Rc<Self>> {
+        let PeersConfig { instance, listen, membership, seed } = config;
         let socket = DatagramSocket::bind(listen).await?;
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let membership = Membership::new(config, clock.now(), unix_time.as_millis() as u64, seed);
+        let epoch = unix_time.as_millis() as u64;
+        let membership = Membership::new(membership, clock.now(), epoch, seed);
         let peers = Rc::new(Peers {
-            name: name.to_owned(),
+            instance,
             membership: RefCell::new(membership),
             reports: RefCell::default(),
             socket,
             clock,
-            decisions,
-            counts: Cell::default(),
+            handler,
+            counters: Cell::default(),
             effective_size: Cell::new(0),
             deadline_changed: tokio::sync::Notify::new(),
         });
@@ -124,7 +140,7 @@
         }
     }
 
-    /// Runs one step of the protocol, then carries out its outputs. The membership is not borrowed meanwhile, as the decisions
+    /// Runs one step of the protocol, then carries out its outputs. The membership is not borrowed meanwhile, as the handler
     /// may answer a hint by sending one.
     fn process(&self, step: impl FnOnce(&mut Membership, Time, &mut Vec<Output>)) {
         let mut outputs = Vec::new();
@@ -133,11 +149,11 @@
         for output in outputs {
             match output {
                 Output::Send(to, bytes) => self.send(to, &bytes),
-                Output::Change(change) => change_log::write(&self.name, &change),
+                Output::Change(change) => change_log::write(&self.instance, &change),
                 Output::Hint(from, payload) => self.on_hint(from, &payload),
                 Output::Fleet(state) => {
-                    if let Some(decisions) = self.decisions.upgrade() {
-                        decisions.fleet(state);
+                    if let Some(handler) = self.handler.upgrade() {
+                        handler.on_fleet_state(state);
                     }
                 }
             }
@@ -146,36 +162,36 @@
 
     fn send(&self, to: SocketAddr, bytes: &[u8]) {
         if self.socket.send_now(bytes, to).is_err() {
-            self.count(|counts| counts.unsent += 1);
+            self.count(|counters| counters.unsent_datagrams += 1);
         }
     }
 
-    /// Passes a changed effective size to the decisions. Not called from within a decision, which has its state borrowed: from
+    /// Passes a changed effective size to the handler. Not called from within a decision, which has its state borrowed: from
     /// there only [`Peers::process`] runs.
     fn update_effective_size(&self) {
         let size = self.membership.borrow().effective_size(self.clock.now());
         if self.effective_size.replace(size) != size {
-            if let Some(decisions) = self.decisions.upgrade() {
-                decisions.reckon(size);
+            if let Some(handler) = self.handler.upgrade() {
+                handler.on_fleet_size(size);
             }
         }
     }
 
-    fn count(&self, change: impl FnOnce(&mut Counts)) {
-        let mut counts = self.counts.get();
-        change(&mut counts);
-        self.counts.set(counts);
+    fn count(&self, change: impl FnOnce(&mut PeerCounters)) {
+        let mut counters = self.counters.get();
+        change(&mut counters);
+        self.counters.set(counters);
     }
 
     fn on_hint(&self, from: Id, payload: &[u8]) {
-        let Some(decisions) = self.decisions.upgrade() else { return };
+        let Some(handler) = self.handler.upgrade() else { return };
         // Another encoding, perhaps of a newer version: ignored.
         let Some(server) = hints::decode(payload) else { return };
-        let listed = decisions.servers();
+        let listed = handler.listed_servers();
         let verdict = self.reports.borrow_mut().on_report(self.clock.now(), from, payload, listed);
-        self.count(|counts| counts.heard[verdict as usize] += 1);
+        self.count(|counters| counters.hint_verdicts[verdict as usize] += 1);
         if matches!(verdict, ReportVerdict::Accepted | ReportVerdict::Unconfirmed) {
-            decisions.hint(PeerId(from.0), server, verdict == ReportVerdict::Unconfirmed);
+            handler.on_hint(PeerId(from.0), server, verdict == ReportVerdict::Unconfirmed);
         }
     }
 
@@ -184,7 +200,10 @@
         let payload = hints::encode(name_hash(name));
         let mut sent = false;
         self.process(|membership, now, out| sent = membership.send_hint(now, Id(to.0), payload, out));
-        self.count(|counts| if sent { counts.told.0 += 1 } else { counts.told.1 += 1 });
+        self.count(|counters| {
+            let counter = if sent { &mut counters.hints_sent } else { &mut counters.hints_undelivered };
+            *counter += 1;
+        });
     }
 
     /// Records the signals of this instance's decisions in the digest.
@@ -234,8 +253,8 @@
     }
 
     /// The counters of the protocol, and those of this module.
-    pub fn stats(&self) -> (Stats, Counts) {
-        (self.membership.borrow().stats(), self.counts.get())
+    pub fn stats(&self) -> (Stats, PeerCounters) {
+        (self.membership.borrow().stats(), self.counters.get())
     }
 
     /// The number of other members in each [`bellcroft_membership::State`].
--- a/crates/agent/src/telemetry.rs
+++ b/crates/agent/src/telemetry.rs
@@ -77,14 +77,16 @@
     for stance in QuorumState::ALL {
         gauge(&families::STANCE, &[stance.as_str()], f64::from(stance.as_str() == status.stance));
     }
-    let (figures, counts) = peers.stats();
+    let (figures, counters) = peers.stats();
     let count = |family: &'static Family, label: &str, total: u64| {
         let counter = registry.counter(family, &[label]);
         counter.inc_by((total as f64 - counter.get()).max(0.0));
     };
-    for (word, total) in
-        [("sent", figures.sent_datagrams), ("unsent", counts.unsent), ("taken", figures.accepted_datagrams)]
-    {
+    for (word, total) in [
+        ("sent", figures.sent_datagrams),
+        ("unsent", counters.unsent_datagrams),
+        ("taken", figures.accepted_datagrams),
+    ] {
         count(&families::MEMBER_DATAGRAMS, word, total);
     }
     for (word, total) in RejectReason::LABELS.iter().zip(figures.rejected) {
@@ -101,14 +103,14 @@
     ] {
         count(&families::MEMBER_EVENTS, word, total);
     }
-    let heard = counts.heard;
+    let verdicts = counters.hint_verdicts;
     for (word, total) in [
-        ("told", counts.told.0),
-        ("undelivered", counts.told.1),
-        ("taken", heard[0]),
-        ("too_often", heard[1]),
-        ("too_many", heard[2]),
-        ("alone", heard[3]),
+        ("told", counters.hints_sent),
+        ("undelivered", counters.hints_undelivered),
+        ("taken", verdicts[0]),
+        ("too_often", verdicts[1]),
+        ("too_many", verdicts[2]),
+        ("alone", verdicts[3]),
     ] {
         count(&families::HINTS, word, total);
     }
