--- a/crates/agent/tests/membership.rs
+++ b/crates/agent/tests/membership.rs
@@ -5,7 +5,7 @@
 use bellcroft_simulation::What;
 use membership_support::*;
 use std::time::Duration;
-use testbed::faults::{Cluster, Shape};
+use testbed::faults::{Cluster, Shape, Stage};
 use testbed::*;
 use tokio::net::UdpSocket;
 use tokio::time::Instant;
@@ -19,8 +19,19 @@
     let mut stage = converged_stage(Shape { seed: 7, ..Shape::default() }, 10.0, SOON).await;
     assert_eq!(stage.cluster.stance(0).await.as_deref(), Some("whole"));
     stage.traffic.more(10, 12).await;
+    crash_and_restart(&mut stage).await;
+    stall_and_resume(&mut stage).await;
+    partition_and_heal(&stage).await;
+    cut_one_way_and_heal(&stage).await;
+    stage.traffic.more(10, 12).await;
+    let (_, findings) = stage.finish().await;
+    assert_eq!(findings.breaches, Vec::<String>::new());
+    assert_eq!(findings.unanswered, Vec::<String>::new(), "each request has its one final answer in time");
+    assert!(findings.records.len() > 1_000);
+}
 
-    // A crash: the member alone is declared dead, by all, and rejoins without state.
+/// The crashed member alone is declared dead, by all, and rejoins without state.
+async fn crash_and_restart(stage: &mut Stage) {
     let since = stage.cluster.journal.now();
     stage.suffer(&What::Kill { instances: vec![5] }).await;
     let (all, rest) = (all_except(12, &[]), all_except(12, &[5]));
@@ -37,19 +48,23 @@
     assert_eq!(false_deaths, 0, "no other member is declared dead");
     stage.suffer(&What::Restart { instances: vec![5] }).await;
     assert!(stage.cluster.agree(SOON).await.is_some(), "it rejoins with its name and number");
+}
 
-    // A stall: the member is declared dead, refutes it, and declares no other member dead.
+/// The stalled member is declared dead, refutes it, and declares no other member dead.
+async fn stall_and_resume(stage: &mut Stage) {
     let since = stage.cluster.journal.now();
     stage.suffer(&What::Stop { instances: vec![3], on: true }).await;
-    let others = all_except(12, &[3]);
+    let (all, others) = (all_except(12, &[]), all_except(12, &[3]));
     assert!(stage.cluster.until(&others, &[3], &["dead"], SOON).await.is_some(), "the stall is detected");
     stage.suffer(&What::Stop { instances: vec![3], on: false }).await;
     assert!(stage.cluster.agree(SOON).await.is_some(), "it refutes, and the views converge");
     assert!(stage.cluster.journal.count("i3", since, "process resumed after a stall") >= 1);
     let false_deaths = all_deaths_logged(&stage.cluster, &all, &others, since);
     assert_eq!(false_deaths, 0, "no other member is declared dead");
+}
 
-    // A partition: each side declares the other one dead, and no member of its own; the effective size stays twelve.
+/// Each side declares the other one dead, and no member of its own; the effective size stays twelve.
+async fn partition_and_heal(stage: &Stage) {
     let (left, right): (Vec<usize>, Vec<usize>) = ((0..6).collect(), (6..12).collect());
     stage.cluster.partition(&[&left, &right]);
     assert!(stage.cluster.until(&left, &right, &["dead"], SOON).await.is_some(), "left declares right dead");
@@ -66,8 +81,10 @@
     stage.traffic.more(10, 12).await;
     stage.cluster.partition(&[&all_except(12, &[])]);
     assert!(stage.cluster.agree(SOON).await.is_some(), "the views converge");
+}
 
-    // A one-way cut: no datagram reaches number 4, and its own arrive. Foreign bytes arrive at number 0 besides.
+/// No datagram reaches number 4, and its own arrive. Foreign bytes arrive at number 0 besides.
+async fn cut_one_way_and_heal(stage: &Stage) {
     let since = stage.cluster.journal.now();
     stage.cluster.link(
         &[bellcroft_simulation::Place::Instance(None)],
@@ -94,12 +111,6 @@
     assert!(stage.cluster.agree(SOON).await.is_some(), "the views converge");
     let false_deaths = all_deaths_logged(&stage.cluster, &others, &others, since);
     assert_eq!(false_deaths, 0, "its accusations declare no member dead");
-
-    stage.traffic.more(10, 12).await;
-    let (_, findings) = stage.finish().await;
-    assert_eq!(findings.breaches, Vec::<String>::new());
-    assert_eq!(findings.unanswered, Vec::<String>::new(), "each request has its one final answer in time");
-    assert!(findings.records.len() > 1_000);
 }
 
 /// A stalled instance must not decide by its list from before the stall: five of six servers have drained meanwhile, and its
--- a/crates/agent/tests/peers.rs
+++ b/crates/agent/tests/peers.rs
@@ -85,6 +85,41 @@
     assert!(after.len() > 500 && refused * 50 < after.len(), "{refused} of {}", after.len());
 }
 
+/// Datagrams of member 9: a false hint, a false digest and gossip, each with a false death and a false epoch of a member.
+fn false_datagrams(round: u32) -> Vec<Vec<u8>> {
+    let false_epoch = 1 << 46;
+    let claim = |state, epoch| Update {
+        id: Id(round % 9),
+        incarnation: Incarnation { epoch, counter: 1 },
+        state,
+        reported_by: Id(9),
+        site: 0,
+        role: Role::Agent,
+        address: None,
+    };
+    let server = bellcroft_platform_settings::fnv1a(&format!("s{}", round % 4));
+    let messages = [
+        Message::Hint { payload: server.to_be_bytes().to_vec() },
+        Message::Digest { parts: Part::encode(&[FALSE_PART]) },
+        Message::Gossip,
+    ];
+    let datagram = |message| Datagram {
+        from: Id(9),
+        incarnation: Incarnation { epoch: false_epoch, counter: round },
+        site: 0,
+        role: Role::Agent,
+        message,
+        new_updates: 2,
+        updates: vec![claim(State::Dead, false_epoch - 1), claim(State::Alive, false_epoch - 2)],
+    };
+    let cluster = bellcroft_platform_settings::fnv1a("testbed");
+    messages.into_iter().map(|message| encode(cluster, &datagram(message)).0).collect()
+}
+
+/// A million slow responses and rejected requests.
+const FALSE_PART: Part =
+    Part { site: 0, weight: 1e6, square: 1.0, latency: 1.2e6, load: 1.2e6, requests: 1e6, rejections: 1e6 };
+
 /// The test takes the place of member 9 and sends false hints about healthy servers, false digests, false deaths and false
 /// epochs, also of its own.
 #[tokio::test(flavor = "multi_thread")]
@@ -94,49 +129,10 @@
     let (socket, roster) = stage.cluster.impersonate(9).await;
     let since = stage.cluster.journal.now();
     let began = tokio::time::Instant::now();
-    let false_epoch = 1 << 46;
-    let false_part = Part {
-        site: 0,
-        weight: 1e6,
-        square: 1.0,
-        latency: 1.2e6,
-        load: 1.2e6,
-        requests: 1e6,
-        rejections: 1e6,
-    };
-    let cluster = bellcroft_platform_settings::fnv1a("testbed");
     for round in 0..100_u32 {
-        let incarnation = Incarnation { epoch: false_epoch, counter: round };
-        let subject = round % 9;
-        let claim = |state, epoch| Update {
-            id: Id(subject),
-            incarnation: Incarnation { epoch, counter: 1 },
-            state,
-            reported_by: Id(9),
-            site: 0,
-            role: Role::Agent,
-            address: None,
-        };
-        let server = bellcroft_platform_settings::fnv1a(&format!("s{}", round % 4));
-        let messages = [
-            Message::Hint { payload: server.to_be_bytes().to_vec() },
-            Message::Digest { parts: Part::encode(&[false_part]) },
-            Message::Gossip,
-        ];
-        for (to, at) in roster.iter().enumerate().take(9) {
-            for message in messages.clone() {
-                let updates = vec![claim(State::Dead, false_epoch - 1), claim(State::Alive, false_epoch - 2)];
-                let datagram = Datagram {
-                    from: Id(9),
-                    incarnation,
-                    site: 0,
-                    role: Role::Agent,
-                    message,
-                    new_updates: 2,
-                    updates,
-                };
-                let (bytes, _) = encode(cluster, &datagram);
-                socket.send_to(&bytes, at).await.unwrap_or_else(|e| panic!("to {to}: {e}"));
+        for (to, address) in roster.iter().enumerate().take(9) {
+            for bytes in false_datagrams(round) {
+                socket.send_to(&bytes, address).await.unwrap_or_else(|e| panic!("to {to}: {e}"));
             }
         }
         tokio::time::sleep(Duration::from_millis(50)).await;
