--- a/crates/agent/src/control_plane.rs
+++ b/crates/agent/src/control_plane.rs
@@ -74,7 +74,7 @@
         server_connections: usize,
         started_ms: u64,
     ) -> Result<Rc<Self>, String> {
-        let registry = telemetry::instance(&config, started_ms);
+        let registry = telemetry::start(&config, started_ms);
         let driver = Driver::start(config.clone(), server_connections, registry.clone());
         let driver = driver.map_err(|e| e.to_string())?;
         if let Some(peering) = config.peering.clone() {
@@ -116,7 +116,9 @@
     /// Begins to send what is counted, if the operator's file says where to. `refresh` sets the gauges before each sample.
     pub(crate) fn send_telemetry(&self, refresh: impl Fn() + 'static) {
         let config = self.config();
-        let Some((remote, instance)) = telemetry::remote(&config).zip(self.registry.clone()) else { return };
+        let Some((remote, instance)) = telemetry::remote_write(&config).zip(self.registry.clone()) else {
+            return;
+        };
         let (clock, name) = (self.driver.clock, config.name.clone());
         let owner = Owner {
             instance,
@@ -131,7 +133,7 @@
     /// Sets the gauges that membership keeps.
     pub(crate) fn refresh_gauges(&self) {
         if let Some((registry, peers)) = self.registry.as_ref().zip(self.driver.peers()) {
-            telemetry::peers(&registry.registry, &peers, self.driver.stalls());
+            telemetry::sample_peers(&registry.registry, &peers, self.driver.stalls());
         }
     }
 
@@ -159,9 +161,9 @@
         self.driver.reconfigure(&newer).map_err(|e| e.to_string())?;
         self.driver.set_routes(&newer);
         if let Some(registry) = &self.registry {
-            telemetry::budgets(registry, &newer);
+            telemetry::publish_budgets(registry, &newer);
         }
-        if let Some((remote, config)) = self.remote.borrow().as_ref().zip(telemetry::remote(&newer)) {
+        if let Some((remote, config)) = self.remote.borrow().as_ref().zip(telemetry::remote_write(&newer)) {
             remote.change(config);
         }
         if let Some((peers, (_, config))) = self.driver.peers().zip(newer.peering.as_ref()) {
--- a/crates/agent/src/downstream/connection.rs
+++ b/crates/agent/src/downstream/connection.rs
@@ -128,7 +128,7 @@
             return;
         }
         if let Some(owing) = self.owing.take() {
-            owing.left();
+            owing.on_response_written();
         }
         self.used.set(true);
         self.enter(ConnectionState::Idle);
--- a/crates/agent/src/downstream/mod.rs
+++ b/crates/agent/src/downstream/mod.rs
@@ -166,8 +166,8 @@
     /// A client's connection has ended, or is closed now.
     fn on_closed(&self, number: u64, client: &ClientConnection, reason: CloseReason) {
         let (state, _) = client.state();
-        self.driver.request_log.closed(number, state, reason);
-        let by_this_process = !matches!(reason, CloseReason::ClientLeft | CloseReason::Finished);
+        self.driver.request_log.on_connection_closed(number, state, reason);
+        let by_this_process = !matches!(reason, CloseReason::ClientDisconnected | CloseReason::Finished);
         if by_this_process && client.stuck().is_none() {
             self.driver.guard.borrow_mut().on_close(state);
         }
@@ -260,7 +260,7 @@
         loop {
             let until = self.expires_at(&client, taken);
             if Instant::now() >= until {
-                return CloseReason::Expired;
+                return CloseReason::TimedOut;
             }
             // What has come is looked at before the connection's time.
             tokio::select! {
@@ -274,7 +274,7 @@
                     }
                 }
                 // A client that closes its side has gone away (the protocol's page): what it waits for ends with it.
-                () = leaving.as_mut() => return CloseReason::ClientLeft,
+                () = leaving.as_mut() => return CloseReason::ClientDisconnected,
                 () = ending.as_mut(), if !refused => {
                     refused = true;
                     if client.state().0 == ConnectionState::ReceivingHead {
@@ -288,7 +288,7 @@
         }
         // Nothing else is being written: a head that is not complete comes only after the answer before it.
         refuse_incomplete_head(&stream).await;
-        CloseReason::ProcessEnds
+        CloseReason::Shutdown
     }
 }
 
--- a/crates/agent/src/driver/attempts.rs
+++ b/crates/agent/src/driver/attempts.rs
@@ -2,7 +2,7 @@
 
 use super::requests::{FinalResponse, IncomingRequest, RequestBody};
 use super::{duration, Driver, State};
-use crate::request_log::AnswerReason;
+use crate::request_log::ResponseReason;
 use crate::streaming_body::OutgoingBody;
 use crate::telemetry::FirstByte;
 use crate::upstream::{AttemptLimits, AttemptProgress, AttemptResult};
@@ -87,12 +87,12 @@
         let groups = state.endpoints.groups(server);
         let id = pending.request.request_id.clone();
         if let Err(denied) = self.guard.borrow_mut().may_send(now, &pending.history, groups) {
-            self.request_log.attempt_denied(&id, key.attempt, server.0, denied);
+            self.request_log.on_attempt_denied(&id, key.attempt, server, denied);
             return state.on_not_sent(key);
         }
         pending.history.on_sent(key.attempt, now, groups);
         let timeout = duration(window.end_by.since(now));
-        self.request_log.attempt_sent(&id, key.attempt, server.0, timeout);
+        self.request_log.on_attempt_sent(&id, key.attempt, server, timeout);
         let started_at = Instant::now();
         let request = pending.request.clone();
         let first_byte = self.count_attempt(state, key, server, &request);
@@ -147,7 +147,7 @@
                 attempt.sent_at = attempt.sent_at.max(completed_at);
             }
             let elapsed = attempt.sent_at.elapsed();
-            driver.request_log.attempt_ended(&id, attempt.key.attempt, result.outcome, elapsed);
+            driver.request_log.on_attempt_finished(&id, attempt.key.attempt, result.outcome, elapsed);
             driver.on_attempt_finished(attempt, result);
         });
     }
@@ -168,7 +168,7 @@
             state.attempts.progress.remove(&key);
             if let Some((content_type, body)) = result.answer {
                 let response = FinalResponse::Served(content_type, body);
-                self.respond(&mut state, key.request, response, AnswerReason::Served);
+                self.respond(&mut state, key.request, response, ResponseReason::Served);
             }
             if let Some(pending) = state.requests.get_mut(key.request) {
                 pending.history.on_outcome(key.attempt, outcome);
--- a/crates/agent/src/driver/mod.rs
+++ b/crates/agent/src/driver/mod.rs
@@ -27,7 +27,7 @@
 use crate::discovery::monitor::Monitor;
 use crate::discovery::Discovery;
 use crate::peers::Peers;
-use crate::request_log::{AnswerReason, RequestLog};
+use crate::request_log::{RequestLog, ResponseReason};
 use crate::upstream::Upstream;
 use attempts::{AttemptKey, AttemptsInFlight, ScheduledAttempt};
 use bellcroft_agent_core::guard::Guard;
@@ -175,7 +175,7 @@
     /// The process shuts down: all requests, pending and new, get their responses by the times of this schedule.
     pub fn begin_shutdown(&self, schedule: ShutdownSchedule) {
         self.guard.borrow_mut().begin_shutdown(schedule);
-        self.request_log.begin_shutdown();
+        self.request_log.on_shutdown();
     }
 
     /// The number of listed servers that get no requests at present, or fewer than their weight.
@@ -228,7 +228,7 @@
                 if let Some(peers) = &*self.peers.borrow() {
                     peers.on_request_rejected();
                 }
-                self.respond(state, request, FinalResponse::Rejected(retry_after), AnswerReason::Refused);
+                self.respond(state, request, FinalResponse::Rejected(retry_after), ResponseReason::Rejected);
             }
             Action::Fail { request } => self.fail(state, request),
             Action::SetTimer { at, timer } => {
--- a/crates/agent/src/driver/requests.rs
+++ b/crates/agent/src/driver/requests.rs
@@ -1,7 +1,7 @@
 //! Requests of clients: accepted from downstream, handed to the balancer, and each given one final response.
 
 use super::{duration, Driver, State};
-use crate::request_log::AnswerReason;
+use crate::request_log::ResponseReason;
 use crate::streaming_body::StreamingBody;
 use crate::telemetry::{PendingTimer, NO_ROUTE};
 use crate::upstream::Content;
@@ -171,7 +171,7 @@
         let id = state.requests.allocate_id();
         let now = self.clock.now();
         let time_left = self.answer_by(incoming.deadline).since(now);
-        self.request_log.taken(&incoming.request_id, incoming.class.0, duration(time_left));
+        self.request_log.on_request(&incoming.request_id, incoming.class, duration(time_left));
         let request = state.balancer_request(id, &incoming, time_left, now);
         let timer = self.start_pending_timer(id, &incoming);
         let history = AttemptHistory::new(state.retry_safety(incoming.class));
@@ -185,7 +185,7 @@
         state.requests.pending.insert(id, pending);
         if self.guard.borrow().must_answer_all(now) {
             // No attempt of it has been sent, so the rejection is safe to retry.
-            self.respond(&mut state, id, FinalResponse::Rejected(None), AnswerReason::ProcessEnds);
+            self.respond(&mut state, id, FinalResponse::Rejected(None), ResponseReason::Shutdown);
         } else {
             state.events.push_back(Event::Request(request));
         }
@@ -222,7 +222,7 @@
         {
             let mut state = self.state.borrow_mut();
             let Some(pending) = state.requests.pending.remove(&id) else { return };
-            self.request_log.client_left(&pending.request.request_id);
+            self.request_log.on_client_disconnected(&pending.request.request_id);
             state.attempts.cancel_unwritten(id, pending.attempts);
             state.events.push_back(Event::ClientDisconnected { request: id });
         }
@@ -236,7 +236,7 @@
             let pending: Vec<RequestId> = state.requests.pending.keys().copied().collect();
             for request in pending {
                 let response = FinalResponse::Failed(StatusCode::GATEWAY_TIMEOUT);
-                self.respond(&mut state, request, response, AnswerReason::ProcessEnds);
+                self.respond(&mut state, request, response, ResponseReason::Shutdown);
                 state.events.push_back(Event::ClientDisconnected { request });
             }
         }
@@ -259,7 +259,7 @@
             true => StatusCode::GATEWAY_TIMEOUT,
             false => StatusCode::BAD_GATEWAY,
         };
-        self.respond(state, request, FinalResponse::Failed(status), AnswerReason::Failed);
+        self.respond(state, request, FinalResponse::Failed(status), ResponseReason::Failed);
     }
 
     /// Gives a request its final response, and stops the writing of its attempts. Does nothing if it has one.
@@ -268,10 +268,10 @@
         state: &mut State,
         id: RequestId,
         response: FinalResponse,
-        reason: AnswerReason,
+        reason: ResponseReason,
     ) {
         let Some(pending) = state.requests.pending.remove(&id) else { return };
-        self.request_log.answered(&pending.request.request_id, reason);
+        self.request_log.on_response(&pending.request.request_id, reason);
         state.attempts.cancel_unwritten(id, pending.attempts);
         // The receiver is gone if the client disconnected at this moment.
         let _ = pending.response.send(response);
--- a/crates/agent/src/request_log.rs
+++ b/crates/agent/src/request_log.rs
@@ -1,15 +1,16 @@
-//! The log of requests: each event of a request's life with its id, for whoever has to follow one through a fault.
+//! The request log: each event of a request with its id, for following one request through a fault.
 //!
-//! At level `debug` while the process serves (`--log-level info,bellcroft::requests=debug`), and at `info` from the moment
-//! in which it was told to end: a shutdown is short, and what it leaves unanswered can't be asked for later.
+//! Events are logged at level `debug` while the process serves (`--log-level info,bellcroft::requests=debug`), and at `info`
+//! from the start of a shutdown: that is short, and its pending requests cannot be traced afterwards. A denied attempt is a
+//! warning, unless the shutdown denies it.
 
 use bellcroft_agent_core::guard::{ConnectionState, SendDenied};
-use bellcroft_balancer::Outcome;
+use bellcroft_balancer::{ClassId, Outcome, ServerId};
 use std::cell::Cell;
 use std::time::Duration;
 use tracing::{debug, info, warn};
 
-/// Logs one event at the level of the moment.
+/// Logs an event at the present level.
 macro_rules! event {
     ($log:expr, $($fields:tt)*) => {
         if $log.shutting_down.get() {
@@ -20,83 +21,84 @@
     };
 }
 
-/// Why a client's connection is closed by this process.
+/// Why a client's connection has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseReason {
-    /// Its time in the state that it is in is over.
-    Expired,
-    /// Another client needs its place.
+    /// The time-out of the connection's state has passed.
+    TimedOut,
+    /// It made way for another client at the connection limit.
     Evicted,
-    /// Its client has closed its side while a request of it waited.
-    ClientLeft,
-    /// HTTP's end of it: the last answer is out, or the client has closed, or its bytes are wrong.
+    /// The client closed its side while a request was pending.
+    ClientDisconnected,
+    /// The HTTP connection ended: after the last response, by the client, or by invalid bytes.
     Finished,
-    /// The process ends.
-    ProcessEnds,
+    /// The process shuts down.
+    Shutdown,
 }
 
-/// Why a request has its answer.
+/// Why a request got its final response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AnswerReason {
-    /// A server's answer.
+pub enum ResponseReason {
+    /// A server responded.
     Served,
-    /// The decisions refused it.
-    Refused,
-    /// The decisions gave it up.
+    /// The balancer rejected the request.
+    Rejected,
+    /// The balancer gave the request up.
     Failed,
-    /// The process ends before its deadline.
-    ProcessEnds,
+    /// The process ends before the request's deadline.
+    Shutdown,
 }
 
-/// The log of requests of one process.
+/// The request log of a process.
 #[derive(Debug, Default)]
 pub struct RequestLog {
     shutting_down: Cell<bool>,
 }
 
 impl RequestLog {
-    /// From now on events are logged at level `info`.
-    pub fn begin_shutdown(&self) {
+    /// Logs events at level `info` from now on.
+    pub fn on_shutdown(&self) {
         self.shutting_down.set(true);
     }
 
-    /// A request has been taken.
-    pub fn taken(&self, id: &str, class: usize, time_left: Duration) {
-        event!(self, id, class, ?time_left, "request taken");
+    /// A request has been received, and is due within `time_left`.
+    pub fn on_request(&self, id: &str, class: ClassId, time_left: Duration) {
+        event!(self, id, class = class.0, ?time_left, "request received");
     }
 
-    /// An attempt is sent.
-    pub fn attempt_sent(&self, id: &str, attempt: u32, server: u32, timeout: Duration) {
-        event!(self, id, attempt, server, ?timeout, "attempt sent");
+    /// An attempt is sent, and ends within `timeout`.
+    pub fn on_attempt_sent(&self, id: &str, attempt: u32, server: ServerId, timeout: Duration) {
+        event!(self, id, attempt, server = server.0, ?timeout, "attempt sent");
     }
 
-    /// An attempt of the decisions' is not sent.
-    pub fn attempt_denied(&self, id: &str, attempt: u32, server: u32, reason: SendDenied) {
+    /// An attempt that the balancer scheduled is not sent.
+    pub fn on_attempt_denied(&self, id: &str, attempt: u32, server: ServerId, reason: SendDenied) {
+        let server = server.0;
         match reason {
-            SendDenied::ProcessEnding => event!(self, id, attempt, server, ?reason, "attempt not sent"),
-            _ => {
-                warn!(target: "bellcroft::requests", id, attempt, server, ?reason, "attempt not sent")
+            SendDenied::ProcessEnding => event!(self, id, attempt, server, ?reason, "attempt denied"),
+            SendDenied::MayRunTwice | SendDenied::OutsideDedupWindow | SendDenied::OutsideDedupGroup => {
+                warn!(target: "bellcroft::requests", id, attempt, server, ?reason, "attempt denied");
             }
         }
     }
 
-    /// An attempt is over.
-    pub fn attempt_ended(&self, id: &str, attempt: u32, outcome: Outcome, elapsed: Duration) {
-        event!(self, id, attempt, ?outcome, ?elapsed, "attempt ended");
+    /// An attempt has its outcome, `elapsed` after it was sent.
+    pub fn on_attempt_finished(&self, id: &str, attempt: u32, outcome: Outcome, elapsed: Duration) {
+        event!(self, id, attempt, ?outcome, ?elapsed, "attempt finished");
     }
 
-    /// A request has its answer.
-    pub fn answered(&self, id: &str, reason: AnswerReason) {
-        event!(self, id, ?reason, "request answered");
+    /// The final response to a request has been decided.
+    pub fn on_response(&self, id: &str, reason: ResponseReason) {
+        event!(self, id, ?reason, "response decided");
     }
 
-    /// A request's client has left before its answer.
-    pub fn client_left(&self, id: &str) {
-        event!(self, id, "request's client left");
+    /// The client of a request has disconnected, or has stopped waiting, before the final response.
+    pub fn on_client_disconnected(&self, id: &str) {
+        event!(self, id, "client disconnected");
     }
 
-    /// A client's connection is closed by this process.
-    pub fn closed(&self, connection: u64, state: ConnectionState, reason: CloseReason) {
-        event!(self, connection, ?state, ?reason, "client's connection closed");
+    /// A client's connection has ended in this state.
+    pub fn on_connection_closed(&self, connection: u64, state: ConnectionState, reason: CloseReason) {
+        event!(self, connection, ?state, ?reason, "downstream connection closed");
     }
 }
--- a/crates/agent/src/streaming_body.rs
+++ b/crates/agent/src/streaming_body.rs
@@ -1,5 +1,7 @@
-//! Bodies that are passed on as they come: a request's to a server ([`Upload`]), an answer's to a client. Neither side is
-//! read before the other one takes, so memory does not grow with a body's length.
+//! Request bodies on their way to a server, buffered ([`OutgoingBody::Complete`]) or streamed ([`StreamingBody`]).
+//!
+//! A streaming body is read from its client only as its server takes it, so memory does not grow with its length. Until bytes
+//! behind its buffered beginning have been forwarded, another attempt can send it from the start.
 
 use bellcroft_agent_core::body_limits::{BodyTooLarge, BufferPool, ForwardedBytes};
 use bytes::Bytes;
@@ -12,91 +14,92 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What a request has kept of its begin, given back with it.
+/// A reservation for the buffered beginning of a request body; released when dropped.
 pub struct ReplayBuffer {
-    store: Rc<RefCell<BufferPool>>,
-    granted: usize,
+    pool: Rc<RefCell<BufferPool>>,
+    capacity: usize,
 }
 
 impl ReplayBuffer {
-    /// What the next one may keep.
-    pub fn acquire(store: &Rc<RefCell<BufferPool>>) -> Self {
-        ReplayBuffer { store: store.clone(), granted: store.borrow_mut().acquire() }
+    /// Reserves a buffer; it is small if the pool is nearly full.
+    #[must_use = "dropping the reservation releases it"]
+    pub fn acquire(pool: &Rc<RefCell<BufferPool>>) -> Self {
+        ReplayBuffer { pool: pool.clone(), capacity: pool.borrow_mut().acquire() }
     }
 
-    /// How much that is.
+    /// The size of the buffer, in bytes.
     pub fn capacity(&self) -> usize {
-        self.granted
+        self.capacity
     }
 }
 
 impl Drop for ReplayBuffer {
     fn drop(&mut self) {
-        self.store.borrow_mut().release(self.granted);
+        self.pool.borrow_mut().release(self.capacity);
     }
 }
 
-/// A request's body that is passed on as it comes. One attempt at a time reads it.
+/// A request body that is still being received: it ends complete, or broken. One attempt at a time reads it.
 pub struct StreamingBody {
-    /// Its length, if it was told.
+    /// The declared length.
     length: Option<u64>,
     rest: RefCell<Incoming>,
-    /// What came first, as long as nothing behind it has been passed on.
-    first: RefCell<Option<(Bytes, ReplayBuffer)>>,
-    passed: Cell<ForwardedBytes>,
-    whole: Cell<Option<Instant>>,
+    /// The buffered beginning; none once bytes behind it have been forwarded.
+    beginning: RefCell<Option<(Bytes, ReplayBuffer)>>,
+    forwarded: Cell<ForwardedBytes>,
+    completed_at: Cell<Option<Instant>>,
     broken: Cell<bool>,
-    /// Told when it is whole or broken.
+    /// Notified when the body is complete or broken.
     ended: Notify,
 }
 
 impl StreamingBody {
-    /// A body that has begun with `first`.
-    pub fn new(length: Option<u64>, first: Bytes, kept: ReplayBuffer, rest: Incoming) -> Rc<Self> {
-        let mut passed = ForwardedBytes::default();
-        // What has been gathered is far below what is carried.
-        let _ = passed.add(first.len());
+    /// A body with this beginning, held in `buffer`.
+    pub fn new(length: Option<u64>, beginning: Bytes, buffer: ReplayBuffer, rest: Incoming) -> Rc<Self> {
+        let mut forwarded = ForwardedBytes::default();
+        // The buffer is far smaller than the maximum of a body.
+        let _ = forwarded.add(beginning.len());
         Rc::new(StreamingBody {
             length,
             rest: RefCell::new(rest),
-            first: RefCell::new(Some((first, kept))),
-            passed: Cell::new(passed),
-            whole: Cell::new(None),
+            beginning: RefCell::new(Some((beginning, buffer))),
+            forwarded: Cell::new(forwarded),
+            completed_at: Cell::new(None),
             broken: Cell::new(false),
             ended: Notify::new(),
         })
     }
 
-    /// Its length, if it was told.
+    /// The declared length.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// When its last byte had come.
+    /// When the last byte was received; none before.
     pub fn completed_at(&self) -> Option<Instant> {
-        self.whole.get()
+        self.completed_at.get()
     }
 
-    /// It ended before it was whole, by its client's fault.
+    /// Whether the body ended incomplete, or exceeded its maximum.
     pub fn is_broken(&self) -> bool {
         self.broken.get()
     }
 
-    /// A part of it is gone: nothing can begin anew with it.
+    /// Whether bytes behind the beginning have been forwarded, so that no other attempt can send the body.
     pub fn is_partly_sent(&self) -> bool {
-        self.first.borrow().is_none()
+        self.beginning.borrow().is_none()
     }
 
-    /// Waits until it is whole or broken.
+    /// Waits until the body is complete or broken.
     pub async fn finished(&self) {
-        while self.whole.get().is_none() && !self.broken.get() {
+        while self.completed_at.get().is_none() && !self.broken.get() {
             self.ended.notified().await;
         }
     }
 
     fn poll_rest(&self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
         loop {
-            if self.whole.get().is_some() {
+            if self.completed_at.get().is_some() {
                 return Poll::Ready(None);
             }
             let frame = Pin::new(&mut *self.rest.borrow_mut()).poll_frame(cx);
@@ -104,24 +107,24 @@
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(Some(Ok(frame))) => match frame.into_data() {
                     Ok(data) => {
-                        let mut passed = self.passed.get();
-                        let fits = passed.add(data.len());
-                        self.passed.set(passed);
-                        // From here on what came first cannot be followed by this again.
-                        self.first.borrow_mut().take();
+                        let mut forwarded = self.forwarded.get();
+                        let fits = forwarded.add(data.len());
+                        self.forwarded.set(forwarded);
+                        // These bytes are gone, so the beginning is of no use to another attempt.
+                        self.beginning.borrow_mut().take();
                         match fits {
                             Ok(()) => return Poll::Ready(Some(Ok(data))),
                             Err(BodyTooLarge) => Some(io::ErrorKind::InvalidData),
                         }
                     }
-                    // Trailers speak of the connection that they came over.
+                    // Trailers are not forwarded: they may concern the client's connection.
                     Err(_) => continue,
                 },
                 Poll::Ready(Some(Err(_))) => Some(io::ErrorKind::UnexpectedEof),
                 Poll::Ready(None) => None,
             };
             match ended {
-                None => self.whole.set(Some(Instant::now())),
+                None => self.completed_at.set(Some(Instant::now())),
                 Some(_) => self.broken.set(true),
             }
             self.ended.notify_one();
@@ -130,19 +133,19 @@
     }
 }
 
-/// What an attempt sends.
+/// The body of an attempt.
 pub enum OutgoingBody {
-    /// A body that is here whole; none once it has been taken.
+    /// A complete body; empty once it has been read.
     Complete(Bytes),
-    /// One that is coming; first what is kept of it.
+    /// A streaming body, and its beginning until that has been read.
     Streaming(Rc<StreamingBody>, Option<Bytes>),
 }
 
 impl OutgoingBody {
-    /// An attempt's view of a body that is coming. It begins with what is kept, and is for nothing if that is gone.
+    /// The body of an attempt that reads a streaming body, from the beginning if that is still buffered.
     pub fn streaming(upload: &Rc<StreamingBody>) -> Self {
-        let first = upload.first.borrow().as_ref().map(|(first, _)| first.clone());
-        OutgoingBody::Streaming(upload.clone(), first)
+        let beginning = upload.beginning.borrow().as_ref().map(|(beginning, _)| beginning.clone());
+        OutgoingBody::Streaming(upload.clone(), beginning)
     }
 }
 
@@ -157,10 +160,12 @@
         let next = match &mut *self {
             OutgoingBody::Complete(bytes) if bytes.is_empty() => Poll::Ready(None),
             OutgoingBody::Complete(bytes) => Poll::Ready(Some(Ok(std::mem::take(bytes)))),
-            OutgoingBody::Streaming(upload, first) => match first.take().filter(|first| !first.is_empty()) {
-                Some(first) => Poll::Ready(Some(Ok(first))),
-                None => upload.poll_rest(cx),
-            },
+            OutgoingBody::Streaming(upload, beginning) => {
+                match beginning.take().filter(|beginning| !beginning.is_empty()) {
+                    Some(beginning) => Poll::Ready(Some(Ok(beginning))),
+                    None => upload.poll_rest(cx),
+                }
+            }
         };
         next.map(|next| next.map(|data| data.map(Frame::data)))
     }
--- a/crates/agent/src/telemetry.rs
+++ b/crates/agent/src/telemetry.rs
@@ -1,10 +1,13 @@
-//! Where the agent's sockets meet its counts: what is sampled, and the marks that tell the observer what has left.
+//! The agent's side of telemetry: the series of an instance, samples of membership, and the timers of requests and attempts.
+//!
+//! All counters are of the process's life. Durations are from the request's last byte to the last byte of its response.
 
 use crate::clock::Clock;
 use crate::daemon::config::Config;
-use crate::peers::Peers;
+use crate::peers::status::MembershipStatus;
+use crate::peers::{Counts, Peers};
 use bellcroft_balancer::{Micros, RequestId, ServerId};
-use bellcroft_membership::{QuorumState, RejectReason, State};
+use bellcroft_membership::{QuorumState, RejectReason, State, Stats};
 use bellcroft_operator_config::RemoteWrite;
 use bellcroft_routes::SecondCopy;
 use bellcroft_telemetry::{families, About, Allowed, Instance, Over, Policy, Registry, Version};
@@ -12,16 +15,19 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// What a request without a route is counted under.
+/// The route label of requests without a route.
 pub const NO_ROUTE: &str = "none";
-/// Further attempts that a request without a budget of its own earns; the decisions' own figure.
-const COMMON_RATIO: f64 = 0.1;
+/// The retries that each request without a retry budget of its own adds to the common budget; as in the balancer.
+const COMMON_RETRY_RATIO: f64 = 0.1;
 
-/// What can be held of a member, in the order of [`Peers::states`].
+/// The states of a member, in the order of [`Peers::states`].
 const STATES: [State; 5] = [State::Absent, State::Alive, State::Suspect, State::Dead, State::Left];
 
-/// The series of an instance whose operator wants them sent.
-pub fn instance(config: &Config, started_ms: u64) -> Option<Rc<Instance>> {
+/// The labels of received hints, in the order of [`Counts::heard`].
+const RECEIVED_HINTS: [&str; 4] = ["taken", "too_often", "too_many", "alone"];
+
+/// The series of an instance; none without remote write.
+pub fn start(config: &Config, started_ms: u64) -> Option<Rc<Instance>> {
     let remote = config.remote_write.as_ref()?;
     let instance = Instance::new(&About {
         settings: &config.settings,
@@ -30,99 +36,124 @@
         zones: &config.names.zones,
         version: env!("CARGO_PKG_VERSION"),
         started: started_ms as f64 / 1e3,
-        external: &labels(remote, &config.name),
+        external: &external_labels(remote, &config.name),
         server_names: remote.server_names,
     });
-    budgets(&instance, config);
+    publish_budgets(&instance, config);
     Some(Rc::new(instance))
 }
 
-/// What the routes allow, as gauges beside what they spend.
-pub fn budgets(instance: &Instance, config: &Config) {
-    let mut allowed = vec![Allowed { route: NO_ROUTE, retries: COMMON_RATIO, copies: None }];
+/// Publishes the budgets of the routes as gauges, beside the counters of what they spend.
+pub fn publish_budgets(instance: &Instance, config: &Config) {
+    let mut allowed = vec![Allowed { route: NO_ROUTE, retries: COMMON_RETRY_RATIO, copies: None }];
     for route in &config.routes.routes {
         let pool = route.pool.as_ref().and_then(|name| config.routes.pools.iter().find(|p| p.name == *name));
         let budgets = [route.retry_budget, pool.and_then(|pool| pool.retry_budget)];
-        // Every one of them pays, so the smallest is what is allowed.
+        // A retry is charged to each budget, so the smallest one limits it.
         let retries = budgets.into_iter().flatten().map(|b| b.ratio).reduce(f64::min);
-        let shares = [route.second_copies_most, pool.and_then(|pool| pool.second_copies_most)];
-        let copies = shares.into_iter().flatten().reduce(f64::min);
+        let hedge_shares = [route.second_copies_most, pool.and_then(|pool| pool.second_copies_most)];
+        let hedges = hedge_shares.into_iter().flatten().reduce(f64::min);
         allowed.push(Allowed {
             route: &route.name,
-            retries: retries.unwrap_or(COMMON_RATIO),
-            copies: copies.filter(|_| route.second_copy_after != SecondCopy::Never),
+            retries: retries.unwrap_or(COMMON_RETRY_RATIO),
+            copies: hedges.filter(|_| route.second_copy_after != SecondCopy::Never),
         });
     }
     instance.allowed(&allowed);
 }
 
-fn labels(remote: &RemoteWrite, name: &str) -> Vec<(String, String)> {
+/// The labels of all series: the operator's, and job and instance unless the operator sets them.
+fn external_labels(remote: &RemoteWrite, name: &str) -> Vec<(String, String)> {
     let own = [("job", "bellcroft"), ("instance", name)].map(|(n, v)| (n.to_owned(), v.to_owned()));
-    let said = |name: &str| remote.labels.iter().any(|(n, _)| n == name);
-    own.into_iter().filter(|(n, _)| !said(n)).chain(remote.labels.iter().cloned()).collect()
+    let is_set = |name: &str| remote.labels.iter().any(|(n, _)| n == name);
+    own.into_iter().filter(|(n, _)| !is_set(n)).chain(remote.labels.iter().cloned()).collect()
 }
 
-/// What is known of the other instances, as series; the counts are those of the process's life.
-pub fn peers(registry: &Registry, peers: &Peers, stalls: u64) {
-    let gauge = |family: &'static Family, labels: &[&str], value: f64| {
-        registry.gauge(family, labels).set(value);
-    };
-    for (state, count) in STATES.iter().zip(peers.states()) {
-        gauge(&families::MEMBERS, &[state.as_str()], count as f64);
-    }
+/// Samples what membership knows of the other instances; `stalls` are those that the driver detected. Counters are those of
+/// the process's life.
+pub fn sample_peers(registry: &Registry, peers: &Peers, stalls: u64) {
+    let sample = PeerSample { registry };
     let status = peers.status();
-    gauge(&families::MEMBERS_HERE, &[], status.here.into());
-    gauge(&families::MEMBERS_RECKONED, &[], status.reckoned.into());
-    gauge(&families::MEMBERS_ROSTER, &[], status.roster.into());
-    for stance in QuorumState::ALL {
-        gauge(&families::STANCE, &[stance.as_str()], f64::from(stance.as_str() == status.stance));
+    let (stats, counts) = peers.stats();
+    sample.members(peers.states(), &status);
+    sample.messages(&stats, counts.unsent);
+    sample.events(&stats, stalls);
+    sample.hints(&counts);
+    sample.digests(&stats);
+    sample.fleet(&status);
+}
+
+/// Writes a sample into the series of a registry.
+struct PeerSample<'a> {
+    registry: &'a Registry,
+}
+
+impl PeerSample<'_> {
+    fn gauge(&self, family: &'static Family, labels: &[&str], value: f64) {
+        self.registry.gauge(family, labels).set(value);
     }
-    let (figures, counts) = peers.stats();
-    let count = |family: &'static Family, label: &str, total: u64| {
-        let counter = registry.counter(family, &[label]);
+
+    /// Raises a counter to a total.
+    fn count(&self, family: &'static Family, label: &str, total: u64) {
+        let counter = self.registry.counter(family, &[label]);
         counter.inc_by((total as f64 - counter.get()).max(0.0));
-    };
-    for (word, total) in
-        [("sent", figures.sent_datagrams), ("unsent", counts.unsent), ("taken", figures.accepted_datagrams)]
-    {
-        count(&families::MEMBER_DATAGRAMS, word, total);
     }
-    for (word, total) in RejectReason::LABELS.iter().zip(figures.rejected) {
-        count(&families::MEMBER_DATAGRAMS, word, total);
+
+    fn members(&self, states: [usize; STATES.len()], status: &MembershipStatus) {
+        for (state, count) in STATES.iter().zip(states) {
+            self.gauge(&families::MEMBERS, &[state.as_str()], count as f64);
+        }
+        self.gauge(&families::MEMBERS_HERE, &[], status.here.into());
+        self.gauge(&families::MEMBERS_RECKONED, &[], status.reckoned.into());
+        self.gauge(&families::MEMBERS_ROSTER, &[], status.roster.into());
+        for quorum in QuorumState::ALL {
+            let is_present = quorum.as_str() == status.stance;
+            self.gauge(&families::STANCE, &[quorum.as_str()], f64::from(is_present));
+        }
     }
-    count(&families::MEMBER_BYTES, "sent", figures.sent_bytes);
-    count(&families::MEMBER_BYTES, "taken", figures.accepted_bytes);
-    count(&families::MEMBER_PROBES, "sent", figures.probes_sent);
-    count(&families::MEMBER_PROBES, "failed", figures.probes_failed);
-    for (word, total) in [
-        ("mistaken", figures.false_deaths),
-        ("refuted", figures.refutations),
-        ("stalled", figures.stalls.max(stalls)),
-    ] {
-        count(&families::MEMBER_EVENTS, word, total);
+
+    fn messages(&self, stats: &Stats, unsent: u64) {
+        self.count(&families::MEMBER_DATAGRAMS, "sent", stats.sent_datagrams);
+        self.count(&families::MEMBER_DATAGRAMS, "unsent", unsent);
+        self.count(&families::MEMBER_DATAGRAMS, "taken", stats.accepted_datagrams);
+        for (label, total) in RejectReason::LABELS.iter().zip(stats.rejected) {
+            self.count(&families::MEMBER_DATAGRAMS, label, total);
+        }
+        self.count(&families::MEMBER_BYTES, "sent", stats.sent_bytes);
+        self.count(&families::MEMBER_BYTES, "taken", stats.accepted_bytes);
+        self.count(&families::MEMBER_PROBES, "sent", stats.probes_sent);
+        self.count(&families::MEMBER_PROBES, "failed", stats.probes_failed);
     }
-    let heard = counts.heard;
-    for (word, total) in [
-        ("told", counts.told.0),
-        ("undelivered", counts.told.1),
-        ("taken", heard[0]),
-        ("too_often", heard[1]),
-        ("too_many", heard[2]),
-        ("alone", heard[3]),
-    ] {
-        count(&families::HINTS, word, total);
+
+    fn events(&self, stats: &Stats, stalls: u64) {
+        self.count(&families::MEMBER_EVENTS, "mistaken", stats.false_deaths);
+        self.count(&families::MEMBER_EVENTS, "refuted", stats.refutations);
+        self.count(&families::MEMBER_EVENTS, "stalled", stats.stalls.max(stalls));
     }
-    for (word, total) in ["whole", "cut", "refused"].iter().zip(figures.digests) {
-        count(&families::DIGESTS, word, total);
+
+    fn hints(&self, counts: &Counts) {
+        self.count(&families::HINTS, "told", counts.told.0);
+        self.count(&families::HINTS, "undelivered", counts.told.1);
+        for (label, total) in RECEIVED_HINTS.iter().zip(counts.heard) {
+            self.count(&families::HINTS, label, total);
+        }
     }
-    let seen = [("took", status.fleet.took), ("full", status.fleet.full), ("refused", status.fleet.refused)];
-    for (word, value) in seen {
-        gauge(&families::FLEET_SEEN, &[word], value);
+
+    fn digests(&self, stats: &Stats) {
+        for (label, total) in ["whole", "cut", "refused"].iter().zip(stats.digests) {
+            self.count(&families::DIGESTS, label, total);
+        }
+    }
+
+    fn fleet(&self, status: &MembershipStatus) {
+        self.gauge(&families::FLEET_SEEN, &["took"], status.fleet.took);
+        self.gauge(&families::FLEET_SEEN, &["full"], status.fleet.full);
+        self.gauge(&families::FLEET_SEEN, &["refused"], status.fleet.refused);
     }
 }
 
-/// What the task that sends goes by.
-pub fn remote(config: &Config) -> Option<bellcroft_telemetry::Config> {
+/// The configuration of remote write; none if it is not configured.
+pub fn remote_write(config: &Config) -> Option<bellcroft_telemetry::Config> {
     let remote = config.remote_write.as_ref()?;
     Some(bellcroft_telemetry::Config {
         url: remote.url.clone(),
@@ -137,64 +168,70 @@
             flush_within: remote.flush_within,
             ..Policy::default()
         },
-        labels: labels(remote, &config.name),
+        labels: external_labels(remote, &config.name),
     })
 }
 
-/// A request that is not over yet. Dropped before its answer has left, it was left by its client.
+/// Measures a request until its response is written. Dropped before, it counts the request as left by its client.
 pub struct PendingTimer {
     instance: Rc<Instance>,
     clock: Clock,
-    id: RequestId,
+    request: RequestId,
     class: usize,
-    from: Instant,
-    over: Over,
-    out: bool,
+    received_at: Instant,
+    outcome: Over,
+    is_written: bool,
 }
 
 impl PendingTimer {
-    /// A request that came whole at `from`.
-    pub fn new(instance: Rc<Instance>, clock: Clock, id: RequestId, class: usize, from: Instant) -> Self {
-        PendingTimer { instance, clock, id, class, from, over: Over::Left, out: false }
+    /// Starts at `received_at`, when the request was complete.
+    pub fn new(
+        instance: Rc<Instance>,
+        clock: Clock,
+        request: RequestId,
+        class: usize,
+        received_at: Instant,
+    ) -> Self {
+        PendingTimer { instance, clock, request, class, received_at, outcome: Over::Left, is_written: false }
     }
 
-    /// Its answer is decided and on its way to the socket.
-    pub fn set_outcome(&mut self, over: Over) {
-        self.over = over;
+    /// The response has been decided, and is being written.
+    pub fn set_outcome(&mut self, outcome: Over) {
+        self.outcome = outcome;
     }
 
-    /// The last byte of its answer has been taken by the kernel.
-    pub fn left(mut self) {
-        self.out = true;
+    /// The kernel has taken the last byte of the response.
+    pub fn on_response_written(mut self) {
+        self.is_written = true;
     }
 }
 
 impl Drop for PendingTimer {
     fn drop(&mut self) {
-        let over = if self.out { self.over } else { Over::Left };
+        let outcome = if self.is_written { self.outcome } else { Over::Left };
         let now = Instant::now();
-        let took = Micros(now.saturating_duration_since(self.from).as_micros() as u64);
-        self.instance.over(self.clock.at(now), self.id.0, self.class, over, took);
+        let elapsed = Micros(now.saturating_duration_since(self.received_at).as_micros() as u64);
+        self.instance.over(self.clock.at(now), self.request.0, self.class, outcome, elapsed);
     }
 }
 
-/// An attempt whose first byte has not left.
+/// Reports the first byte of an attempt.
 pub struct FirstByte {
-    /// Who is told.
+    /// The series of this process.
     pub instance: Rc<Instance>,
-    /// The decisions' clock.
+    /// The balancer's clock.
     pub clock: Clock,
     /// The request.
     pub request: RequestId,
-    /// The attempt.
+    /// The number of the attempt.
     pub attempt: u32,
     /// The server.
     pub server: ServerId,
 }
 
 impl FirstByte {
-    /// It has.
-    pub fn left(self) {
+    /// The kernel has taken the first byte.
+    pub fn on_written(self) {
         self.instance.first_byte(self.clock.now(), self.request.0, self.attempt, self.server.0);
     }
 }
--- a/crates/agent/src/upstream/metered_stream.rs
+++ b/crates/agent/src/upstream/metered_stream.rs
@@ -51,7 +51,7 @@
     fn record_write(&self, count: usize) -> usize {
         self.written.set(self.written.get() + count as u64);
         if let Some(first_byte) = self.first_byte.take().filter(|_| count > 0) {
-            first_byte.left();
+            first_byte.on_written();
         }
         if self.written.get() >= self.request_end.get() {
             self.request_end.set(u64::MAX);
--- a/crates/agent/tests/shutdown.rs
+++ b/crates/agent/tests/shutdown.rs
@@ -233,7 +233,7 @@
     })
     .await;
     let log = agent.log.lock().expect("no reader failed").clone();
-    for event in ["request taken", "attempt sent", "request answered"] {
+    for event in ["request received", "attempt sent", "response decided"] {
         let found = log.iter().filter(|line| line.contains(event) && line.contains(&id)).count();
         assert_eq!(found, 1, "{event}: {log:#?}");
     }
