--- a/crates/agent/src/control_plane.rs
+++ b/crates/agent/src/control_plane.rs
@@ -112,7 +112,7 @@
         server_connections: usize,
         started_ms: u64,
     ) -> Result<Rc<Self>, ControlPlaneError> {
-        let registry = telemetry::instance(&config, started_ms);
+        let registry = telemetry::start(&config, started_ms);
         let driver = Driver::start(config.clone(), server_connections, registry.clone())?;
         if let Some((listen, membership)) = config.peering.clone() {
             let handler = Rc::downgrade(&driver) as Weak<dyn PeerEventHandler>;
@@ -155,7 +155,9 @@
     /// Starts telemetry's sender if the operator's file names a receiver. `refresh` sets the gauges before each sample.
     pub(crate) fn send_telemetry(&self, refresh: impl Fn() + 'static) {
         let config = self.config();
-        let Some((remote, instance)) = telemetry::remote(&config).zip(self.registry.clone()) else { return };
+        let Some((remote, instance)) = telemetry::remote_write(&config).zip(self.registry.clone()) else {
+            return;
+        };
         let (clock, name) = (self.driver.clock, config.name.clone());
         let owner = Owner {
             instance,
@@ -170,7 +172,7 @@
     /// Sets membership's gauges.
     pub(crate) fn refresh_gauges(&self) {
         if let Some((registry, peers)) = self.registry.as_ref().zip(self.driver.peers()) {
-            telemetry::peers(&registry.registry, &peers, self.driver.stalls());
+            telemetry::sample_peers(&registry.registry, &peers, self.driver.stalls());
         }
     }
 
@@ -198,9 +200,9 @@
         self.driver.reconfigure(&newer)?;
         self.driver.set_routes(&newer);
         if let Some(registry) = &self.registry {
-            telemetry::budgets(registry, &newer);
+            telemetry::publish_budgets(registry, &newer);
         }
-        if let Some((remote, config)) = self.remote.borrow().as_ref().zip(telemetry::remote(&newer)) {
+        if let Some((remote, config)) = self.remote.borrow().as_ref().zip(telemetry::remote_write(&newer)) {
             remote.change(config);
         }
         if let Some((peers, (_, config))) = self.driver.peers().zip(newer.peering.as_ref()) {
