--- a/crates/agent/src/control_plane.rs
+++ b/crates/agent/src/control_plane.rs
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Reads the files again and applies them whole, or rejects them. Without an operator's file this is the platform's
+    /// Reads the files again and applies all changes or none. Without an operator's file this is the platform's
     /// reload, which changes discovery alone.
     ///
     /// # Errors
--- a/crates/agent/src/daemon/config/merge.rs
+++ b/crates/agent/src/daemon/config/merge.rs
@@ -34,10 +34,11 @@
     let raw = platform.without_endpoints();
     let slot = raw["settings"]["slotNo"].as_u64().and_then(|slot| u32::try_from(slot).ok());
     let peering = operator.contents.membership.and_then(|section| {
-        let given = PlatformPeers::of(&platform, slot, &settings);
-        let merged = merge_membership(section, given, &settings);
+        let peers = PlatformPeers::of(&platform, slot, &settings);
         let in_file = |source| ConfigError::Membership { file: operator.path.clone(), source };
-        merged.map_err(|found| errors.extend(found.into_iter().map(in_file))).ok()
+        merge_membership(section, peers, &settings)
+            .map_err(|found| errors.extend(found.into_iter().map(in_file)))
+            .ok()
     });
     // Membership carries the balancer's hints to other instances.
     settings.peers |= peering.is_some();
@@ -49,15 +50,14 @@
         return Err(ConfigErrors(errors));
     };
     let contents = platform.contents;
-    let name = var("PROXY_NAME").or(operator.contents.instance.name).or(contents.name);
     Ok(Config {
-        name: name.unwrap_or_else(|| "agent".into()),
+        name: name(var("PROXY_NAME"), operator.contents.instance.name, contents.name),
         listen,
         discovery,
         console: addresses.console,
         seed: seed(&contents.seed.unwrap_or_default()),
         sockets: contents.limits.sockets.unwrap_or(DEFAULT_SOCKETS).min(MAX_SOCKETS),
-        memory: (contents.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB).max(0.0) * 1e6) as usize,
+        memory: memory_bytes(contents.limits.memory_mb),
         settings,
         names,
         known,
@@ -70,6 +70,14 @@
     })
 }
 
+fn name(environment: Option<String>, operator: Option<String>, platform: Option<String>) -> String {
+    environment.or(operator).or(platform).unwrap_or_else(|| "agent".into())
+}
+
+fn memory_bytes(megabytes: Option<f64>) -> usize {
+    (megabytes.unwrap_or(DEFAULT_MEMORY_MB).max(0.0) * 1e6) as usize
+}
+
 /// Any text makes a seed; hexadecimal digits, the form of the platform's own seeds, are read as a number.
 fn seed(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| bellcroft_platform_settings::fnv1a(text))
@@ -194,7 +202,7 @@
                 seeds: section.seeds.into_iter().filter(|seed| *seed != listen).collect(),
                 instances,
                 site: u8::try_from(settings.zone.0).unwrap_or(u8::MAX),
-                role: section.duty,
+                role: section.role,
                 ..membership::Config::new(&section.cluster, number, peers)
             };
             Ok((listen, config))
--- a/crates/agent/src/daemon/instance.rs
+++ b/crates/agent/src/daemon/instance.rs
@@ -69,7 +69,7 @@
 /// Who accepts clients at the listening socket after a shutdown that was requested over the control socket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum SocketAfterShutdown {
-    /// Nobody.
+    /// No process: the socket is closed.
     Closed,
     /// Another process, which holds the same socket.
     HandedOver,
--- a/crates/agent/src/daemon/serve.rs
+++ b/crates/agent/src/daemon/serve.rs
@@ -125,8 +125,8 @@
         let Startup { config, options, state, mut problems, started_ms } = self;
         let socket = ClientSocket::acquire(&config, state.is_some()).await?;
         let connection_limits = DescriptorBudget::new(&config);
-        let (notify, notify_problem) = Notify::find(|name| std::env::var_os(name));
-        problems.extend(notify_problem);
+        let (notify, problem) = Notify::find(|name| std::env::var_os(name));
+        problems.extend(problem);
         let (console_address, memory) = (config.console, config.memory);
         let name = config.name.clone();
         let control = ControlPlane::start(config, options, connection_limits.backends, started_ms).await?;
@@ -134,9 +134,7 @@
         let driver_task = control.take_driver_task().unwrap_or_else(|| unreachable!("it was just started"));
         let server = Server::new(driver.clone(), connection_limits.clients, memory);
         let files = StateFiles::open(state.as_ref(), &mut problems);
-        for problem in &problems {
-            warn!(instance = %name, problem, "start: continuing with a problem");
-        }
+        log_problems(&name, &problems);
         let instance = Rc::new(Instance {
             control,
             driver,
@@ -153,10 +151,7 @@
             handover: RefCell::default(),
         });
         let handover_listener = serve_handover(&instance, socket.handover_copy);
-        let console = match console_address {
-            Some(address) => Some(serve_console(&instance, address).await?),
-            None => None,
-        };
+        let console = serve_console(&instance, console_address).await?;
         let gauges = instance.clone();
         instance.control.send_telemetry(move || gauges.refresh_gauges());
         *files.instance.borrow_mut() = Some(instance.clone());
@@ -179,6 +174,12 @@
     }
 }
 
+fn log_problems(name: &str, problems: &[String]) {
+    for problem in problems {
+        warn!(instance = %name, problem, "start: continuing with a problem");
+    }
+}
+
 /// Offers the listening socket to a process that is to replace this one.
 fn serve_handover(instance: &Rc<Instance>, copy: Option<(PathBuf, OwnedFd)>) -> Option<HandoverListener> {
     let (path, listener) = copy?;
@@ -193,14 +194,18 @@
     }
 }
 
-async fn serve_console(instance: &Rc<Instance>, address: SocketAddr) -> Result<Console, DaemonError> {
+async fn serve_console(
+    instance: &Rc<Instance>,
+    address: Option<SocketAddr>,
+) -> Result<Option<Console>, DaemonError> {
+    let Some(address) = address else { return Ok(None) };
     let answering = instance.clone();
     let on_request = move |request| answering.on_admin_request(request);
     let (console, address) = Console::serve(address, instance.driver.clock, on_request)
         .await
         .map_err(|source| DaemonError::Console { address, source })?;
     info!(instance = %instance.name(), %address, "admin console listening");
-    Ok(console)
+    Ok(Some(console))
 }
 
 /// An instance that serves, and what ends with it.
--- a/crates/agent/src/daemon/shutdown.rs
+++ b/crates/agent/src/daemon/shutdown.rs
@@ -18,7 +18,7 @@
 /// Who accepts new connections from now on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Successor {
-    /// Nobody: what has connected by the end of accepting is served here.
+    /// No other process: what has connected by the end of accepting is served here.
     None,
     /// Another process, at the same listening socket.
     Listening,
@@ -92,7 +92,7 @@
                 sleep_until(at).await;
             }
         }
-        // While a copy is open, the kernel accepts connections that nobody serves.
+        // While a copy is open, the kernel accepts connections that no process serves.
         Successor::None => drop(instance.listener_copy.borrow_mut().take()),
     }
 }
--- a/crates/agent/tests/daemon.rs
+++ b/crates/agent/tests/daemon.rs
@@ -132,7 +132,7 @@
 }
 
 #[tokio::test]
-async fn the_status_tells_phase_counts_and_servers_and_is_the_owner_s_alone() {
+async fn status_reports_phase_counts_servers_and_is_private() {
     let (_backend, _directory, config) = world().await;
     let daemon = Daemon::new(&config);
     assert_eq!(daemon.status().await.1, Some(4), "nothing runs");
@@ -164,7 +164,7 @@
 
 /// A stop while a request is on the wire: its client hears its one true outcome, and nothing goes out afterwards.
 #[tokio::test]
-async fn a_stop_with_a_request_on_the_wire_ends_it_with_its_true_outcome() {
+async fn stop_with_request_in_flight_returns_its_outcome() {
     let (mut backend, word) = Backend::held("logged").await;
     let directory = Directory::start(Mood::Mute).await;
     let mut config = config(directory.address, &[host("s", backend.address, "up")]);
@@ -199,7 +199,7 @@
 
 /// The operator's patience may be shorter than the clients': they hear so and are not left without an answer.
 #[tokio::test]
-async fn a_stop_with_little_patience_answers_what_it_gives_up() {
+async fn stop_within_limit_answers_abandoned_requests() {
     let mut backend = Backend::start(|_| Reply::Mute).await;
     let directory = Directory::start(Mood::Mute).await;
     let mut config = config(directory.address, &[host("s", backend.address, "up")]);
@@ -220,7 +220,7 @@
 /// Two processes of one file, fifty times, either one first: one serves, the other ends with 3 and one line, and
 /// leaves everything of the first's as it is.
 #[tokio::test]
-async fn of_two_that_start_at_once_one_serves_and_the_other_ends_with_3() {
+async fn second_of_two_simultaneous_starts_exits_with_3() {
     let (_backend, _directory, mut config) = world().await;
     config["listen"] = nobody().await.to_string().into();
     let daemon = Daemon::new(&config);
@@ -267,7 +267,7 @@
 /// A process that is killed outright frees its lock; the next one takes its name, its address and its directory,
 /// whatever the last one left there.
 #[tokio::test]
-async fn after_a_kill_the_next_one_takes_over_what_was_left() {
+async fn start_after_kill_takes_over_state_directory() {
     let (_backend, _directory, config) = world().await;
     let daemon = Daemon::new(&config);
     let mut running = daemon.start().await;
@@ -290,7 +290,7 @@
 
 /// State that cannot be kept: serving goes on, and the status, where anything of it is left, says what is wrong.
 #[tokio::test]
-async fn without_a_usable_state_directory_serving_goes_on() {
+async fn unusable_state_directory_does_not_stop_serving() {
     let (_backend, _directory, config) = world().await;
     let daemon = Daemon::new(&config);
     let root =
@@ -341,7 +341,7 @@
 /// A disk that takes no more: the file-size limit of the shell stands for it, and the same error path is taken. The
 /// log lies on the same disk.
 #[tokio::test]
-async fn on_a_full_disk_serving_goes_on_and_the_status_says_so() {
+async fn full_disk_is_reported_and_does_not_stop_serving() {
     let (_backend, _directory, config) = world().await;
     let daemon = Daemon::new(&config);
     let listen = nobody().await;
@@ -366,7 +366,7 @@
 /// Files that are broken, half-written, unreadable or gone, and ones that only a restart could take: all stays as it
 /// was, the status says why, and a good file is taken after them.
 #[tokio::test]
-async fn a_reload_takes_all_that_is_new_or_nothing() {
+async fn reload_applies_everything_or_nothing() {
     let (_backend, _directory, config) = world().await;
     let mut second = Directory::start(Mood::Mute).await;
     let daemon = Daemon::new(&config);
@@ -427,7 +427,7 @@
 
 /// A control client that says nothing, half of something, too much or nonsense holds up nobody.
 #[tokio::test]
-async fn control_clients_that_say_nothing_hold_up_nobody() {
+async fn silent_control_clients_block_no_other() {
     let (_backend, _directory, config) = world().await;
     let daemon = Daemon::new(&config);
     let running = daemon.start().await;
@@ -454,7 +454,7 @@
 
 /// A stop that comes while the instance is still starting ends it like any other.
 #[tokio::test]
-async fn a_stop_during_the_start_ends_it() {
+async fn stop_during_start_exits() {
     let directory = Directory::start(Mood::Mute).await;
     let daemon = Daemon::new(&config(directory.address, &[]));
     let running = daemon.start().await;
@@ -467,7 +467,7 @@
 
 /// What a service manager is told, by the published protocol.
 #[tokio::test]
-async fn a_service_manager_is_told_of_readiness_reloads_life_and_the_end() {
+async fn service_manager_gets_readiness_reloads_watchdog_and_stop() {
     let (backend, _directory, config) = world().await;
     let mut directory = Directory::start(Mood::List(json!({"seq": 1, "whole": true, "hosts": []}))).await;
     let mut config = config;
@@ -512,7 +512,7 @@
 }
 
 #[tokio::test]
-async fn a_socket_that_is_handed_over_is_listened_on() {
+async fn inherited_socket_is_listened_on() {
     let (_backend, _directory, config) = world().await;
     let daemon = Daemon::new(&config);
     let given = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -538,7 +538,7 @@
 }
 
 #[tokio::test]
-async fn sockets_that_cannot_be_listened_on_end_the_start_with_2() {
+async fn unusable_inherited_sockets_exit_with_2() {
     let (_backend, _directory, config) = world().await;
     let daemon = Daemon::new(&config);
     let tcp = || std::os::fd::OwnedFd::from(std::net::TcpListener::bind("127.0.0.1:0").expect("a port"));
@@ -555,7 +555,7 @@
 
 /// `check` tells all errors of both files, each on a line with its place, and a summary where there are none.
 #[tokio::test]
-async fn check_tells_all_errors_and_exits_with_2() {
+async fn check_reports_all_errors_and_exits_with_2() {
     let (_backend, _directory, config) = world().await;
     let daemon = Daemon::new(&config);
     let check = || bellcroft([Path::new("check"), Path::new("--operator"), &daemon.operator]);
--- a/crates/agent/tests/descriptors.rs
+++ b/crates/agent/tests/descriptors.rs
@@ -107,7 +107,7 @@
 
 /// Clients fill all places that the settings leave them.
 #[tokio::test]
-async fn idle_clients_that_fill_all_places_leave_discovery_and_the_next_client_theirs() {
+async fn idle_clients_at_limit_leave_discovery_its_descriptors() {
     for crowd in [Crowd::Silent, Crowd::Asking] {
         crowd_while_discovery_is_down(80, None, crowd).await;
     }
@@ -115,7 +115,7 @@
 
 /// The process has fewer descriptors than it was promised, so that accepts fail for want of one.
 #[tokio::test]
-async fn idle_clients_that_use_up_descriptors_leave_discovery_and_the_next_client_theirs() {
+async fn idle_clients_without_descriptors_leave_discovery_its_own() {
     for crowd in [Crowd::Silent, Crowd::Asking] {
         crowd_while_discovery_is_down(1024, Some(64), crowd).await;
     }
@@ -124,7 +124,7 @@
 /// With all places taken, by requests that wait and by connections that were answered a moment ago, the next client gets the
 /// place of one that is idle before that one is as old as idle connections are closed at (2 s).
 #[tokio::test]
-async fn an_idle_connection_gives_way_at_once_where_all_places_are_taken() {
+async fn idle_connection_is_closed_at_connection_limit() {
     const PLACES: usize = 28;
     const IDLE: usize = 13;
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
@@ -159,7 +159,7 @@
 
 /// What an instance with all its listeners holds at rest is within what is reserved for it: the rest is for connections.
 #[tokio::test]
-async fn what_an_instance_holds_at_rest_is_within_its_reserve() {
+async fn descriptors_at_rest_stay_within_reserve() {
     let directory = Directory::start(Mood::Mute).await;
     let mut config = patient_config(directory.address, &[]);
     config["limits"]["sockets"] = 80.into();
--- a/crates/agent/tests/fleet.rs
+++ b/crates/agent/tests/fleet.rs
@@ -59,7 +59,7 @@
 /// Fifty instances are started, reloaded, rolled and stopped under steady traffic on every one of them. Clients'
 /// outcomes, servers' records and instances' counts agree to the request.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn fifty_instances_are_started_reloaded_rolled_and_stopped_and_every_request_is_accounted_for() {
+async fn fifty_instances_reload_roll_and_stop_without_losses() {
     const INSTANCES: usize = 50;
     let world = World::start(6, &Plan::default()).await;
     let mut fleet =
@@ -99,7 +99,7 @@
 /// An instance that is killed under load comes back under its name and address. What it held is its clients' to
 /// retry; the requests of the others never notice.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_killed_instance_comes_back_and_the_others_never_notice() {
+async fn killed_instance_restarts_without_affecting_others() {
     let world = World::start(4, &Plan::default()).await;
     let mut fleet = Fleet::new(&world, 4, "ready_within = \"60s\"");
     fleet.run();
@@ -136,7 +136,7 @@
 /// The supervisor is killed: the instances serve on, and a new one adopts them, starts no second copy, rolls and stops
 /// them. Files that name a process which is none of theirs harm nobody.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_new_supervisor_adopts_what_a_killed_one_left() {
+async fn new_supervisor_adopts_instances_of_killed_one() {
     let world = World::start(4, &Plan::default()).await;
     let mut fleet = Fleet::new(&world, 6, "ready_within = \"60s\"\nprove_within = \"60s\"");
     fleet.run();
@@ -208,7 +208,7 @@
 /// A program that does not come up stops the roll at the first instance, which goes back to the old one; the rest
 /// never hears of it. One hangs and ignores SIGTERM, one exits at once, one is no program.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_roll_to_a_bad_program_stops_at_the_first_and_goes_back() {
+async fn roll_to_bad_program_stops_and_rolls_back() {
     let world = World::start(3, &Plan::default()).await;
     let more =
         "ready_within = \"2s\"\nstop_within = \"1s\"\nprove_within = \"60s\"\n[restart]\nfirst = \"50ms\"";
@@ -244,7 +244,7 @@
 
 /// An instance that never comes up has failed after a few tries; the others are served, and a stop ends all.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn what_never_comes_up_has_failed_and_the_rest_is_served() {
+async fn instance_that_never_starts_fails_and_others_serve() {
     let world = World::start(2, &Plan::default()).await;
     let more = "ready_within = \"500ms\"\nstop_within = \"5s\"\n[restart]\nfirst = \"10ms\"\nmost = \"20ms\"\nlimit = 2";
     let mut fleet = Fleet::new(&world, 4, more);
@@ -282,7 +282,7 @@
 
 /// A reload that some instances refuse says which and why, and has changed nothing at these.
 #[tokio::test]
-async fn a_reload_tells_who_refused_it() {
+async fn reload_reports_rejecting_instances() {
     let world = World::start(2, &Plan::default()).await;
     let mut fleet = Fleet::new(&world, 3, "ready_within = \"60s\"");
     fleet.run();
--- a/crates/agent/tests/log.rs
+++ b/crates/agent/tests/log.rs
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test]
-async fn entries_that_are_left_out_of_the_list_are_told_once_each_with_their_reason() {
+async fn rejected_list_entries_are_logged_once_with_reason() {
     let (code, lines) = lines(&["run"], &[], false).await;
     assert_eq!(code, Some(0));
     let told = |text: &str| lines.iter().filter(|l| l.contains(text)).count();
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test]
-async fn json_lines_are_whole_objects_with_level_and_target_by_option_or_variable() {
+async fn json_lines_are_objects_with_level_and_target() {
     for (args, variables) in [
         (&["run", "--log-format", "json"][..], &[][..]),
         (&["run"][..], &[("BELLCROFT_LOG_FORMAT", "json")][..]),
@@ -74,7 +74,7 @@
 }
 
 #[tokio::test]
-async fn levels_are_chosen_by_part_and_bad_ones_are_refused() {
+async fn levels_apply_by_target_and_invalid_ones_are_rejected() {
     let (_, quiet) = lines(&["run", "--log-level", "info,bellcroft::discovery=off"], &[], false).await;
     assert!(quiet.iter().any(|l| l.contains("listening for clients")), "{quiet:?}");
     assert!(!quiet.iter().any(|l| l.contains("left out") || l.contains("server ")), "{quiet:?}");
@@ -87,7 +87,7 @@
 }
 
 #[tokio::test]
-async fn a_reader_that_goes_ends_nothing() {
+async fn closed_log_reader_does_not_end_process() {
     for format in ["text", "json"] {
         let (code, _) = lines(&["run", "--log-format", format], &[], true).await;
         assert_eq!(code, Some(0), "{format}");
@@ -95,7 +95,7 @@
 }
 
 #[tokio::test]
-async fn an_operators_file_is_checked_alone_and_what_could_not_be_is_said() {
+async fn operator_file_is_checked_without_platform_file() {
     let folder = Folder::new();
     let check = |file: std::path::PathBuf| async move {
         let output = bellcroft([std::path::Path::new("check"), std::path::Path::new("--operator"), &file]);
--- a/crates/agent/tests/operations.rs
+++ b/crates/agent/tests/operations.rs
@@ -17,7 +17,7 @@
 }
 
 #[tokio::test]
-async fn figures_are_what_clients_and_servers_saw() {
+async fn figures_match_clients_and_servers() {
     let backend = Backend::start(|m| match m.target() {
         "/read/full" => {
             Reply::Bytes(b"HTTP/1.1 503 Full\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n".to_vec())
@@ -69,7 +69,7 @@
 
 /// Callers that say nothing, half of something, too much or nonsense keep out nobody, and are told or let go.
 #[tokio::test]
-async fn bad_callers_keep_out_nobody() {
+async fn faulty_console_clients_block_no_other() {
     let directory = Directory::start(Mood::Mute).await;
     let agent = Agent::with(operated(&directory, &[]), |_| {}).await;
     assert!(agent.call("ready").await.starts_with("400 "), "there is no server");
@@ -92,7 +92,7 @@
 
 /// Out of service: the front is told no, answers say that they are the last, what is idle is closed; and back.
 #[tokio::test]
-async fn an_instance_is_taken_out_of_service_and_put_back() {
+async fn drained_instance_resumes_service() {
     let word = Arc::new(Notify::new());
     let gate = word.clone();
     let mut backend = Backend::start(move |m| match m.head.contains("/pay") {
@@ -146,7 +146,7 @@
 /// A call that lies in its socket when SIGTERM has come is answered as one that came later, whatever the agent was at when
 /// it was stopped: here its console is kept busy, so that at times it stops between an accept and the look at signals.
 #[tokio::test]
-async fn a_resume_behind_sigterm_is_refused_however_busy_the_console_is() {
+async fn resume_after_sigterm_is_refused_under_console_load() {
     const ROUNDS: usize = 12;
     const BUSY_CALLERS: usize = 4;
     const RESUMES: usize = 3;
@@ -249,7 +249,7 @@
 
 /// Three times over, under load: the new process takes the old one's place and no request notices.
 #[tokio::test]
-async fn a_process_is_replaced_under_load_and_no_request_notices() {
+async fn process_replacement_under_load_loses_no_request() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let directory = Directory::start(Mood::Mute).await;
     let folder = Folder::new();
@@ -305,7 +305,7 @@
 
 /// A new process that fails before it has taken over leaves all as it was, at the old one's end too.
 #[tokio::test]
-async fn a_successor_that_fails_costs_nothing() {
+async fn failed_successor_costs_nothing() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let directory = Directory::start(Mood::Mute).await;
     let folder = Folder::new();
@@ -345,7 +345,7 @@
 /// A file that brings a class, drops one and changes what another does: who still asks the old way is served by the old
 /// rules, who asks the new way by the new ones, and what is open keeps what it came with.
 #[tokio::test]
-async fn new_settings_are_taken_while_requests_are_open() {
+async fn new_settings_apply_while_requests_are_pending() {
     let word = Arc::new(Notify::new());
     let gate = word.clone();
     let mut backend = Backend::start(move |m| match m.target() {
@@ -395,7 +395,7 @@
 
 /// A file that is empty, cut short, lacks a key or has no number above zero is turned down whole.
 #[tokio::test]
-async fn a_bad_file_is_turned_down_whole() {
+async fn faulty_file_is_rejected_completely() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let directory = Directory::start(Mood::Mute).await;
     let config = operated(&directory, &[host("s", backend.address, "up")]);
@@ -447,7 +447,7 @@
 
 /// The staff's own command: words for people, JSON for programs, and an exit code for each way that it can go.
 #[tokio::test]
-async fn the_command_line_calls_an_instance() {
+async fn command_line_calls_instance() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let directory = Directory::start(Mood::Mute).await;
     let agent = Agent::with(operated(&directory, &[host("s", backend.address, "up")]), |_| {}).await;
--- a/crates/agent/tests/readiness.rs
+++ b/crates/agent/tests/readiness.rs
@@ -16,7 +16,7 @@
 }
 
 #[tokio::test]
-async fn a_process_that_knows_a_backend_is_ready_whatever_discovery_does() {
+async fn process_with_known_backend_is_ready_without_discovery() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let hosts = [host("s", backend.address, "up")];
     let silent = Directory::start(Mood::Mute).await;
@@ -31,7 +31,7 @@
 /// A process that knows no backend asks for the complete list, again and again: no call waits for changes, which takes longer
 /// to be found out when nothing comes. It is ready with the first answer.
 #[tokio::test]
-async fn a_process_that_knows_no_backend_is_ready_with_the_first_answer() {
+async fn process_without_backend_is_ready_with_first_list() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let up = [host("s", backend.address, "up")];
     let known: [Vec<Value>; 2] = [Vec::new(), vec![host("s", backend.address, "draining")]];
@@ -55,7 +55,7 @@
 
 /// Discovery refuses connections at the start, and is there later.
 #[tokio::test]
-async fn a_process_that_knows_no_backend_finds_a_discovery_that_comes_up_later() {
+async fn process_without_backend_finds_late_discovery() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let address = nobody().await;
     let agent = Agent::start(address, &[]).await;
@@ -78,7 +78,7 @@
 
 /// Many processes start at once, and discovery works through their calls one by one.
 #[tokio::test]
-async fn processes_that_start_together_are_ready_though_discovery_answers_in_turn() {
+async fn simultaneous_starts_become_ready_with_serial_discovery() {
     const PROCESSES: usize = 12;
     const ONE_CALL: Duration = Duration::from_millis(150);
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
--- a/crates/agent/tests/service.rs
+++ b/crates/agent/tests/service.rs
@@ -9,7 +9,7 @@
 use tokio::sync::Notify;
 
 #[tokio::test]
-async fn bad_requests_are_told_so_and_harm_nobody() {
+async fn bad_requests_are_rejected_without_side_effects() {
     let mut backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let directory = Directory::start(Mood::Mute).await;
     let agent = Agent::start(directory.address, &[host("s", backend.address, "up")]).await;
@@ -42,7 +42,7 @@
 }
 
 #[tokio::test]
-async fn the_agent_is_ready_once_there_is_a_backend() {
+async fn agent_is_ready_once_it_has_a_backend() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let mut directory = Directory::start(Mood::Mute).await;
     let agent = Agent::start(directory.address, &[]).await;
@@ -56,7 +56,7 @@
 
 /// A watch goes on from the version of its last answer, and a backend that drains gets nothing new.
 #[tokio::test]
-async fn the_list_is_followed_and_a_draining_backend_gets_nothing_new() {
+async fn draining_backend_gets_no_new_requests() {
     let mut old = Backend::start(|_| Reply::Bytes(ok("old"))).await;
     let new = Backend::start(|_| Reply::Bytes(ok("new"))).await;
     let mut directory = Directory::start(Mood::List(json!({"seq": 1, "whole": true, "hosts": []}))).await;
@@ -79,7 +79,7 @@
 
 /// The same host at another address, or started anew, is another process: nothing goes over old connections.
 #[tokio::test]
-async fn a_new_address_or_a_new_process_means_new_connections() {
+async fn new_address_or_process_opens_new_connections() {
     let mut first = Backend::start(|_| Reply::Bytes(ok("1"))).await;
     let mut second = Backend::start(|_| Reply::Bytes(ok("2"))).await;
     let mut directory = Directory::start(Mood::List(json!({"seq": 1, "whole": true, "hosts": []}))).await;
@@ -101,7 +101,7 @@
 
 /// A discovery that answers with an error, and one that says nothing at all, is asked again.
 #[tokio::test]
-async fn a_failed_or_mute_discovery_is_asked_again() {
+async fn failed_or_silent_discovery_is_polled_again() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let mut directory = Directory::start(Mood::Down).await;
     let agent = Agent::start(directory.address, &[]).await;
@@ -119,7 +119,7 @@
 /// After SIGTERM: idle connections close, what is in flight is answered, connections that come late are still
 /// taken, each answer says that it is the last, and the agent ends by itself.
 #[tokio::test]
-async fn a_planned_end_loses_nothing() {
+async fn planned_shutdown_loses_nothing() {
     let word = Arc::new(Notify::new());
     let gate = word.clone();
     let mut backend = Backend::start(move |m| match m.head.contains("/pay") {
@@ -150,7 +150,7 @@
 }
 
 #[tokio::test]
-async fn a_broken_configuration_ends_the_start_with_one_line() {
+async fn broken_configuration_exits_with_one_line() {
     for text in ["", "{}", "[1]", r#"{"settings":{"classes":[]},"discovery":"127.0.0.1:1"}"#] {
         let file = write_config(text);
         let output = soon("the end", command(&file).output()).await.expect("output");
@@ -165,7 +165,7 @@
 /// Settings that no agent can go by end the start with 2 and one line that names the key; at SIGHUP all stays as it was and
 /// the log says why.
 #[tokio::test]
-async fn settings_without_sense_end_the_start_and_change_nothing_at_a_reload() {
+async fn invalid_settings_end_start_and_are_rejected_at_reload() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let directory = Directory::start(Mood::Mute).await;
     let good = config(directory.address, &[host("s", backend.address, "up")]);
@@ -212,7 +212,7 @@
 
 /// With no descriptor left for another connection the agent goes on, and serves again when there are some.
 #[tokio::test]
-async fn running_out_of_descriptors_is_survived() {
+async fn agent_survives_descriptor_exhaustion() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let directory = Directory::start(Mood::Mute).await;
     // It is promised more than it has.
@@ -259,7 +259,7 @@
 /// A planned end in the midst of traffic, as clients really behave: they use the connections they have, open new
 /// ones for a while, and send once more what crossed the closing of an idle one. Nothing may be lost.
 #[tokio::test]
-async fn a_planned_end_under_load_loses_nothing() {
+async fn planned_shutdown_under_load_loses_nothing() {
     const MAX_ROUNDS: usize = 20;
     // The agent takes new connections for 650 ms after SIGTERM, and on a busy machine too little may happen in that time to
     // show anything; then it is done again. No round may lose a request.
@@ -330,7 +330,7 @@
 
 /// An agent that was killed outright starts again under the same address with the list it had, and serves.
 #[tokio::test]
-async fn a_killed_agent_serves_again_at_its_address() {
+async fn killed_agent_serves_again_at_its_address() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let directory = Directory::start(Mood::Mute).await;
     let mut config = config(directory.address, &[host("s", backend.address, "up")]);
@@ -348,7 +348,7 @@
 /// SIGHUP has the file read again: the discovery that it names now is asked for its whole list, whatever version
 /// that has, and requests go on undisturbed. `PROXY_DISCOVERY` is the start's and does not mask it.
 #[tokio::test]
-async fn a_new_configuration_moves_to_the_new_discovery() {
+async fn reload_moves_to_new_discovery() {
     let word = Arc::new(Notify::new());
     let gate = word.clone();
     let mut old = Backend::start(move |m| match m.head.contains("/pay") {
@@ -394,7 +394,7 @@
 
 /// A backend's address that is given to a new one: no connection to the old one carries over.
 #[tokio::test]
-async fn an_address_that_is_used_again_means_new_connections() {
+async fn reused_address_opens_new_connections() {
     let mut backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let mut directory = Directory::start(Mood::List(json!({"seq": 1, "whole": true, "hosts": []}))).await;
     let agent = Agent::start(directory.address, &[host("s0", backend.address, "up")]).await;
--- a/crates/agent/tests/shutdown.rs
+++ b/crates/agent/tests/shutdown.rs
@@ -155,17 +155,17 @@
 
 /// The longest deadline of the settings is past the time that the platform gives.
 #[tokio::test]
-async fn requests_with_deadlines_past_the_kill_are_answered_before_it() {
+async fn requests_with_deadlines_past_kill_are_answered() {
     assert_answered(planned_restart([1_079, 2_698, 4_047], Stalls::Never).await);
 }
 
 #[tokio::test]
-async fn requests_with_deadlines_before_the_kill_are_answered_before_it() {
+async fn requests_with_deadlines_before_kill_are_answered() {
     assert_answered(planned_restart([1_079, 2_698, 3_000], Stalls::Never).await);
 }
 
 #[tokio::test]
-async fn a_process_that_is_held_up_around_both_signals_answers_before_the_kill() {
+async fn stalled_process_answers_before_kill() {
     for phase_ms in [700, 600, 500, 400] {
         let stalls = Stalls::AroundBothSignals(Duration::from_millis(phase_ms));
         assert_answered(planned_restart([1_079, 2_698, 3_000], stalls).await);
@@ -173,7 +173,7 @@
 }
 
 #[tokio::test]
-async fn short_deadlines_leave_time_for_the_answers_too() {
+async fn short_deadlines_leave_time_for_responses() {
     let stalls = Stalls::AroundBothSignals(Duration::from_millis(500));
     assert_answered(planned_restart([150, 250, 400], stalls).await);
 }
@@ -181,7 +181,7 @@
 /// What is not complete when the last answers are given has a refusal of its own, and what completes after it is refused at
 /// once: nothing of either goes to a server.
 #[tokio::test]
-async fn incomplete_requests_are_refused_at_the_end_and_never_forwarded() {
+async fn incomplete_requests_are_refused_and_never_forwarded() {
     let mut backend = Backend::start(|_| Reply::Mute).await;
     let directory = Directory::start(Mood::Mute).await;
     let config = config_with_deadlines(&directory, std::slice::from_ref(&backend), [150, 250, 400]);
@@ -207,7 +207,7 @@
 
 /// The log of a shutdown tells of each request by its id how it came to its end.
 #[tokio::test]
-async fn the_log_of_a_shutdown_follows_a_request_by_its_id() {
+async fn shutdown_log_follows_request_by_id() {
     let mut backend = Backend::start(|_| Reply::Mute).await;
     let directory = Directory::start(Mood::Mute).await;
     let config = config_with_deadlines(&directory, std::slice::from_ref(&backend), [150, 250, 400]);
--- a/crates/agent/tests/unit/command_line.rs
+++ b/crates/agent/tests/unit/command_line.rs
@@ -4,7 +4,7 @@
 use clap::CommandFactory;
 
 #[test]
-fn the_command_line_is_consistent_and_each_command_has_its_help() {
+fn command_line_is_consistent_and_documented() {
     let mut command = Cli::command();
     command.clone().debug_assert();
     assert!(command.render_long_help().to_string().contains("already running"));
--- a/crates/agent/tests/unit/daemon_config.rs
+++ b/crates/agent/tests/unit/daemon_config.rs
@@ -15,7 +15,7 @@
     "limits":{"maxAttempts":3,"connectTimeoutMs":100,"keepaliveMs":10000},"rules":{"stopSendingWithinMs":2000}}"#;
 
 #[test]
-fn variables_win_over_the_file_and_unknown_keys_are_skipped() {
+fn environment_precedes_file_and_unknown_keys_are_skipped() {
     let text = format!(
         r#"{{"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"ff","novel":[],"settings":{SETTINGS}}}"#
     );
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn what_no_agent_can_work_with_is_named() {
+fn invalid_configuration_names_the_fault() {
     let none = r#"{"discovery":"127.0.0.1:2","settings":{"classes":[]}}"#;
     assert!(load(none, "127.0.0.1:3").expect_err("no classes").contains("class"));
     let text = format!(r#"{{"discovery":"127.0.0.1:2","settings":{SETTINGS}}}"#);
@@ -38,7 +38,7 @@
     assert!(load(&text, "127.0.0.1:3").expect_err("no list").contains("known"));
 }
 #[test]
-fn all_that_is_wrong_is_told_at_once_each_with_its_line() {
+fn all_faults_are_reported_with_their_lines() {
     let text = "{\"discovery\":\"nowhere\",\n\"limits\":{\n\"sockets\":3},\n\"known\":7,\"settings\":{\"classes\":[]}}";
     let wrong = load(text, "127.0.0.1:3").expect_err("it is bad");
     for part in ["PROXY_DISCOVERY", "config.json:3: limits.sockets is 3", "config.json:4: known", "class"] {
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn what_only_a_restart_can_take_is_named() {
+fn keys_that_need_a_restart_are_named() {
     let text = |extra: &str| format!(r#"{{"discovery":"127.0.0.1:2",{extra}"settings":{SETTINGS}}}"#);
     let old = load(&text(""), "127.0.0.1:3").expect("a configuration");
     let moved = text("").replace("127.0.0.1:2", "127.0.0.1:4");
--- a/crates/agent/tests/unit/daemon_control.rs
+++ b/crates/agent/tests/unit/daemon_control.rs
@@ -4,13 +4,13 @@
 use serde_json::json;
 
 #[test]
-fn only_the_process_s_own_user_and_root_are_admitted() {
+fn only_own_user_and_root_are_authorized() {
     assert!(is_authorized(1000, 1000) && is_authorized(1000, 0) && is_authorized(0, 0));
     assert!(!is_authorized(1000, 1001) && !is_authorized(0, 1000));
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn answers_bring_descriptors_and_silent_clients_hold_nobody_up() {
+async fn replies_carry_descriptors_despite_silent_clients() {
     let dir = std::env::temp_dir().join(format!("bellcroft-control-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
     let local = tokio::task::LocalSet::new();
--- a/crates/agent/tests/unit/daemon_notify.rs
+++ b/crates/agent/tests/unit/daemon_notify.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_watchdog_is_this_process_s_or_none() {
+fn watchdog_of_other_process_is_ignored() {
     let with = |usec: &'static str, pid: Option<String>| {
         watchdog(move |name| match name {
             "WATCHDOG_USEC" => Some(usec.into()),
--- a/crates/agent/tests/unit/daemon_state.rs
+++ b/crates/agent/tests/unit/daemon_state.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_directory_is_made_private_and_held_once() {
+fn state_directory_is_private_and_locked_once() {
     let folder = Folder::new("held");
     let path = folder.0.join("a/b");
     let state = StateDir::acquire(&path).expect("it is free");
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_look_at_the_lock_does_not_keep_its_owner_out() {
+fn lock_checks_do_not_prevent_acquisition() {
     let folder = Folder::new("look");
     let path = folder.0.join("state");
     drop(StateDir::acquire(&path).expect("it is free"));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn what_cannot_be_a_directory_is_unusable_and_says_why() {
+fn unusable_directory_reports_reason() {
     let folder = Folder::new("unusable");
     let file = folder.0.join("file");
     std::fs::write(&file, "x").expect("a file");
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_file_is_replaced_whole_or_not_at_all() {
+fn file_is_replaced_atomically() {
     let folder = Folder::new("replace");
     let file = folder.0.join("status.json");
     write_atomically(&file, b"one").expect("it can be written");
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test]
-async fn a_problem_is_told_and_forgotten_once_it_is_over() {
+async fn write_problem_is_reported_until_resolved() {
     let folder = Folder::new("problem");
     let writer = StatusWriter::start(&folder.0).expect("a thread");
     let obstacle = folder.0.join("status.json.new");
--- a/crates/agent/tests/unit/daemon_status.rs
+++ b/crates/agent/tests/unit/daemon_status.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn each_request_is_counted_once_whatever_becomes_of_it() {
+fn each_request_is_counted_once() {
     let tally = RequestCounters::new(&["a".to_owned(), "b".to_owned()]);
     let first = tally.on_request("b");
     let second = tally.on_request("b");
--- a/crates/operator-config/src/agent.rs
+++ b/crates/operator-config/src/agent.rs
@@ -1,10 +1,11 @@
-//! `agent.toml`: what an operator says of one instance.
-
-use bellcroft_routes::Spec;
+//! `agent.toml`: the operator's settings of one instance.
 
+use crate::errors::Fault;
 use crate::membership::Membership;
-use crate::reader::{load, parse, Fault, Section};
+use crate::reader::{load, parse};
+use crate::section::Section;
 use crate::telemetry::RemoteWrite;
+use bellcroft_routes::Spec;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -12,41 +13,41 @@
 /// An instance's file, checked.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct AgentFile {
-    /// Who it is.
+    /// Its name, its files and its addresses.
     pub instance: Instance,
-    /// How it lives.
+    /// Its state directory and its shutdown.
     pub daemon: Daemon,
-    /// Its routes, as they are written; the platform's settings say whether they can be.
+    /// Its routes as written; the platform's settings decide whether they are valid.
     pub routes: Spec,
-    /// Where its counts go; nowhere without the section.
+    /// Where its samples go; nowhere without the section.
     pub remote_write: Option<RemoteWrite>,
-    /// Whom it looks for; it is alone without the section.
+    /// Its cluster; none without the section.
     pub membership: Option<Membership>,
 }
 
-/// `[instance]`: each value stands behind the environment's, and before the platform's configuration.
+/// `[instance]`: the environment takes precedence over each value, and each value over the platform's configuration.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Instance {
     /// Its name.
     pub name: Option<String>,
     /// The platform's configuration.
     pub config: Option<PathBuf>,
-    /// Where it takes requests.
+    /// Where clients connect.
     pub listen: Option<SocketAddr>,
     /// Where discovery answers.
     pub discovery: Option<SocketAddr>,
-    /// Where operators ask; nowhere without.
+    /// Where the admin console listens; none without it.
     pub console: Option<SocketAddr>,
 }
 
-/// `[daemon]`: its state and its end.
+/// `[daemon]`: the state directory and the shutdown.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Daemon {
-    /// The state directory; none, and it keeps no state.
+    /// The state directory; without it no state is kept.
     pub state: Option<PathBuf>,
-    /// How often the status is written when nothing else has it written.
+    /// How often the status is written without any change of phase.
     pub status_every: Duration,
-    /// After a stop, requests that are open have this long at most; none, and they have their own deadlines.
+    /// A bound for pending requests after a stop; without it only their own deadlines bind.
     pub stop_within: Option<Duration>,
 }
 
@@ -61,16 +62,16 @@
     ///
     /// # Errors
     ///
-    /// All that is wrong with it.
+    /// Everything that is wrong with it.
     pub fn read(file: &Path) -> Result<Self, Vec<Fault>> {
         Self::parse(file, &load(file)?)
     }
 
-    /// Checks a file's text that is at hand.
+    /// Checks the text of a file.
     ///
     /// # Errors
     ///
-    /// All that is wrong with it.
+    /// Everything that is wrong with it.
     pub fn parse(file: &Path, text: &str) -> Result<Self, Vec<Fault>> {
         parse(file, text, Self::schema)
     }
@@ -78,7 +79,7 @@
     fn schema(top: &Section) -> Self {
         let section = top.section("instance");
         let instance = Instance {
-            name: name(&section),
+            name: section.name(),
             config: section.path("config"),
             listen: section.address("listen"),
             discovery: section.address("discovery"),
@@ -102,19 +103,3 @@
         }
     }
 }
-
-/// A name that can stand in a path and in a log.
-pub(crate) fn name(section: &Section) -> Option<String> {
-    let name = section.text("name")?;
-    if plain(&name) {
-        return Some(name);
-    }
-    section.fault("name", format!("is {name:?}; at most 64 letters, digits, '-', '_' and '.' were expected"));
-    None
-}
-
-/// Whether a name can stand in a path and in a log.
-pub(crate) fn plain(name: &str) -> bool {
-    let plain = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    name.len() <= 64 && name.chars().all(plain) && !name.starts_with('.')
-}
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -1,24 +1,31 @@
-//! `fleet.toml`: which instances there are, and how they are kept.
+//! `fleet.toml`: the instances of a fleet and the supervisor's policy.
 
-use crate::agent::{name, plain};
-use crate::reader::{load, parse, Fault, Section};
+use crate::errors::Fault;
+use crate::reader::{load, parse};
+use crate::section::Section;
+use crate::values::is_valid_name;
 use bellcroft_supervisor::{Policy, Restart};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The most instances of one fleet; beyond it a machine's descriptors and ports are the bound.
-const INSTANCES_MOST: u64 = 4096;
+/// Most instances of one fleet; a machine's descriptors and ports bound it too.
+const MAX_INSTANCES: u64 = 4096;
+/// The bounds of intervals and back-offs.
+const MIN_TIME: Duration = Duration::from_millis(1);
+const MAX_TIME: Duration = Duration::from_secs(3600);
+/// The shortest time-out of an instance's start, proof or stop.
+const MIN_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// A fleet's file, checked.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FleetFile {
     /// The supervisor's own state directory; each instance's is a folder of its name below it.
     pub state: PathBuf,
-    /// The program that instances run; none is the supervisor's own.
+    /// The program of the instances; none is the supervisor's own.
     pub program: Option<PathBuf>,
-    /// How instances are kept.
+    /// How instances are started, stopped and restarted.
     pub policy: Policy,
     /// The instances.
     pub members: Vec<Member>,
@@ -27,9 +34,9 @@
 /// One instance of a fleet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Member {
-    /// Its name, of which there is one in the fleet.
+    /// Its name, unique in the fleet.
     pub name: String,
-    /// Where it takes requests; the supervisor holds the socket.
+    /// Where clients connect; the supervisor holds the socket.
     pub listen: SocketAddr,
     /// The platform's configuration.
     pub config: PathBuf,
@@ -42,7 +49,7 @@
     ///
     /// # Errors
     ///
-    /// All that is wrong with it.
+    /// Everything that is wrong with it.
     pub fn read(file: &Path) -> Result<Self, Vec<Fault>> {
         parse(file, &load(file)?, Self::schema)
     }
@@ -52,61 +59,12 @@
         let state = section.path("state");
         let state =
             section.required("state", state, "a folder such as \"/run/bellcroft\"").unwrap_or_default();
-        let standard = Policy::default();
-        let hour = Duration::from_secs(3600);
-        let (least, second) = (Duration::from_millis(1), Duration::from_millis(100));
         let program = section.path("program");
-        let mut policy = Policy {
-            start_every: section.time("start_every", least..=hour).unwrap_or(standard.start_every),
-            ready_within: section.time("ready_within", second..=hour).unwrap_or(standard.ready_within),
-            prove_within: section.time("prove_within", second..=hour).unwrap_or(standard.prove_within),
-            stop_within: section.time("stop_within", second..=hour).unwrap_or(standard.stop_within),
-            roll_at_once: section
-                .count("roll_at_once", 1..=INSTANCES_MOST)
-                .map_or(standard.roll_at_once, |n| n as usize),
-            restart: standard.restart.clone(),
-        };
-        let restart = top.section("restart");
-        policy.restart = Restart {
-            first: restart.time("first", least..=hour).unwrap_or(standard.restart.first),
-            max: restart.time("most", least..=hour).unwrap_or(standard.restart.max),
-            jitter: restart.share("jitter").unwrap_or(standard.restart.jitter),
-            limit: restart.count("limit", 1..=1000).map_or(standard.restart.limit, |n| n as u32),
-            forgive_after: restart
-                .time("forgive_after", least..=hour)
-                .unwrap_or(standard.restart.forgive_after),
-        };
-        if policy.restart.max < policy.restart.first {
-            restart.fault("most", "is shorter than restart.first; it must be as long at least");
-        }
-        let mut members = Vec::new();
+        let policy = policy(&section, &top.section("restart"));
         let listed = top.sections("instance");
         let template = top.section("template");
-        let mut taken = Taken::default();
-        for section in &listed {
-            let own = name(section);
-            let own = section.required("name", own, "a name");
-            let listen = section.address("listen");
-            let listen = section.required("listen", listen, "an address such as \"127.0.0.1:8443\"");
-            let config = section.path("config");
-            let config = section.required("config", config, "the platform's configuration");
-            let operator = section.path("operator");
-            if let (Some(name), Some(listen), Some(config)) = (own, listen, config) {
-                let member = Member { name, listen, config, operator };
-                taken.check(&member, section);
-                members.push(member);
-            }
-        }
-        if template.present() {
-            let made = from_template(&template);
-            for member in &made {
-                if !taken.check(member, &template) {
-                    break;
-                }
-            }
-            members.extend(made);
-        }
-        if members.is_empty() && listed.is_empty() && !template.present() {
+        let members = members(&listed, &template);
+        if members.is_empty() && listed.is_empty() && !template.is_present() {
             top.fault(
                 "instance",
                 "there is no [[instance]] and no [template]; a fleet has at least one instance",
@@ -116,7 +74,71 @@
     }
 }
 
-/// Names and addresses that instances have.
+/// `[fleet]` and `[restart]`: the supervisor's policy.
+fn policy(fleet: &Section, restart: &Section) -> Policy {
+    let default = Policy::default();
+    let time = |key, min, default| fleet.time(key, min..=MAX_TIME).unwrap_or(default);
+    let policy = Policy {
+        start_every: time("start_every", MIN_TIME, default.start_every),
+        ready_within: time("ready_within", MIN_TIMEOUT, default.ready_within),
+        prove_within: time("prove_within", MIN_TIMEOUT, default.prove_within),
+        stop_within: time("stop_within", MIN_TIMEOUT, default.stop_within),
+        roll_at_once: fleet
+            .count("roll_at_once", 1..=MAX_INSTANCES)
+            .map_or(default.roll_at_once, |count| count as usize),
+        restart: restart_policy(restart, default.restart),
+    };
+    if policy.restart.max < policy.restart.first {
+        restart.fault("most", "is shorter than restart.first; it must be as long at least");
+    }
+    policy
+}
+
+fn restart_policy(section: &Section, default: Restart) -> Restart {
+    let time = |key, default| section.time(key, MIN_TIME..=MAX_TIME).unwrap_or(default);
+    Restart {
+        first: time("first", default.first),
+        max: time("most", default.max),
+        jitter: section.share("jitter").unwrap_or(default.jitter),
+        limit: section.count("limit", 1..=1000).map_or(default.limit, |limit| limit as u32),
+        forgive_after: time("forgive_after", default.forgive_after),
+    }
+}
+
+/// The instances of `[[instance]]` and `[template]`.
+fn members(listed: &[Section], template: &Section) -> Vec<Member> {
+    let mut members = Vec::new();
+    let mut taken = Taken::default();
+    for section in listed {
+        if let Some(member) = member(section) {
+            taken.check(&member, section);
+            members.push(member);
+        }
+    }
+    if template.is_present() {
+        let made = from_template(template);
+        for member in &made {
+            if !taken.check(member, template) {
+                break;
+            }
+        }
+        members.extend(made);
+    }
+    members
+}
+
+fn member(section: &Section) -> Option<Member> {
+    let name = section.name();
+    let name = section.required("name", name, "a name");
+    let listen = section.address("listen");
+    let listen = section.required("listen", listen, "an address such as \"127.0.0.1:8443\"");
+    let config = section.path("config");
+    let config = section.required("config", config, "the platform's configuration");
+    let operator = section.path("operator");
+    Some(Member { name: name?, listen: listen?, config: config?, operator })
+}
+
+/// The names and addresses in use.
 #[derive(Default)]
 struct Taken {
     names: HashSet<String>,
@@ -124,7 +146,7 @@
 }
 
 impl Taken {
-    /// Notes a member whose name or address another one has; false if it does.
+    /// Records a fault if another member has the same name or address; false in that case.
     fn check(&mut self, member: &Member, section: &Section) -> bool {
         let mut free = true;
         if !self.names.insert(member.name.clone()) {
@@ -142,9 +164,9 @@
     }
 }
 
-/// `{n}` in a template's texts is the instance's number, `{name}` its name.
+/// The instances of a template, in whose texts `{n}` is the instance's number and `{name}` its name.
 fn from_template(section: &Section) -> Vec<Member> {
-    let count = section.count("count", 1..=INSTANCES_MOST);
+    let count = section.count("count", 1..=MAX_INSTANCES);
     let count = section.required("count", count, "a number of instances").unwrap_or(0);
     let first = section.count("first", 0..=1_000_000).unwrap_or(0);
     let pattern = section.text("name");
@@ -167,20 +189,20 @@
         );
         return Vec::new();
     }
-    let made = (0..count).map(|place| {
-        let name = pattern.replace("{n}", &(first + place).to_string());
+    let made = (0..count).map(|index| {
+        let name = pattern.replace("{n}", &(first + index).to_string());
         let fill = |path: &PathBuf| {
             let text = path.to_string_lossy().replace("{name}", &name);
-            PathBuf::from(text.replace("{n}", &(first + place).to_string()))
+            PathBuf::from(text.replace("{n}", &(first + index).to_string()))
         };
         let mut listen = listen;
         if listen.port() != 0 {
-            listen.set_port(listen.port() + place as u16);
+            listen.set_port(listen.port() + index as u16);
         }
         Member { listen, config: fill(&config), operator: operator.as_ref().map(fill), name }
     });
     let made: Vec<Member> = made.collect();
-    if let Some(bad) = made.iter().find(|member| !plain(&member.name)) {
+    if let Some(bad) = made.iter().find(|member| !is_valid_name(&member.name)) {
         let name = &bad.name;
         section.fault(
             "name",
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,20 +1,24 @@
 //! The files that an operator owns: `agent.toml` for an instance ([`AgentFile`]), `fleet.toml` for a fleet of them
 //! ([`FleetFile`]).
 //!
-//! A file is read whole and checked whole: either every value in it is good, or the answer is the list of all that
-//! is wrong with it, each [`Fault`] with its line, its key, what is wrong and what would be right. Keys that are not
-//! known are wrong. Each subsystem reads its own section through [`Section`], which knows the keys that it was asked
-//! for.
+//! A file is checked completely: either every value in it is valid, or the result is the list of all faults, each
+//! [`Fault`] with its line, its key, what is wrong and what was expected. An unknown key is a fault. Each subsystem reads
+//! its own section through [`Section`], which records the keys that it was asked for.
 
 mod agent;
+mod errors;
 mod fleet;
 mod membership;
 mod reader;
 mod routes;
+mod section;
 mod telemetry;
+mod values;
 
 pub use agent::{AgentFile, Daemon, Instance};
+pub use errors::Fault;
 pub use fleet::{FleetFile, Member};
 pub use membership::Membership;
-pub use reader::{load, parse, Fault, Section};
+pub use reader::{load, parse};
+pub use section::Section;
 pub use telemetry::RemoteWrite;
--- a/crates/operator-config/src/routes.rs
+++ b/crates/operator-config/src/routes.rs
@@ -1,17 +1,17 @@
 //! `[[route]]` and `[pool.NAME]`.
 
-use crate::agent::name;
-use crate::reader::Section;
+use crate::section::Section;
 use bellcroft_balancer::{Micros, RetryOn};
 use bellcroft_routes::{BudgetSpec, Lines, Match, PoolSpec, RouteSpec, SecondCopy, Spec, Within};
 use std::time::Duration;
 
-/// Time-outs lie within these.
-const LEAST: Duration = Duration::from_millis(1);
-const MOST: Duration = Duration::from_secs(600);
-/// Counts of requests lie within this.
-const COUNT_MOST: u64 = 1_000_000;
+/// The bounds of time-outs.
+const MIN_TIMEOUT: Duration = Duration::from_millis(1);
+const MAX_TIMEOUT: Duration = Duration::from_secs(600);
+/// The bound of counts of requests.
+const MAX_COUNT: u64 = 1_000_000;
 
+/// Reads the routes and the pools.
 pub(crate) fn schema(top: &Section) -> Spec {
     let routes = top.sections("route").iter().map(route).collect();
     let pools = top.section("pool");
@@ -19,28 +19,28 @@
     Spec { routes, pools }
 }
 
-/// The lines of all keys that have been asked for so far.
+/// The lines of the keys that have been read so far.
 fn lines(section: &Section) -> Lines {
-    Lines { section: section.begins(), keys: section.lines() }
+    Lines { section: section.line(), keys: section.lines() }
 }
 
 fn time(section: &Section, key: &'static str) -> Option<Micros> {
-    section.time(key, LEAST..=MOST).map(span)
+    section.time(key, MIN_TIMEOUT..=MAX_TIMEOUT).map(micros)
 }
 
-fn span(time: Duration) -> Micros {
+fn micros(time: Duration) -> Micros {
     Micros(time.as_micros() as u64)
 }
 
 fn count(section: &Section, key: &'static str) -> Option<u32> {
-    section.count(key, 1..=COUNT_MOST).map(|count| count as u32)
+    section.count(key, 1..=MAX_COUNT).map(|count| count as u32)
 }
 
 fn budget(section: &Section, key: &'static str) -> Option<BudgetSpec> {
     let section = section.section(key);
     let ratio = section.share("ratio");
     let burst = section.number("burst", 1.0..=1e6);
-    if !section.present() {
+    if !section.is_present() {
         return None;
     }
     let ratio = section.required("ratio", ratio, "the further attempts that each request earns");
@@ -49,24 +49,24 @@
 }
 
 fn route(section: &Section) -> RouteSpec {
-    let own = name(section);
+    let own = section.name();
     let own = section.required("name", own, "a name");
     let matches = section.section("match");
     let matches =
         Match { class: matches.text("class"), tenant: matches.text("tenant"), path: matches.text("path") };
-    let words = ["connect", "rejected", "reset", "timeout", "error"];
-    let retry_on = section.words("retry_on", &words).map(|named| {
-        let has = |place: usize| named.contains(&place);
+    let conditions = ["connect", "rejected", "reset", "timeout", "error"];
+    let retry_on = section.choices("retry_on", &conditions).map(|chosen| {
+        let has = |index: usize| chosen.contains(&index);
         RetryOn { connect: has(0), rejected: has(1), reset: has(2), timeout: has(3), error: has(4) }
     });
-    let retry_within = section.read("retry_within", "\"any\" or \"zone\"", |word| match word {
+    let retry_within = section.parsed("retry_within", "\"any\" or \"zone\"", |word| match word {
         "any" => Some(Within::Any),
         "zone" => Some(Within::Zone),
         _ => None,
     });
-    let right =
+    let expected =
         "\"never\", a percentile such as \"p95\" (p50 to p99.9), or a time such as \"200ms\" from 1ms to 10m";
-    let second_copy_after = section.read("second_copy_after", right, second_copy).unwrap_or_default();
+    let second_copy_after = section.parsed("second_copy_after", expected, second_copy).unwrap_or_default();
     RouteSpec {
         name: own.unwrap_or_default(),
         matches,
@@ -97,7 +97,7 @@
         return (50.0..=99.9).contains(&percentile).then_some(SecondCopy::Percentile(percentile));
     }
     let after = humantime::parse_duration(word).ok()?;
-    (LEAST..=MOST).contains(&after).then_some(SecondCopy::After(span(after)))
+    (MIN_TIMEOUT..=MAX_TIMEOUT).contains(&after).then_some(SecondCopy::After(micros(after)))
 }
 
 fn pool(name: String, section: &Section) -> PoolSpec {
--- a/crates/operator-config/src/telemetry.rs
+++ b/crates/operator-config/src/telemetry.rs
@@ -1,35 +1,35 @@
 //! `[remote_write]` and `[remote_write.labels]`.
 
-use crate::reader::Section;
+use crate::section::Section;
 use bellcroft_telemetry::{Url, LABEL_MOST};
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Labels that an operator may add.
-const LABELS_MOST: usize = 32;
-/// A token file is a line.
-const TOKEN_MOST: u64 = 16 << 10;
+/// Most labels of an operator.
+const MAX_LABELS: usize = 32;
+/// Largest token file in bytes; it holds one line.
+const MAX_TOKEN_FILE_BYTES: u64 = 16 << 10;
 
 /// Where samples go, and how.
 #[derive(Clone, PartialEq)]
 pub struct RemoteWrite {
     /// The receiver.
     pub url: Url,
-    /// It is sent 2.0 first.
+    /// Remote write 2.0 is tried first.
     pub version_2: bool,
-    /// From a sample to the next.
+    /// The interval of samples.
     pub interval: Duration,
-    /// One exchange with the receiver.
+    /// The time-out of one exchange with the receiver.
     pub timeout: Duration,
-    /// Bytes that may wait.
+    /// The bound of the queue.
     pub queue_bytes: usize,
-    /// The pause after a first failure, and the longest one.
+    /// The first back-off after a failure, and the longest one.
     pub retry: (Duration, Duration),
-    /// After a stop, what waits has this long.
+    /// The time to send the queue after a stop.
     pub flush_within: Duration,
     /// The bearer token, read from its file.
     pub token: Option<String>,
-    /// Servers that may be named in labels at a time.
+    /// Most servers named in labels at a time.
     pub server_names: usize,
     /// Labels of every series.
     pub labels: Vec<(String, String)>,
@@ -45,11 +45,12 @@
     }
 }
 
+/// Reads the section.
 pub(crate) fn schema(top: &Section) -> Option<RemoteWrite> {
     let section = top.section("remote_write");
     let seconds = Duration::from_secs;
     let address = section.text("url");
-    let version_2 = section.read("version", "\"1.0\" or \"2.0\"", |word| match word {
+    let version_2 = section.parsed("version", "\"1.0\" or \"2.0\"", |word| match word {
         "1.0" => Some(false),
         "2.0" => Some(true),
         _ => None,
@@ -58,18 +59,18 @@
     let timeout = section.time("timeout", Duration::from_millis(100)..=seconds(120));
     let queue_bytes = section.count("queue_bytes", (64 << 10)..=(256 << 20));
     let first = section.time("retry_first", Duration::from_millis(10)..=seconds(60));
-    let most = section.time("retry_most", Duration::from_millis(10)..=seconds(600));
+    let max = section.time("retry_most", Duration::from_millis(10)..=seconds(600));
     let flush_within = section.time("flush_within", Duration::from_millis(10)..=seconds(60));
     let token_file = section.path("token_file");
     let server_names = section.count("server_names", 0..=1000);
     let labels = labels(&section.section("labels"));
-    if !section.present() {
+    if !section.is_present() {
         return None;
     }
     let address =
         section.required("url", address, "where samples go, such as \"http://127.0.0.1:9090/api/v1/write\"");
     let url = address.and_then(|text| Url::parse(&text).map_err(|why| section.fault("url", why)).ok());
-    let retry = (first.unwrap_or(Duration::from_millis(250)), most.unwrap_or(seconds(30)));
+    let retry = (first.unwrap_or(Duration::from_millis(250)), max.unwrap_or(seconds(30)));
     if retry.0 > retry.1 {
         section.fault("retry_first", "is longer than retry_most");
     }
@@ -90,11 +91,11 @@
     })
 }
 
-/// Names by the data model of Prometheus; those that begin with `__` are its own.
+/// Labels, whose names follow Prometheus' data model; names that start with `__` are reserved.
 fn labels(section: &Section) -> Vec<(String, String)> {
     let texts = section.texts();
-    if texts.len() > LABELS_MOST {
-        section.fault("", format!("holds {} labels; at most {LABELS_MOST} are sent", texts.len()));
+    if texts.len() > MAX_LABELS {
+        section.fault("", format!("holds {} labels; at most {MAX_LABELS} are sent", texts.len()));
     }
     for (name, value) in &texts {
         let letter = |c: char| c.is_ascii_alphabetic() || c == '_';
@@ -111,11 +112,11 @@
     texts
 }
 
-/// A token's text. What is wrong is told without it.
+/// Reads a token file. An error never contains the token.
 fn token(file: &PathBuf) -> Result<String, String> {
     let size = std::fs::metadata(file).map_err(|e| format!("cannot be read: {e}"))?;
-    if !size.is_file() || size.len() > TOKEN_MOST {
-        return Err(format!("is no file of at most {TOKEN_MOST} bytes"));
+    if !size.is_file() || size.len() > MAX_TOKEN_FILE_BYTES {
+        return Err(format!("is no file of at most {MAX_TOKEN_FILE_BYTES} bytes"));
     }
     let text = std::fs::read_to_string(file).map_err(|e| format!("cannot be read: {}", e.kind()))?;
     let token = text.trim();
--- a/crates/operator-config/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -42,7 +42,7 @@
 
 /// Every key that a shipped file shows commented out is one that is known, with a value that is right.
 #[test]
-fn the_shipped_files_are_good_also_with_every_comment_taken_out() {
+fn shipped_files_are_valid_with_and_without_commented_keys() {
     AgentFile::read(&shipped("agent.toml")).expect("it is good");
     let file = FleetFile::read(&shipped("fleet.toml")).expect("it is good");
     assert_eq!(file.members.len(), 50);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn an_empty_agent_file_means_the_standard() {
+fn empty_agent_file_gives_defaults() {
     let file = Temporary::new(b"");
     let read = AgentFile::read(&file.0).expect("it is good");
     assert_eq!(read, AgentFile::default());
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_bad_agent_file_tells_all_that_is_wrong_with_it() {
+fn invalid_agent_file_reports_all_faults() {
     let text = "[instance]\nname = \"../x\"\nlisten = \"8443\"\ndiscovery = 7\n\n[daemon]\nstate = \"\"\n\
                 status_every = \"1h\"\nstop_whitin = \"1s\"\n\n[demon]\n";
     let file = Temporary::new(text.as_bytes());
@@ -100,22 +100,22 @@
 }
 
 #[test]
-fn files_that_cannot_be_read_say_why() {
+fn unreadable_files_report_the_reason() {
     let missing = AgentFile::read(Path::new("/nowhere/agent.toml")).expect_err("it is missing");
     assert!(missing[0].to_string().starts_with("/nowhere/agent.toml: cannot be read"), "{}", missing[0]);
     let folder = AgentFile::read(&std::env::temp_dir()).expect_err("it is a folder");
-    assert!(folder[0].what.contains("no plain file"));
+    assert!(folder[0].message.contains("no plain file"));
     let binary = Temporary::new(b"[daemon]\n\xff\xfe");
     let faults = AgentFile::read(&binary.0).expect_err("it is no text");
-    assert_eq!((faults[0].line, faults[0].what.as_str()), (2, "is not UTF-8 text"));
+    assert_eq!((faults[0].line, faults[0].message.as_str()), (2, "is not UTF-8 text"));
     let huge = Temporary::new(&vec![b'#'; 2 << 20]);
-    assert!(AgentFile::read(&huge.0).expect_err("it is too long")[0].what.contains("bytes long"));
+    assert!(AgentFile::read(&huge.0).expect_err("it is too long")[0].message.contains("bytes long"));
     let half = Temporary::new(b"[daemon]\nstate = \"/run/bell");
     assert_eq!(AgentFile::read(&half.0).expect_err("it is cut off")[0].line, 2);
 }
 
 #[test]
-fn a_template_makes_instances_that_differ() {
+fn template_makes_distinct_instances() {
     let text = "[fleet]\nstate = \"s\"\n[template]\ncount = 3\nfirst = 7\nname = \"d-{n}\"\n\
                 listen = \"127.0.0.1:9000\"\nconfig = \"c/{name}-{n}.json\"\n";
     let file = fleet(text).expect("it is good");
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn fleets_that_cannot_be_are_refused() {
+fn invalid_fleets_are_rejected() {
     let instance = |name: &str, listen: &str| {
         format!("[[instance]]\nname = \"{name}\"\nlisten = \"{listen}\"\nconfig = \"c\"\n")
     };
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn bad_remote_write_sections_are_refused_each_with_its_message() {
+fn invalid_remote_write_sections_are_rejected_with_messages() {
     let good = "[remote_write]\nurl = \"http://127.0.0.1:9/w\"\n";
     let cases = [
         ("[remote_write]\n", "F:1: remote_write.url: is missing"),
--- a/crates/operator-config/tests/membership.rs
+++ b/crates/operator-config/tests/membership.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_roster_is_read_and_its_own_place_is_found_in_it() {
+fn member_number_is_found_in_peer_list() {
     let peers = "cluster = \"south\"\npeers = [\"127.0.0.1:7\", \"127.0.0.1:8\"]\n";
     let file = read(&format!("{peers}listen = \"127.0.0.1:8\"\n")).expect("it is good").membership;
     let section = file.expect("it is there");
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_roster_that_cannot_work_is_refused_with_its_line_and_why() {
+fn invalid_peer_lists_are_rejected_with_line_and_reason() {
     let cases = [
         ("listen = \"127.0.0.1:7\"\n", "F:1: membership.cluster: is missing; a name that all its members share is needed"),
         (
--- a/crates/operator-config/tests/routes.rs
+++ b/crates/operator-config/tests/routes.rs
@@ -63,7 +63,7 @@
 mod bad_routes;
 
 #[test]
-fn bad_files_are_refused_each_with_its_message() {
+fn invalid_routes_are_rejected_with_messages() {
     let mut failures = Vec::new();
     let cases = bad_routes::cases();
     assert!(cases.len() >= 60, "{}", cases.len());
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn good_files_are_taken() {
+fn valid_routes_are_accepted() {
     for text in [
         String::new(),
         route("read", ""),
@@ -101,7 +101,7 @@
 
 /// The example files keep the rules of the booking service's classes.
 #[test]
-fn the_example_files_are_good() {
+fn example_files_are_valid() {
     let class = |effect, deadline| Class {
         retry_safety: effect,
         latency_objective: Micros::from_ms(250.0),
@@ -133,7 +133,7 @@
 /// Files out of a grammar, most of them nearly valid: reading and checking one never panics, and what is accepted
 /// can be made a table.
 #[test]
-fn files_out_of_a_grammar_never_panic() {
+fn generated_files_never_panic() {
     let times = [
         "\"1ms\"",
         "\"20ms\"",
@@ -227,7 +227,7 @@
 
 /// Ten thousand routes are checked and looked up without each being compared with each.
 #[test]
-fn many_routes_are_checked_and_found() {
+fn many_routes_are_checked_and_matched() {
     let route = |n: usize| format!("[[route]]\nname = \"r{n}\"\nmatch = {{ path = \"/read/{n:05}\" }}\n");
     let text: String = (0..2000).map(route).collect();
     assert_eq!(wrong(&text), Vec::<String>::new());
