--- a/crates/agent/tests/daemon.rs
+++ b/crates/agent/tests/daemon.rs
@@ -222,7 +222,7 @@
 #[tokio::test]
 async fn second_of_two_simultaneous_starts_exits_with_3() {
     let (_backend, _directory, mut config) = world().await;
-    config["listen"] = nobody().await.to_string().into();
+    config["listen"] = unshared_address().await.to_string().into();
     let daemon = Daemon::new(&config);
     for round in 0..50 {
         let first = daemon.command().spawn().expect("it starts");
@@ -344,7 +344,7 @@
 async fn full_disk_is_reported_and_does_not_stop_serving() {
     let (_backend, _directory, config) = world().await;
     let daemon = Daemon::new(&config);
-    let listen = nobody().await;
+    let listen = unshared_address().await;
     let log = daemon.folder.path().join("log");
     let mut command = Command::new("/bin/sh");
     let script = "trap '' XFSZ; ulimit -f 0; exec \"$0\" run --operator \"$1\" 2>>\"$2\"";
--- a/crates/agent/tests/log.rs
+++ b/crates/agent/tests/log.rs
@@ -51,7 +51,10 @@
     assert_eq!(told("its health is \"asleep\""), 1, "{lines:?}");
     // A name with a line's end in it makes no line of its own.
     assert_eq!(told("u\\nv"), 1, "{lines:?}");
-    assert_eq!(lines.iter().filter(|l| l.contains("left out") && l.contains("WARN")).count(), 2);
+    assert_eq!(
+        lines.iter().filter(|l| l.contains("endpoint list entry rejected") && l.contains("WARN")).count(),
+        2
+    );
 }
 
 #[tokio::test]
@@ -77,7 +80,7 @@
 async fn levels_apply_by_target_and_invalid_ones_are_rejected() {
     let (_, quiet) = lines(&["run", "--log-level", "info,bellcroft::discovery=off"], &[], false).await;
     assert!(quiet.iter().any(|l| l.contains("listening for clients")), "{quiet:?}");
-    assert!(!quiet.iter().any(|l| l.contains("left out") || l.contains("server ")), "{quiet:?}");
+    assert!(!quiet.iter().any(|l| l.contains("entry rejected") || l.contains("server ")), "{quiet:?}");
     let (code, refused) = lines(&["run", "--log-level", "bellcroft=loud"], &[], false).await;
     assert_eq!(code, Some(2));
     assert!(refused.len() == 1 && refused[0].contains("bellcroft=loud"), "{refused:?}");
--- a/crates/agent/tests/readiness.rs
+++ b/crates/agent/tests/readiness.rs
@@ -57,7 +57,7 @@
 #[tokio::test]
 async fn process_without_backend_finds_late_discovery() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
-    let address = nobody().await;
+    let address = unshared_address().await;
     let agent = Agent::start(address, &[]).await;
     // Some calls have failed meanwhile, and pauses between them have grown.
     tokio::time::sleep(Duration::from_secs(2)).await;
