--- a/crates/agent/src/cli/mod.rs
+++ b/crates/agent/src/cli/mod.rs
@@ -136,7 +136,7 @@
         }
     };
     if let Err(error) = log::start(cli.log_format, cli.log_level) {
-        log::say(format_args!("bellcroft: {error}"));
+        log::print_error(format_args!("bellcroft: {error}"));
         return ExitCode::from(exit::BAD_INPUT);
     }
     match cli.command {
--- a/crates/agent/src/daemon/mod.rs
+++ b/crates/agent/src/daemon/mod.rs
@@ -21,7 +21,7 @@
 
 pub(crate) use crate::control_plane::{variable, StartOptions};
 use crate::exit;
-use crate::log::say;
+use crate::log::print_error;
 use config::Config;
 pub(crate) use config::ConfigSources;
 use state::{StateDir, StateDirError};
@@ -45,7 +45,7 @@
     let mut config = match Config::load(&options.sources, variable) {
         Ok(config) => config,
         Err(errors) => {
-            say(format_args!("bellcroft: {errors}"));
+            print_error(format_args!("bellcroft: {errors}"));
             return ExitCode::from(exit::BAD_INPUT);
         }
     };
@@ -57,7 +57,7 @@
         match StateDir::acquire(path) {
             Ok(locked) => state = Some(locked),
             Err(held @ StateDirError::Held(_)) => {
-                say(format_args!("bellcroft: {}: {held}", path.display()));
+                print_error(format_args!("bellcroft: {}: {held}", path.display()));
                 return ExitCode::from(exit::ALREADY_RUNNING);
             }
             Err(unusable) => problems.push(unusable.to_string()),
--- a/crates/agent/src/exit.rs
+++ b/crates/agent/src/exit.rs
@@ -1,6 +1,6 @@
 //! Exit codes, the same for every command, and the runtime of the commands that do I/O.
 
-use crate::log::say;
+use crate::log::print_error;
 use std::fmt::Display;
 use std::future::Future;
 use std::io;
@@ -37,6 +37,6 @@
 }
 
 fn fail(error: impl Display) -> ExitCode {
-    say(format_args!("bellcroft: {error}"));
+    print_error(format_args!("bellcroft: {error}"));
     ExitCode::from(BAD_INPUT)
 }
--- a/crates/agent/src/fleet/mod.rs
+++ b/crates/agent/src/fleet/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::daemon::state::{StateDir, StateDirError};
 use crate::exit;
-use crate::log::say;
+use crate::log::print_error;
 use bellcroft_operator_config::{FleetFile, Member};
 use bellcroft_supervisor::{InstanceId, Supervisor};
 use commands::{FleetEvent, ReloadProgress, RollResult};
@@ -80,14 +80,14 @@
     let fleet = match FleetFile::read(file) {
         Ok(fleet) => fleet,
         Err(faults) => {
-            faults.iter().for_each(say);
+            faults.iter().for_each(print_error);
             return ExitCode::from(exit::BAD_INPUT);
         }
     };
     let state = match StateDir::acquire(&fleet.state) {
         Ok(state) => state,
         Err(error) => {
-            say(format_args!("bellcroft: {}: {error}", fleet.state.display()));
+            print_error(format_args!("bellcroft: {}: {error}", fleet.state.display()));
             let held = matches!(error, StateDirError::Held(_));
             return ExitCode::from(if held { exit::ALREADY_RUNNING } else { exit::BAD_INPUT });
         }
--- a/crates/agent/src/fleet/supervisor_loop.rs
+++ b/crates/agent/src/fleet/supervisor_loop.rs
@@ -7,7 +7,7 @@
 use crate::daemon::control::Control;
 use crate::daemon::notify::Notify;
 use crate::daemon::state::{StateDir, StatusWriter};
-use crate::log::say;
+use crate::log::print_error;
 use bellcroft_operator_config::{FleetFile, Member};
 use bellcroft_supervisor::{Command, Event, InstanceId, Phase, Supervisor};
 use serde_json::Value;
@@ -53,7 +53,7 @@
 pub(super) async fn supervise(file: FleetFile, state: &StateDir) -> Result<(), SupervisorError> {
     let signals = Signals::install()?;
     let (notify, problem) = Notify::find(|name| std::env::var_os(name));
-    problem.into_iter().for_each(say);
+    problem.into_iter().for_each(print_error);
     let program = match &file.program {
         Some(program) => program.clone(),
         None => std::env::current_exe().map_err(SupervisorError::OwnProgram)?,
@@ -80,7 +80,7 @@
     let answer = move |request: Value| answering.borrow().on_control_request(&request);
     let _control_socket = Control::serve(state.path(), answer).map_err(SupervisorError::ControlSocket)?;
     let writer = StatusWriter::start(state.path()).map_err(SupervisorError::StatusWriter)?;
-    fleet.borrow_mut().begin();
+    fleet.borrow_mut().adopt_and_start();
     SupervisorLoop { fleet: fleet.clone(), signals, events, notify, writer }.run().await;
     info!("all instances have stopped");
     Ok(())
@@ -157,7 +157,7 @@
 
 impl Fleet {
     /// Adopts the processes that were found and starts the others.
-    fn begin(&mut self) {
+    fn adopt_and_start(&mut self) {
         let adopted: Vec<InstanceId> =
             (0..self.instances.len()).map(InstanceId).filter(|id| self.instance(*id).adopted).collect();
         info!(instances = self.instances.len(), adopted = adopted.len(), "fleet starting");
--- a/crates/agent/src/log.rs
+++ b/crates/agent/src/log.rs
@@ -115,6 +115,6 @@
 }
 
 /// Prints a line without level or time on standard error: errors of commands, and of a start before the logger.
-pub(crate) fn say(line: impl Display) {
+pub(crate) fn print_error(line: impl Display) {
     let _ = writeln!(Unfailing, "{line}");
 }
--- a/crates/agent/tests/daemon.rs
+++ b/crates/agent/tests/daemon.rs
@@ -1,4 +1,4 @@
-//! An instance's life as a daemon: its state, its control socket, its reloads and its end.
+//! An instance as a daemon: its state directory, its control socket, its reloads and its shutdown.
 
 use serde_json::{json, Value};
 use std::os::unix::fs::PermissionsExt;
@@ -162,13 +162,13 @@
     assert!(!daemon.state.join("control.sock").exists());
 }
 
-/// A stop while a request is on the wire: its client hears its one true outcome, and nothing goes out afterwards.
+/// A stop with a request in flight: its client gets the attempt's outcome, and no attempt is sent afterwards.
 #[tokio::test]
 async fn stop_with_request_in_flight_returns_its_outcome() {
     let (mut backend, word) = Backend::held("logged").await;
     let directory = Directory::start(Mood::Mute).await;
     let mut config = config(directory.address, &[host("s", backend.address, "up")]);
-    // One copy, whose outcome the test holds back for a while.
+    // One attempt, whose outcome the test delays.
     config["settings"]["limits"]["secondCopies"] = false.into();
     for class in config["settings"]["classes"].as_array_mut().expect("classes") {
         class["deadlineMs"] = 60_000.into();
@@ -181,7 +181,7 @@
     running.signal("-TERM").await;
     let status = daemon.until("draining", |s| s["phase"] == "draining").await;
     assert_eq!(status["requests"]["save"]["open"], 1);
-    // Not until it takes no more connections: from then on only the open request keeps it.
+    // Once it accepts no more connections, only the pending request keeps it from exiting.
     soon("the end of accepting", async {
         while TcpStream::connect(running.address).await.is_ok() {
             tokio::time::sleep(Duration::from_millis(20)).await;
@@ -197,7 +197,7 @@
     assert!(backend.seen.try_recv().is_err(), "something went out after the answer");
 }
 
-/// The operator's patience may be shorter than the clients': they hear so and are not left without an answer.
+/// The operator's limit may be shorter than the clients' deadlines: every request still gets a response.
 #[tokio::test]
 async fn stop_within_limit_answers_abandoned_requests() {
     let mut backend = Backend::start(|_| Reply::Mute).await;
@@ -217,8 +217,8 @@
     assert_eq!(daemon.file()["requests"]["pay"]["failed"], 1);
 }
 
-/// Two processes of one file, fifty times, either one first: one serves, the other ends with 3 and one line, and
-/// leaves everything of the first's as it is.
+/// Two processes of one file, fifty times, either one first: one serves, the other exits with 3 and one line, and changes
+/// nothing of the first one's.
 #[tokio::test]
 async fn second_of_two_simultaneous_starts_exits_with_3() {
     let (_backend, _directory, mut config) = world().await;
@@ -227,7 +227,7 @@
     for round in 0..50 {
         let first = daemon.command().spawn().expect("it starts");
         if round % 2 == 0 {
-            // The other one comes when the first already holds all that it will.
+            // The second one starts when the first holds its lock and its address.
             daemon.until("the first one's status", |s| s["pid"].as_u64() == first.id().map(u64::from)).await;
         }
         let second = daemon.command().spawn().expect("it starts");
@@ -264,8 +264,8 @@
     }
 }
 
-/// A process that is killed outright frees its lock; the next one takes its name, its address and its directory,
-/// whatever the last one left there.
+/// A killed process releases its lock; the next one takes its name, its address and its directory, whatever files are
+/// left there.
 #[tokio::test]
 async fn start_after_kill_takes_over_state_directory() {
     let (_backend, _directory, config) = world().await;
@@ -275,7 +275,7 @@
     assert!(daemon.state.join("control.sock").exists(), "a killed process tidies nothing up");
     let (last, code) = daemon.status().await;
     assert_eq!((code, &last["running"]), (Some(4), &json!(false)));
-    // A status that is cut off in the middle is no obstacle, and says so while nothing runs.
+    // A truncated status file is no obstacle, and is reported while no process runs.
     std::fs::write(daemon.state.join("status.json"), "{\"version\":1,\"na").expect("a file");
     let (cut, code) = daemon.status().await;
     assert_eq!(code, Some(4));
@@ -288,7 +288,7 @@
     assert_eq!(again.end().await.0, Some(0));
 }
 
-/// State that cannot be kept: serving goes on, and the status, where anything of it is left, says what is wrong.
+/// With an unusable state directory the instance serves, and the status, if it can be read, reports the problem.
 #[tokio::test]
 async fn unusable_state_directory_does_not_stop_serving() {
     let (_backend, _directory, config) = world().await;
@@ -318,7 +318,7 @@
     assert!(std::fs::read_dir(&foreign)
         .expect("it is there")
         .all(|e| e.is_ok_and(|e| e.file_name() != "lock")));
-    // Read-only: as another user where this one is root, whom no mode stops.
+    // Read-only, as another user if this one is root, to whom modes do not apply.
     let sealed = daemon.folder.path().join("sealed");
     std::fs::create_dir(&sealed).expect("a folder");
     let mut command = daemon.command();
@@ -338,8 +338,7 @@
     assert!(log.contains("sealed: lock: Permission denied"), "{log}");
 }
 
-/// A disk that takes no more: the file-size limit of the shell stands for it, and the same error path is taken. The
-/// log lies on the same disk.
+/// A full disk, simulated by the shell's file-size limit, which takes the same error path. The log is on the same disk.
 #[tokio::test]
 async fn full_disk_is_reported_and_does_not_stop_serving() {
     let (_backend, _directory, config) = world().await;
@@ -363,8 +362,8 @@
     assert_eq!(std::fs::metadata(&log).expect("it is there").len(), 0, "the log could not be written either");
 }
 
-/// Files that are broken, half-written, unreadable or gone, and ones that only a restart could take: all stays as it
-/// was, the status says why, and a good file is taken after them.
+/// Files that are malformed, truncated, unreadable or missing, and ones that need a restart are rejected without a change,
+/// the status gives the reason, and a valid file is accepted after them.
 #[tokio::test]
 async fn reload_applies_everything_or_nothing() {
     let (_backend, _directory, config) = world().await;
@@ -398,7 +397,7 @@
         assert_eq!((&now["digest"], &now["generation"]), (&before["digest"], &before["generation"]));
         assert!(now["refused"].as_str().is_some_and(|e| e.contains(why)), "{now}");
     }
-    // Unreadable for root too: a folder stands where the file was.
+    // Unreadable for root too: a folder in place of the file.
     std::fs::write(&daemon.operator, &good).expect("a file");
     std::fs::remove_file(&daemon.config).expect("it was there");
     std::fs::create_dir(&daemon.config).expect("a folder");
@@ -410,7 +409,7 @@
     std::fs::write(&daemon.config, moved.to_string()).expect("a file");
     assert_eq!(daemon.ask(&json!({"command": "reload"})).await, json!({"generation": 2}));
     second.next_call().await;
-    // Ten in a second, by either way, then a stop behind them.
+    // Ten reloads within a second, by signal and by command, and then a stop.
     for round in 0..10 {
         if round % 2 == 0 {
             running.signal("-HUP").await;
@@ -425,7 +424,7 @@
     assert_eq!(running.end().await.0, Some(0));
 }
 
-/// A control client that says nothing, half of something, too much or nonsense holds up nobody.
+/// Control clients that send nothing, half a line, too much or nonsense block no other client.
 #[tokio::test]
 async fn silent_control_clients_block_no_other() {
     let (_backend, _directory, config) = world().await;
@@ -452,7 +451,7 @@
     assert_eq!(running.end().await.0, Some(0));
 }
 
-/// A stop that comes while the instance is still starting ends it like any other.
+/// A stop during the start shuts the instance down as any other.
 #[tokio::test]
 async fn stop_during_start_exits() {
     let directory = Directory::start(Mood::Mute).await;
@@ -465,7 +464,7 @@
     assert_eq!(daemon.file()["phase"], "stopped");
 }
 
-/// What a service manager is told, by the published protocol.
+/// The notifications to a service manager, by the published protocol.
 #[tokio::test]
 async fn service_manager_gets_readiness_reloads_watchdog_and_stop() {
     let (backend, _directory, config) = world().await;
@@ -479,7 +478,7 @@
     let mut command = daemon.command();
     command.env("NOTIFY_SOCKET", &manager.address).env("WATCHDOG_USEC", "40000");
     let running = running(command).await;
-    // It lives before it is ready, and is ready only once there is a server.
+    // Keep-alives precede readiness, which needs a server.
     assert_eq!(manager.next().await, ["WATCHDOG=1"]);
     directory.next_call().await;
     directory.list(2, &[host("s", backend.address, "up")]);
@@ -520,7 +519,7 @@
     let mine = running(handed(&daemon, vec![given.try_clone().expect("a copy").into()], "$$")).await;
     assert_eq!(mine.address, address);
     assert_eq!(mine.ask(&request("GET", "/read", "5000m", "")).await.status(), 200);
-    // The next process takes over: what connects meanwhile waits at the socket and is served by that one.
+    // The next process takes over: connections made meanwhile wait in the queue and are served by it.
     assert_eq!(daemon.ask(&json!({"command": "drain", "handover": true})).await, json!({"draining": true}));
     assert_eq!(mine.end().await.0, Some(0));
     let mut waiting =
@@ -530,7 +529,7 @@
     assert_eq!(waiting.answer().await.status(), 200);
     next.signal("-TERM").await;
     assert_eq!(next.end().await.0, Some(0));
-    // Meant for another process: not this one's.
+    // `LISTEN_PID` of another process.
     let other = running(handed(&daemon, vec![given.into()], "1")).await;
     assert_ne!(other.address, address);
     other.signal("-TERM").await;
@@ -553,7 +552,7 @@
     }
 }
 
-/// `check` tells all errors of both files, each on a line with its place, and a summary where there are none.
+/// `check` reports all errors of both files, a line each with its location, or a summary if there are none.
 #[tokio::test]
 async fn check_reports_all_errors_and_exits_with_2() {
     let (_backend, _directory, config) = world().await;
--- a/crates/agent/tests/descriptors.rs
+++ b/crates/agent/tests/descriptors.rs
@@ -1,5 +1,5 @@
-//! Idle clients hold all the descriptors that they can get while discovery is down. Discovery, backends and the next client
-//! that asks still get theirs, and what discovery has to tell when it is back is learned at once.
+//! Idle clients hold every descriptor that they can get while discovery is down. Discovery, backends and the next client
+//! still get theirs, and the list of the returning discovery is applied at once.
 
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -9,19 +9,19 @@
 use tokio::process::Command;
 use tokio::task::JoinSet;
 
-/// Calls to discovery that may be open at a time.
+/// Requests to discovery that may be open at a time.
 const DISCOVERY_CALLS: usize = 4;
 
-/// What a client that only holds a connection does with it.
+/// The behaviour of a client that holds a connection.
 #[derive(Debug, Clone, Copy)]
 enum Crowd {
     /// Nothing.
     Silent,
-    /// It asks something that needs no backend, again and again, so that it is never idle for long.
+    /// It repeats a request that needs no backend, so that it is never idle for long.
     Asking,
 }
 
-/// Holds a connection for as long as the agent lets it, and then the next one.
+/// Holds a connection until the agent closes it, and then the next one.
 async fn hold_connections(agent: SocketAddr, crowd: Crowd) {
     loop {
         let Ok(stream) = tokio::net::TcpStream::connect(agent).await else {
@@ -37,7 +37,7 @@
     }
 }
 
-/// Asks once and rests; false once the connection is over.
+/// Sends a request and rests; false once the connection is closed.
 async fn ask_ready(client: &mut Client) -> bool {
     use tokio::io::AsyncWriteExt;
     if client.stream.write_all(b"GET /ready HTTP/1.1\r\n\r\n").await.is_err() {
@@ -65,8 +65,8 @@
     std::fs::read_dir(format!("/proc/{process}/fd")).expect("its descriptors").count()
 }
 
-/// With discovery down, a crowd of more clients than there are descriptors. Then discovery is back with a list in which the
-/// only server that was known drains: the next client is served by the new one, while the crowd goes on.
+/// With discovery down, more clients than descriptors. Then discovery returns with a list in which the only known server
+/// drains: the next client is served by the new one, while the others continue.
 async fn crowd_while_discovery_is_down(sockets: usize, limit: Option<usize>, crowd: Crowd) {
     let old = Backend::start(|_| Reply::Bytes(ok("old"))).await;
     let new = Backend::start(|_| Reply::Bytes(ok("new"))).await;
@@ -93,7 +93,7 @@
         .await;
     }
     assert_eq!(agent.get("/read").await.body, b"old", "a client that asks is served in the crowd");
-    // It goes on asking, on connections of its own.
+    // It continues, on connections of its own.
     for _ in 0..2 {
         directory.next_call().await;
     }
@@ -105,7 +105,7 @@
     holding.shutdown().await;
 }
 
-/// Clients fill all places that the settings leave them.
+/// Clients use the complete connection limit.
 #[tokio::test]
 async fn idle_clients_at_limit_leave_discovery_its_descriptors() {
     for crowd in [Crowd::Silent, Crowd::Asking] {
@@ -113,7 +113,7 @@
     }
 }
 
-/// The process has fewer descriptors than it was promised, so that accepts fail for want of one.
+/// The process has fewer descriptors than configured, so that accepts fail.
 #[tokio::test]
 async fn idle_clients_without_descriptors_leave_discovery_its_own() {
     for crowd in [Crowd::Silent, Crowd::Asking] {
@@ -121,15 +121,15 @@
     }
 }
 
-/// With all places taken, by requests that wait and by connections that were answered a moment ago, the next client gets the
-/// place of one that is idle before that one is as old as idle connections are closed at (2 s).
+/// At the connection limit, with pending requests and recently answered connections, the next client replaces an idle
+/// connection before that reaches the idle time-out (2 s).
 #[tokio::test]
 async fn idle_connection_is_closed_at_connection_limit() {
     const PLACES: usize = 28;
     const IDLE: usize = 13;
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let directory = Directory::start(Mood::Down).await;
-    // On a busy machine they may be that old before all are there; then nothing was shown, and it is done again.
+    // On a busy machine they may be that old before all are open; then the round is repeated.
     for round in 0.. {
         assert!(round < 10, "idle connections give way only once they are old");
         // Requests wait for a server that is up.
@@ -157,7 +157,7 @@
     }
 }
 
-/// What an instance with all its listeners holds at rest is within what is reserved for it: the rest is for connections.
+/// The descriptors of an idle instance with all its listeners stay within the reserve; the rest is for connections.
 #[tokio::test]
 async fn descriptors_at_rest_stay_within_reserve() {
     let directory = Directory::start(Mood::Mute).await;
--- a/crates/agent/tests/fleet.rs
+++ b/crates/agent/tests/fleet.rs
@@ -11,7 +11,7 @@
     Load { agents, clients: 3, rate, seed, most: 10_000 }
 }
 
-/// What the clients of an instance were told, in the words of its own counts.
+/// The outcomes that the clients of an instance saw, by the names of its counters.
 fn told(records: &[Record], instance: usize) -> BTreeMap<&'static str, u64> {
     let mut counts = BTreeMap::new();
     for record in records.iter().filter(|r| r.instance == instance) {
@@ -27,7 +27,7 @@
     counts
 }
 
-/// What the processes of an instance counted, all together.
+/// The sum of the counters of an instance's processes.
 fn counted(totals: &[Value]) -> BTreeMap<&'static str, u64> {
     let mut counts = BTreeMap::new();
     for class in totals.iter().flat_map(|t| t.as_object().expect("classes").values()) {
@@ -96,8 +96,8 @@
     }
 }
 
-/// An instance that is killed under load comes back under its name and address. What it held is its clients' to
-/// retry; the requests of the others never notice.
+/// An instance that is killed under load returns under its name and address. Its clients retry its pending requests; those
+/// of the others are unaffected.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn killed_instance_restarts_without_affecting_others() {
     let world = World::start(4, &Plan::default()).await;
@@ -133,8 +133,8 @@
     move |instance| instance["name"] != "desk-2" || back(instance)
 }
 
-/// The supervisor is killed: the instances serve on, and a new one adopts them, starts no second copy, rolls and stops
-/// them. Files that name a process which is none of theirs harm nobody.
+/// After the supervisor is killed, the instances continue to serve, and a new one adopts, rolls and stops them without
+/// starting a second process. Files that name a foreign process have no effect.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn new_supervisor_adopts_instances_of_killed_one() {
     let world = World::start(4, &Plan::default()).await;
@@ -151,7 +151,7 @@
     assert_eq!(output.status.code(), Some(4));
     assert!(String::from_utf8_lossy(&output.stderr).contains("6 of 6 instances are"));
 
-    // One of them dies while nobody looks, and its files name a process that is another's now: this stands-in sleeps.
+    // One instance dies without a supervisor, and its files name a process that is another's now: a sleeping stand-in.
     let mut innocent =
         tokio::process::Command::new("sleep").arg("600").kill_on_drop(true).spawn().expect("it sleeps");
     let number = innocent.id().expect("it runs").to_string();
@@ -170,7 +170,7 @@
     std::fs::write(dir.join("status.json"), left.to_string()).expect("a file");
 
     fleet.run();
-    // The address of the one that died is gone with its last holder; the others keep theirs.
+    // The dead instance's address is lost with its last holder; the others keep theirs.
     let status = fleet.until("readiness", |s| phases(s).iter().all(|p| p == "ready")).await;
     for (place, instance) in instances(&status).iter().enumerate().take(5) {
         assert_eq!(
@@ -205,8 +205,8 @@
     file
 }
 
-/// A program that does not come up stops the roll at the first instance, which goes back to the old one; the rest
-/// never hears of it. One hangs and ignores SIGTERM, one exits at once, one is no program.
+/// A program that does not start stops the roll at the first instance, which returns to the old one; the others are not
+/// touched. One program hangs and ignores SIGTERM, one exits at once, one is not executable.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn roll_to_bad_program_stops_and_rolls_back() {
     let world = World::start(3, &Plan::default()).await;
@@ -242,14 +242,14 @@
     }
 }
 
-/// An instance that never comes up has failed after a few tries; the others are served, and a stop ends all.
+/// An instance that never starts fails after a few attempts; the others serve, and a stop ends all.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn instance_that_never_starts_fails_and_others_serve() {
     let world = World::start(2, &Plan::default()).await;
-    // Far longer than a good instance needs on a busy machine; the one that has no server is given it three times.
+    // Much longer than a valid instance needs on a busy machine; the one without a server uses it three times.
     let more = "ready_within = \"4s\"\nstop_within = \"5s\"\n[restart]\nfirst = \"10ms\"\nmost = \"20ms\"\nlimit = 2";
     let mut fleet = Fleet::new(&world, 4, more);
-    // One exits at once, and one has no server to send to.
+    // One exits at once, and one has no server.
     fleet.folder.write("desk-1.json", "{}");
     let mut alone = world.config("desk-3");
     alone["known"]["hosts"] = Value::Array(Vec::new());
@@ -270,7 +270,7 @@
     assert!(fleet.log().contains(unusable), "{}", fleet.log());
     let pids: HashSet<String> = fleet.pids().await.into_keys().collect();
     assert_eq!(pids, HashSet::from(["desk-0".to_owned(), "desk-2".to_owned()]));
-    // The file is mended: a restart asks for it once more.
+    // The file is corrected: a roll retries the instance.
     fleet.folder.write("desk-1.json", &world.config("desk-1").to_string());
     fleet.folder.write("desk-3.json", &world.config("desk-3").to_string());
     assert!(fleet.command("restart", &[]).await.status.success(), "{}", fleet.log());
@@ -281,7 +281,7 @@
     assert!(fleet.pids().await.is_empty());
 }
 
-/// A reload that some instances refuse says which and why, and has changed nothing at these.
+/// A reload reports which instances rejected it and why, and changes nothing at these.
 #[tokio::test]
 async fn reload_reports_rejecting_instances() {
     let world = World::start(2, &Plan::default()).await;
@@ -302,7 +302,7 @@
     assert!(fleet.command("stop", &[]).await.status.success());
 }
 
-/// Bad fleet files end every command with 2 and a line an error; a fleet that does not run, with 4.
+/// With an invalid fleet file every command exits with 2 and a line per error; without a running fleet, with 4.
 #[tokio::test]
 async fn exit_codes_of_fleet_commands() {
     let world = World::start(1, &Plan::default()).await;
--- a/crates/agent/tests/log.rs
+++ b/crates/agent/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log as people and programs read it.
+//! The log in its text and JSON formats.
 
 use std::process::Stdio;
 use testbed::*;
@@ -26,7 +26,7 @@
         lines.push(line);
         if listening {
             if rude {
-                // Its reader goes: what it writes from now on fails.
+                // The reader closes the pipe: writes fail from now on.
                 drop(log);
                 break;
             }
@@ -49,7 +49,7 @@
     let told = |text: &str| lines.iter().filter(|l| l.contains(text)).count();
     assert_eq!(told("\"t\": its dial is \"10.0.0.1\""), 1, "{lines:?}");
     assert_eq!(told("its health is \"asleep\""), 1, "{lines:?}");
-    // A name with a line's end in it makes no line of its own.
+    // A line feed in a name starts no new line.
     assert_eq!(told("u\\nv"), 1, "{lines:?}");
     assert_eq!(
         lines.iter().filter(|l| l.contains("endpoint list entry rejected") && l.contains("WARN")).count(),
@@ -114,7 +114,7 @@
     let (code, _, err) = check(bad).await;
     assert_eq!(code, Some(2));
     assert!(err.contains("bad.toml:2: daemon.status_evry"), "{err}");
-    // One that names a configuration is checked with it.
+    // A file that names a configuration is checked with it.
     let named = folder.write("named.toml", "[instance]\nconfig = \"nowhere.json\"\n");
     let (code, _, err) = check(named).await;
     assert_eq!(code, Some(2));
--- a/crates/agent/tests/operations.rs
+++ b/crates/agent/tests/operations.rs
@@ -1,4 +1,4 @@
-//! Day to day: the second address, out of service and back, and a process that takes another's place.
+//! Day-to-day operation: the admin console, draining and resuming, reloads, and the replacement of a process.
 
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// A configuration with a second address.
+/// A configuration with an admin console.
 fn operated(directory: &Directory, hosts: &[Value]) -> Value {
     let mut config = config(directory.address, hosts);
     config["console"] = json!("127.0.0.1:0");
@@ -54,7 +54,7 @@
     ] {
         assert_eq!(agent.figure(name).await, value, "{name}");
     }
-    // Whether the turned-away one was tried again is the decisions' to say; the server's own count is the truth.
+    // Whether the rejected request was retried is the balancer's decision; the server's count is authoritative.
     let tries = 5 + 1 + 1;
     assert!(agent.figure("svc.upstream_tries").await > tries);
     agent.replace("");
@@ -67,7 +67,7 @@
     .await;
 }
 
-/// Callers that say nothing, half of something, too much or nonsense keep out nobody, and are told or let go.
+/// Console clients that send nothing, half a line, too much or nonsense lock out no other; they get an error or are closed.
 #[tokio::test]
 async fn faulty_console_clients_block_no_other() {
     let directory = Directory::start(Mood::Mute).await;
@@ -90,7 +90,7 @@
     assert!(matches!(gone, Ok(0) | Err(_)), "the one that waited longest gave way");
 }
 
-/// Out of service: the front is told no, answers say that they are the last, what is idle is closed; and back.
+/// Draining: `/ready` fails, responses announce the close, idle connections are closed; and the way back.
 #[tokio::test]
 async fn drained_instance_resumes_service() {
     let word = Arc::new(Notify::new());
@@ -133,7 +133,7 @@
     let answer = again.ask(&read()).await;
     assert_eq!((answer.status(), answer.header("connection")), (200, None));
     agent.term().await;
-    // Nothing undoes an end; the last call may come too late to be answered at all.
+    // A shutdown cannot be undone; the last request may arrive too late for any reply.
     if let Ok(mut stream) = TcpStream::connect(agent.console()).await {
         let mut answer = String::new();
         if stream.write_all(b"resume\n").await.is_ok() && stream.read_to_string(&mut answer).await.is_ok() {
@@ -143,8 +143,8 @@
     assert!(agent.end().await.success());
 }
 
-/// A call that lies in its socket when SIGTERM has come is answered as one that came later, whatever the agent was at when
-/// it was stopped: here its console is kept busy, so that at times it stops between an accept and the look at signals.
+/// A console request that is in its socket when SIGTERM arrives is answered as a later one, whatever the agent was doing:
+/// here the console is kept busy, so that the signal sometimes arrives between an accept and the reactor's poll.
 #[tokio::test]
 async fn resume_after_sigterm_is_refused_under_console_load() {
     const ROUNDS: usize = 12;
@@ -180,7 +180,7 @@
         kill("-CONT", id).await;
         for mut stream in resumes {
             let mut answer = String::new();
-            // The call may also come too late to be answered at all.
+            // The request may also arrive too late for any reply.
             if soon("an answer or the end", stream.read_to_string(&mut answer)).await.is_ok() {
                 assert!(answer.is_empty() || answer.starts_with("400 "), "round {round}: {answer}");
             }
@@ -195,7 +195,7 @@
     }
 }
 
-/// Makes one call after another over the second address until it is told to stop, or the address is gone.
+/// Sends one console request after another until `stop` is set or the console is closed.
 async fn call_until_stopped(console: SocketAddr, stop: Arc<AtomicBool>, calls: Arc<AtomicUsize>) {
     while !stop.load(Ordering::SeqCst) {
         let Ok(mut stream) = TcpStream::connect(console).await else { return };
@@ -209,7 +209,7 @@
     }
 }
 
-/// Clients that ask one request after another, on the connection that they have for as long as it stays open.
+/// Clients that send one request after another, each on one connection for as long as it stays open.
 async fn ask_on(address: String, stop: Arc<AtomicBool>, served: Arc<AtomicUsize>) -> Vec<String> {
     let mut wrong = Vec::new();
     let mut kept: Option<TcpStream> = None;
@@ -233,7 +233,7 @@
                 kept = (!answer.last()).then_some(stream);
             }
             Some(answer) => wrong.push(answer.first_line().to_owned()),
-            // A kept connection may close between two requests; a fresh one may not.
+            // A reused connection may close between two requests; a new one may not.
             None if fresh => wrong.push("a fresh connection ended with no answer".into()),
             None => wrong.push("a kept connection ended with no word and no answer".into()),
         }
@@ -242,7 +242,7 @@
     wrong
 }
 
-/// Three times over, under load: the new process takes the old one's place and no request notices.
+/// Three replacements under load, without a lost request.
 #[tokio::test]
 async fn process_replacement_under_load_loses_no_request() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
@@ -298,7 +298,7 @@
     assert!(old.end().await.success());
 }
 
-/// A new process that fails before it has taken over leaves all as it was, at the old one's end too.
+/// A new process that fails before it has taken over has no effect, also at the old one's shutdown.
 #[tokio::test]
 async fn failed_successor_costs_nothing() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
@@ -312,7 +312,7 @@
         })
     };
     let mut old = start(config.clone()).await;
-    // It knows no server, so it can never say yes, and the clients stay the old one's.
+    // It knows no server, so it never becomes ready, and the old one keeps the clients.
     let mut lame = config.clone();
     lame["known"] = json!({"seq": 1, "whole": true, "hosts": []});
     let mut new = start(lame).await;
@@ -329,7 +329,7 @@
     old.term().await;
     assert_eq!(old.get("/read").await.status(), 200, "what still connects has nobody else");
     assert!(old.end().await.success());
-    // The address and the meeting place are free again.
+    // The address and the handover socket are free again.
     let mut next = start(config).await;
     assert_eq!(next.logged("handover: connection limits changed"), 0);
     assert_eq!(next.get("/read").await.status(), 200);
@@ -337,8 +337,8 @@
     assert!(next.end().await.success());
 }
 
-/// A file that brings a class, drops one and changes what another does: who still asks the old way is served by the old
-/// rules, who asks the new way by the new ones, and what is open keeps what it came with.
+/// A file that adds a class, drops one and changes another: requests of the old form are served by the old rules, those of
+/// the new form by the new ones, and pending requests keep their rules.
 #[tokio::test]
 async fn new_settings_apply_while_requests_are_pending() {
     let word = Arc::new(Notify::new());
@@ -357,7 +357,7 @@
     open.send(&request("POST", "/pay/open", "20000m", "b")).await;
     backend.next().await;
     assert_eq!(agent.get("/list").await.status(), 404);
-    // `pay` goes, `list` comes, and `save` may be repeated by nobody any more.
+    // `pay` is dropped, `list` is added, and `save` may not be retried any more.
     let mut list = config["settings"]["classes"][0].clone();
     list["name"] = json!("list");
     config["settings"]["classes"][2] = list;
@@ -371,7 +371,7 @@
     let old_way = agent.client().await.ask(&request("POST", "/pay", "2000m", "b")).await;
     assert_eq!(old_way.status(), 200, "clients have not heard yet");
     backend.next().await;
-    // One attempt each that may have run; with its key the first may be repeated, the second may not.
+    // One attempt each that may have run; the first has a key and may be retried, the second may not.
     for (text, sends) in [
         (request("POST", "/save/broken", "2000m", "b"), 2),
         (request("POST", "/save/broken", "2000m", "b").replace("Idempotency-Key: k1\r\n", ""), 1),
@@ -388,7 +388,7 @@
     assert_eq!(agent.figure("svc.handled.list.passed").await, 1);
 }
 
-/// A file that is empty, cut short, lacks a key or has no number above zero is turned down whole.
+/// A file that is empty, truncated, lacks a key or has a number not above zero is rejected completely.
 #[tokio::test]
 async fn faulty_file_is_rejected_completely() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
@@ -399,7 +399,7 @@
     let good = config.to_string();
     let mut bad = vec![String::new(), good[..good.len() / 2].to_owned(), "[]".to_owned(), "null".to_owned()];
     let mut change = |path: &[&str], value: Option<Value>| {
-        // A class that would show if any part of the file were taken.
+        // A class that would be visible if any part of the file were applied.
         let mut config = config.clone();
         config["settings"]["classes"][2]["name"] = json!("new");
         let (last, front) = path.split_last().expect("a path");
@@ -440,7 +440,7 @@
     assert_eq!(agent.get("/read").await.status(), 200);
 }
 
-/// The staff's own command: words for people, JSON for programs, and an exit code for each way that it can go.
+/// `bellcroft call`: text for people, JSON for programs, and an exit code for each result.
 #[tokio::test]
 async fn command_line_calls_instance() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
--- a/crates/agent/tests/readiness.rs
+++ b/crates/agent/tests/readiness.rs
@@ -1,4 +1,4 @@
-//! When a process that has started is ready: at once with a list that names a backend, else as soon as discovery answers.
+//! Readiness after a start: at once with a list that names a backend, otherwise as soon as discovery answers.
 
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
@@ -7,10 +7,10 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// A restarted process is ready within this (the users' term).
+/// A restarted process is ready within this time (the users' requirement).
 const READY_WITHIN: Duration = Duration::from_secs(10);
 
-/// Whether it says that it is ready now.
+/// Whether `/ready` answers 200 now.
 async fn is_ready(agent: &Agent) -> bool {
     agent.client().await.ask("GET /ready HTTP/1.1\r\n\r\n").await.status() == 200
 }
@@ -28,8 +28,8 @@
     }
 }
 
-/// A process that knows no backend asks for the complete list, again and again: no call waits for changes, which takes longer
-/// to be found out when nothing comes. It is ready with the first answer.
+/// A process that knows no backend polls for the full snapshot: it does not watch, since a watch without an answer is
+/// detected later. It is ready with the first answer.
 #[tokio::test]
 async fn process_without_backend_is_ready_with_first_list() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
@@ -44,7 +44,7 @@
             assert_eq!(directory.next_call().await, "/v1/endpoints");
         }
         assert!(!is_ready(&agent).await);
-        // Of the version that it has been told to know, with a backend that it has not.
+        // Of the version that it knows, with a backend that it does not.
         directory.list(1, &up);
         let answers = Instant::now();
         agent.ready().await;
@@ -53,13 +53,13 @@
     }
 }
 
-/// Discovery refuses connections at the start, and is there later.
+/// Discovery refuses connections at the start and accepts them later.
 #[tokio::test]
 async fn process_without_backend_finds_late_discovery() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let address = unshared_address().await;
     let agent = Agent::start(address, &[]).await;
-    // Some calls have failed meanwhile, and pauses between them have grown.
+    // Some requests have failed meanwhile, and the back-off has grown.
     tokio::time::sleep(Duration::from_secs(2)).await;
     assert!(!is_ready(&agent).await);
     let listener = TcpListener::bind(address).await.expect("the port is free");
@@ -76,7 +76,7 @@
     assert!(answers.elapsed() < READY_WITHIN, "{:?}", answers.elapsed());
 }
 
-/// Many processes start at once, and discovery works through their calls one by one.
+/// Many processes start at once, and discovery answers their requests one by one.
 #[tokio::test]
 async fn simultaneous_starts_become_ready_with_serial_discovery() {
     const PROCESSES: usize = 12;
@@ -90,7 +90,7 @@
         while let Ok((mut stream, _)) = listener.accept().await {
             let queue = queue.clone();
             tokio::spawn(async move {
-                // What it gets after its answer is a watch, which waits for longer than this test.
+                // After its answer it gets a watch, which lasts longer than this test.
                 if read_message(&mut stream, 0).await.is_some() {
                     let _ = queue.send(stream);
                 }
--- a/crates/agent/tests/service.rs
+++ b/crates/agent/tests/service.rs
@@ -1,4 +1,4 @@
-//! The application's side, the server list, and the agent's own start and end.
+//! The clients' side, the endpoint list, and the agent's start and shutdown.
 
 use serde_json::json;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -54,7 +54,7 @@
     assert_eq!(agent.get("/read").await.status(), 200);
 }
 
-/// A watch goes on from the version of its last answer, and a backend that drains gets nothing new.
+/// A watch continues from the version of its last answer, and a draining backend gets no new requests.
 #[tokio::test]
 async fn draining_backend_gets_no_new_requests() {
     let mut old = Backend::start(|_| Reply::Bytes(ok("old"))).await;
@@ -67,7 +67,7 @@
     let told = Instant::now();
     directory
         .list(2, &[host("old", old.address, "draining"), host("new", new.address, "up"), json!({"host": 3})]);
-    // The next call shows that the list has been taken in.
+    // The next watch shows that the list has been applied.
     assert!(directory.next_call().await.starts_with("/v1/endpoints?after=2&wait_ms="));
     for _ in 0..20 {
         assert_eq!(agent.get("/read").await.body, b"new");
@@ -77,7 +77,7 @@
     assert!(told.elapsed() < Duration::from_secs(6), "closed for the drain, not for its age of 7 s");
 }
 
-/// The same host at another address, or started anew, is another process: nothing goes over old connections.
+/// The same host at another address, or restarted, is another process: old connections are not reused.
 #[tokio::test]
 async fn new_address_or_process_opens_new_connections() {
     let mut first = Backend::start(|_| Reply::Bytes(ok("1"))).await;
@@ -99,7 +99,7 @@
     assert_eq!(second.next().await.connection, 1);
 }
 
-/// A discovery that answers with an error, and one that says nothing at all, is asked again.
+/// A discovery that answers with an error, and one that does not answer, are polled again.
 #[tokio::test]
 async fn failed_or_silent_discovery_is_polled_again() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
@@ -109,15 +109,15 @@
     directory.next_call().await;
     directory.mood.send_replace(Mood::Mute);
     directory.next_call().await;
-    // That call stays unanswered; only another one hears of this.
+    // That request stays unanswered; only another one gets this.
     directory.list(2, &[host("s", backend.address, "up")]);
     directory.next_call().await;
     agent.ready().await;
     assert_eq!(agent.get("/read").await.status(), 200);
 }
 
-/// After SIGTERM: idle connections close, what is in flight is answered, connections that come late are still
-/// taken, each answer says that it is the last, and the agent ends by itself.
+/// After SIGTERM: idle connections close, requests in flight are answered, late connections are accepted for a while, each
+/// response announces the close, and the agent exits by itself.
 #[tokio::test]
 async fn planned_shutdown_loses_nothing() {
     let word = Arc::new(Notify::new());
@@ -162,15 +162,14 @@
     }
 }
 
-/// Settings that no agent can go by end the start with 2 and one line that names the key; at SIGHUP all stays as it was and
-/// the log says why.
+/// Invalid settings end the start with exit code 2 and one line that names the key; at SIGHUP they are rejected and logged.
 #[tokio::test]
 async fn invalid_settings_end_start_and_are_rejected_at_reload() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let directory = Directory::start(Mood::Mute).await;
     let good = config(directory.address, &[host("s", backend.address, "up")]);
     let agent = Agent::with(good.clone(), |_| {}).await;
-    // Null stands for a key that is not there.
+    // Null stands for an absent key.
     let changes: [(&str, &str, serde_json::Value); 12] = [
         ("/settings/classes/0/effect", "maybe", "maybe".into()),
         ("/settings/classes/1/dedupWindowMs", "dedup window", 0.into()),
@@ -210,12 +209,12 @@
     }
 }
 
-/// With no descriptor left for another connection the agent goes on, and serves again when there are some.
+/// Without a free descriptor for another connection the agent continues, and serves again when there are some.
 #[tokio::test]
 async fn agent_survives_descriptor_exhaustion() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let directory = Directory::start(Mood::Mute).await;
-    // It is promised more than it has.
+    // The configuration promises more than the process has.
     let config = config(directory.address, &[host("s", backend.address, "up")]).to_string();
     let file = write_config(&config);
     let mut child = tokio::process::Command::new("sh")
@@ -243,7 +242,7 @@
     for _ in 0..60 {
         crowd.push(tokio::net::TcpStream::connect(address).await.expect("a connection"));
     }
-    // One that was taken and one that waits in the backlog: the last has no descriptor at the agent.
+    // One accepted and one in the accept queue: the last has no descriptor in the agent.
     let mut last = Client { stream: crowd.pop().expect("a connection") };
     last.stream
         .write_all(request("GET", "/read", "60000m", "").as_bytes())
@@ -256,13 +255,13 @@
     std::fs::remove_file(&file).expect("the file is there");
 }
 
-/// A planned end in the midst of traffic, as clients really behave: they use the connections they have, open new
-/// ones for a while, and send once more what crossed the closing of an idle one. Nothing may be lost.
+/// A planned shutdown under traffic of realistic clients: they reuse connections, open new ones for a while, and resend what
+/// crossed the close of an idle one. No request may be lost.
 #[tokio::test]
 async fn planned_shutdown_under_load_loses_nothing() {
     const MAX_ROUNDS: usize = 20;
-    // The agent takes new connections for 650 ms after SIGTERM, and on a busy machine too little may happen in that time to
-    // show anything; then it is done again. No round may lose a request.
+    // The agent accepts for 650 ms after SIGTERM; on a busy machine too few requests may fall into that time, and the round
+    // is repeated. No round may lose a request.
     for _ in 0..MAX_ROUNDS {
         if planned_end_under_load().await >= ANSWERS_AFTER_SIGTERM {
             return;
@@ -275,11 +274,11 @@
 const ANSWERS_AFTER_SIGTERM: usize = 10 * CLIENTS;
 /// Clients open new connections for this long from just before SIGTERM on.
 const CONNECT_WINDOW: Duration = Duration::from_millis(300);
-/// A request that was written by then must be answered: the agent takes new connections for 650 ms after SIGTERM. A client
-/// that this machine held up for longer between its look at the clock and its write has been promised nothing.
+/// A request that was written by then must be answered: the agent accepts for 650 ms after SIGTERM. A client that was stalled
+/// for longer between reading the clock and writing has no guarantee.
 const SEND_WINDOW: Duration = Duration::from_millis(500);
 
-/// Ends an agent amid traffic; gives how many requests were answered after SIGTERM. Panics if one was lost.
+/// Shuts an agent down under traffic; returns how many requests were answered after SIGTERM. Panics if one was lost.
 async fn planned_end_under_load() -> usize {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let directory = Directory::start(Mood::Mute).await;
@@ -300,7 +299,7 @@
                     answer = soon("an answer or the end", read_message(stream, 0)).await;
                 }
                 if answer.is_none() {
-                    // Looked at only now: waiting for the end of a kept connection takes time.
+                    // Checked only now: waiting for the end of a reused connection takes time.
                     if !within(CONNECT_WINDOW) {
                         return;
                     }
@@ -332,7 +331,7 @@
         }
     })
     .await;
-    // Before the signal: whatever time its sending takes, the agent's own time begins later.
+    // Before the signal: the agent's own time starts later, however long sending it takes.
     told.send_replace(Some(Instant::now()));
     agent.term().await;
     let before = served.load(Ordering::SeqCst);
@@ -343,14 +342,14 @@
     served.load(Ordering::SeqCst) - before
 }
 
-/// An agent that was killed outright starts again under the same address with the list it had, and serves.
+/// A killed agent restarts at the same address with its known list, and serves.
 #[tokio::test]
 async fn killed_agent_serves_again_at_its_address() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let directory = Directory::start(Mood::Mute).await;
     let mut config = config(directory.address, &[host("s", backend.address, "up")]);
     let mut agent = Agent::with(config.clone(), |_| {}).await;
-    // A connection that is open when the process dies leaves its address in use for a while.
+    // A connection that is open at the kill leaves its address in use for a while.
     let mut client = agent.client().await;
     assert_eq!(client.ask(&request("GET", "/read", "2000m", "")).await.status(), 200);
     agent.child.kill().await.expect("it is killed");
@@ -360,8 +359,8 @@
     assert_eq!(again.get("/read").await.status(), 200);
 }
 
-/// SIGHUP has the file read again: the discovery that it names now is asked for its whole list, whatever version
-/// that has, and requests go on undisturbed. `PROXY_DISCOVERY` is the start's and does not mask it.
+/// SIGHUP reloads the file: the discovery that it names now is polled for a full snapshot of any version, and requests are
+/// undisturbed. `PROXY_DISCOVERY` is the start's and does not hide the file's.
 #[tokio::test]
 async fn reload_moves_to_new_discovery() {
     let word = Arc::new(Notify::new());
@@ -386,7 +385,7 @@
     let mut payer = agent.client().await;
     payer.send(&request("POST", "/pay", "60000m", "b")).await;
     old.next().await;
-    // What cannot be read changes nothing, and neither it nor a quick repeat ends the agent.
+    // An unreadable file changes nothing, and neither it nor a quick second signal ends the agent.
     agent.replace("{ half a file");
     agent.hang_up().await;
     agent.hang_up().await;
@@ -397,7 +396,7 @@
         agent.hang_up().await;
     }
     assert_eq!(second.next_call().await, "/v1/endpoints", "the whole list");
-    // The watch that follows shows that the list has been taken in.
+    // The watch that follows shows that the list has been applied.
     soon("the new watch", async { while !second.next_call().await.contains("after=1&") {} }).await;
     assert_eq!(agent.get("/read").await.body, b"new");
     word.notify_one();
@@ -407,7 +406,7 @@
     assert!(agent.end().await.success());
 }
 
-/// A backend's address that is given to a new one: no connection to the old one carries over.
+/// A backend's address that a new one gets: no connection to the old one is reused.
 #[tokio::test]
 async fn reused_address_opens_new_connections() {
     let mut backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
--- a/crates/agent/tests/shutdown.rs
+++ b/crates/agent/tests/shutdown.rs
@@ -1,7 +1,7 @@
 //! A planned restart: SIGTERM, and SIGKILL when the platform's time for it is over.
 //!
-//! By the protocol's page SIGKILL comes no sooner than the longest deadline (3 s at most) and 0.7 s more after SIGTERM.
-//! Whatever was taken by then and has no complete answer is lost.
+//! By the protocol's page SIGKILL follows SIGTERM no sooner than after the longest deadline (at most 3 s) plus 0.7 s. A
+//! request that was accepted and has no complete response by then is lost.
 
 use std::time::Duration;
 use testbed::*;
@@ -9,7 +9,7 @@
 
 /// The longest deadline that the platform waits for.
 const MAX_PLATFORM_WAIT: Duration = Duration::from_secs(3);
-/// What it waits beyond that.
+/// The platform's wait beyond that.
 const KILL_MARGIN: Duration = Duration::from_millis(700);
 
 /// The classes' deadlines, in the order of `read`, `save` and `pay`.
@@ -42,7 +42,7 @@
     read_message(&mut client.stream, 0).await
 }
 
-/// So many that hang one after the other and are not refused for it.
+/// Servers that hang one after the other without their requests being rejected for it.
 const BACKENDS: usize = 12;
 
 /// Waits until one of them has a request.
@@ -55,7 +55,7 @@
     .await;
 }
 
-/// The longest that a process may be held up between reading its clock and writing.
+/// The longest stall between reading the clock and writing.
 const MAX_STALL: Duration = Duration::from_millis(150);
 
 /// Stops the process for [`MAX_STALL`] again and again, with as long in between, from `begin` on.
@@ -70,11 +70,11 @@
     }
 }
 
-/// When the process is held up.
+/// When the process is stalled.
 #[derive(Clone, Copy, PartialEq)]
 enum Stalls {
     Never,
-    /// While SIGTERM comes, and again and again from this long before SIGKILL on.
+    /// While SIGTERM arrives, and repeatedly from this long before SIGKILL on.
     AroundBothSignals(Duration),
 }
 
@@ -147,13 +147,13 @@
     statuses
 }
 
-/// The answers to requests that hang: all are there, and none says that a retry is harmless where the server may have run it.
+/// Every hanging request has a response, and none announces a safe retry if the server may have executed it.
 fn assert_answered(statuses: [Option<u16>; 4]) {
     assert!(statuses.iter().all(Option::is_some), "no complete answer before SIGKILL: {statuses:?}");
     assert_eq!(statuses[0], Some(504), "the server has it and may run it");
 }
 
-/// The longest deadline of the settings is past the time that the platform gives.
+/// The longest deadline of the settings exceeds the platform's time.
 #[tokio::test]
 async fn requests_with_deadlines_past_kill_are_answered() {
     assert_answered(planned_restart([1_079, 2_698, 4_047], Stalls::Never).await);
@@ -178,8 +178,7 @@
     assert_answered(planned_restart([150, 250, 400], stalls).await);
 }
 
-/// What is not complete when the last answers are given has a refusal of its own, and what completes after it is refused at
-/// once: nothing of either goes to a server.
+/// Requests incomplete at the deadline are refused, and those completed later are refused at once: none is forwarded.
 #[tokio::test]
 async fn incomplete_requests_are_refused_and_never_forwarded() {
     let mut backend = Backend::start(|_| Reply::Mute).await;
@@ -205,7 +204,7 @@
     assert!(backend.seen.try_recv().is_err(), "an incomplete request went on");
 }
 
-/// The log of a shutdown tells of each request by its id how it came to its end.
+/// The log of a shutdown has each request's events with its id.
 #[tokio::test]
 async fn shutdown_log_follows_request_by_id() {
     let mut backend = Backend::start(|_| Reply::Mute).await;
--- a/crates/operator-config/tests/bad_routes/mod.rs
+++ b/crates/operator-config/tests/bad_routes/mod.rs
@@ -1,4 +1,4 @@
-//! Bad routes, each with what is said of it.
+//! Invalid routes, each with its errors.
 
 use super::route;
 
--- a/crates/supervisor/src/machine.rs
+++ b/crates/supervisor/src/machine.rs
@@ -120,7 +120,7 @@
         }
         match command {
             Command::Reload => self.reload(actions),
-            Command::Roll(release) => self.begin_roll(now, release, actions),
+            Command::Roll(release) => self.start_roll(now, release, actions),
             Command::Stop => self.stop(now, actions),
         }
     }
@@ -133,7 +133,7 @@
         actions.extend(running.map(|(index, _)| Action::Reload(InstanceId(index))));
     }
 
-    fn begin_roll(&mut self, now: Time, release: Option<ReleaseId>, actions: &mut Vec<Action>) {
+    fn start_roll(&mut self, now: Time, release: Option<ReleaseId>, actions: &mut Vec<Action>) {
         if let Some((renewed, total)) = self.roll() {
             return actions.push(Action::Refused(Refusal::RollInProgress { renewed, total }));
         }
