--- a/crates/agent/tests/log.rs
+++ b/crates/agent/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log as people and programs read it.
+//! The log in its text and JSON formats.
 
 use std::process::Stdio;
 use testbed::*;
@@ -26,7 +26,7 @@
         lines.push(line);
         if listening {
             if rude {
-                // Its reader goes: what it writes from now on fails.
+                // The reader closes the pipe: writes fail from now on.
                 drop(log);
                 break;
             }
@@ -43,13 +43,13 @@
 }
 
 #[tokio::test]
-async fn entries_that_are_left_out_of_the_list_are_told_once_each_with_their_reason() {
+async fn rejected_list_entries_are_logged_once_with_reason() {
     let (code, lines) = lines(&["run"], &[], false).await;
     assert_eq!(code, Some(0));
     let told = |text: &str| lines.iter().filter(|l| l.contains(text)).count();
     assert_eq!(told("\"t\": its dial is \"10.0.0.1\""), 1, "{lines:?}");
     assert_eq!(told("its health is \"asleep\""), 1, "{lines:?}");
-    // A name with a line's end in it makes no line of its own.
+    // A line feed in a name starts no new line.
     assert_eq!(told("u\\nv"), 1, "{lines:?}");
     assert_eq!(
         lines.iter().filter(|l| l.contains("endpoint list entry rejected") && l.contains("WARN")).count(),
@@ -58,7 +58,7 @@
 }
 
 #[tokio::test]
-async fn json_lines_are_whole_objects_with_level_and_target_by_option_or_variable() {
+async fn json_lines_are_objects_with_level_and_target() {
     for (args, variables) in [
         (&["run", "--log-format", "json"][..], &[][..]),
         (&["run"][..], &[("BELLCROFT_LOG_FORMAT", "json")][..]),
@@ -77,7 +77,7 @@
 }
 
 #[tokio::test]
-async fn levels_are_chosen_by_part_and_bad_ones_are_refused() {
+async fn levels_apply_by_target_and_invalid_ones_are_rejected() {
     let (_, quiet) = lines(&["run", "--log-level", "info,bellcroft::discovery=off"], &[], false).await;
     assert!(quiet.iter().any(|l| l.contains("listening for clients")), "{quiet:?}");
     assert!(!quiet.iter().any(|l| l.contains("entry rejected") || l.contains("server ")), "{quiet:?}");
@@ -90,7 +90,7 @@
 }
 
 #[tokio::test]
-async fn a_reader_that_goes_ends_nothing() {
+async fn closed_log_reader_does_not_end_process() {
     for format in ["text", "json"] {
         let (code, _) = lines(&["run", "--log-format", format], &[], true).await;
         assert_eq!(code, Some(0), "{format}");
@@ -98,7 +98,7 @@
 }
 
 #[tokio::test]
-async fn an_operators_file_is_checked_alone_and_what_could_not_be_is_said() {
+async fn operator_file_is_checked_without_platform_file() {
     let folder = Folder::new();
     let check = |file: std::path::PathBuf| async move {
         let output = bellcroft([std::path::Path::new("check"), std::path::Path::new("--operator"), &file]);
@@ -114,7 +114,7 @@
     let (code, _, err) = check(bad).await;
     assert_eq!(code, Some(2));
     assert!(err.contains("bad.toml:2: daemon.status_evry"), "{err}");
-    // One that names a configuration is checked with it.
+    // A file that names a configuration is checked with it.
     let named = folder.write("named.toml", "[instance]\nconfig = \"nowhere.json\"\n");
     let (code, _, err) = check(named).await;
     assert_eq!(code, Some(2));
