--- a/crates/balancer/tests/bad_input.rs
+++ b/crates/balancer/tests/bad_input.rs
@@ -12,7 +12,7 @@
 }
 
 /// The requests sent to each of four servers, the first of which sends the given load report.
-fn share(report: Vec<f64>) -> [u32; 4] {
+fn sends_by_server(first_report: Vec<f64>) -> [u32; 4] {
     let mut harness = Harness::new(settings(), 3);
     harness.set_endpoints(fleet(4, 1, 1));
     let mut sent = [0; 4];
@@ -21,8 +21,8 @@
         let server = server.expect("an idle fleet accepts it");
         sent[server.0 as usize] += 1;
         harness.advance(Micros::from_ms(20.0));
-        let said = if server.0 == 0 { report.clone() } else { vec![0.0] };
-        harness.respond_with_report(id, 0, Outcome::Success, 20.0, Some(said));
+        let report = if server.0 == 0 { first_report.clone() } else { vec![0.0] };
+        harness.respond_with_report(id, 0, Outcome::Success, 20.0, Some(report));
         harness.advance(Micros::from_ms(10.0));
     }
     harness.assert_rules();
@@ -31,11 +31,11 @@
 
 #[test]
 fn invalid_load_report_is_ignored() {
-    for said in [vec![], vec![f64::NAN], vec![f64::INFINITY], vec![0.0], vec![-1e300], vec![1e300, 1.0]] {
-        let sent = share(said.clone());
-        assert!(sent[1..].iter().all(|n| *n > 20), "{said:?}: {sent:?}");
+    for report in [vec![], vec![f64::NAN], vec![f64::INFINITY], vec![0.0], vec![-1e300], vec![1e300, 1.0]] {
+        let sent = sends_by_server(report.clone());
+        assert!(sent[1..].iter().all(|n| *n > 20), "{report:?}: {sent:?}");
     }
-    let sent = share(vec![f64::NAN]);
+    let sent = sends_by_server(vec![f64::NAN]);
     assert!(sent[0] > 0, "NaN is no report: {sent:?}");
 }
 
--- a/crates/balancer/tests/drain.rs
+++ b/crates/balancer/tests/drain.rs
@@ -3,7 +3,7 @@
 use bellcroft_balancer::*;
 use common::*;
 
-fn drained(update: impl Fn(Vec<Endpoint>) -> EndpointUpdate) {
+fn assert_drained(update: impl Fn(Vec<Endpoint>) -> EndpointUpdate) {
     let settings = Settings { classes: vec![class(RetrySafety::Idempotent)], ..Settings::default() };
     let mut harness = Harness::new(settings, 2);
     harness.set_endpoints(fleet(2, 1, 1));
@@ -20,20 +20,20 @@
 #[test]
 fn delta_stops_sends_to_draining_and_removed() {
     for status in [Status::Draining, Status::Gone] {
-        drained(|lines| EndpointUpdate::Delta(vec![Endpoint { status, ..lines[0].clone() }]));
+        assert_drained(|endpoints| EndpointUpdate::Delta(vec![Endpoint { status, ..endpoints[0].clone() }]));
     }
 }
 
 #[test]
 fn server_missing_from_snapshot_receives_nothing() {
-    drained(|lines| EndpointUpdate::Snapshot(lines[1..].to_vec()));
+    assert_drained(|endpoints| EndpointUpdate::Snapshot(endpoints[1..].to_vec()));
 }
 
 #[test]
 fn last_of_duplicate_entries_applies() {
-    drained(|lines| {
-        let gone = Endpoint { status: Status::Draining, ..lines[0].clone() };
-        EndpointUpdate::Snapshot(vec![lines[0].clone(), lines[1].clone(), gone])
+    assert_drained(|endpoints| {
+        let gone = Endpoint { status: Status::Draining, ..endpoints[0].clone() };
+        EndpointUpdate::Snapshot(vec![endpoints[0].clone(), endpoints[1].clone(), gone])
     });
 }
 
@@ -47,15 +47,15 @@
     let mut harness = Harness::new(settings, 2);
     assert!(harness.actions.contains(&Action::Watch { active: true }), "watched from the start");
     harness.set_endpoints(fleet(2, 1, 1));
-    let mut asked = 0;
+    let mut watches = 0;
     for _ in 0..5 {
         harness.handle(Event::Endpoints(EndpointUpdate::Failed));
         let (id, sent) = harness.request(0);
         assert!(sent.is_some());
         harness.respond(id, 0, Outcome::Success, 10.0);
         let actions = harness.advance(Micros::from_ms(5000.0));
-        asked += actions.iter().filter(|a| **a == Action::Watch { active: true }).count();
+        watches += actions.iter().filter(|a| **a == Action::Watch { active: true }).count();
     }
-    assert_eq!(asked, 5, "one retry after each failure, within half of the poll interval");
+    assert_eq!(watches, 5, "one retry after each failure, within half of the poll interval");
     harness.assert_rules();
 }
--- a/crates/balancer/tests/drain_grace_period.rs
+++ b/crates/balancer/tests/drain_grace_period.rs
@@ -6,7 +6,7 @@
 const MAX_STALL: Micros = Micros(150_000);
 
 /// How long after its decision an attempt may start with this grace period.
-fn start_time(grace: Micros) -> Micros {
+fn max_start_delay(grace: Micros) -> Micros {
     let class = Class {
         latency_objective: Micros::from_ms(8_000.0),
         deadline: Micros::from_ms(9_000.0),
@@ -30,7 +30,7 @@
 fn grace_period_covers_process_stall() {
     for ms in [200.0, 250.0, 500.0, 1_000.0, 2_000.0] {
         let grace = Micros::from_ms(ms);
-        let latest = start_time(grace).ms() + MAX_STALL.ms();
+        let latest = max_start_delay(grace).ms() + MAX_STALL.ms();
         assert!(latest <= grace.ms(), "{ms} ms: an attempt may begin {latest} ms after its server drains");
     }
 }
@@ -39,6 +39,6 @@
 #[test]
 fn short_grace_period_leaves_time_to_connect() {
     for (ms, expected) in [(160.0, 50.0), (100.0, 50.0), (40.0, 40.0)] {
-        assert_eq!(start_time(Micros::from_ms(ms)).ms(), expected, "{ms} ms");
+        assert_eq!(max_start_delay(Micros::from_ms(ms)).ms(), expected, "{ms} ms");
     }
 }
--- a/crates/balancer/tests/ejection.rs
+++ b/crates/balancer/tests/ejection.rs
@@ -3,8 +3,8 @@
 use bellcroft_balancer::*;
 use common::*;
 
-fn settings(effect: RetrySafety) -> Settings {
-    Settings { classes: vec![class(effect)], ..Settings::default() }
+fn settings(retry_safety: RetrySafety) -> Settings {
+    Settings { classes: vec![class(retry_safety)], ..Settings::default() }
 }
 
 /// Sends requests one after the other, each completed by `answer`; returns how many went to each of `n` servers.
@@ -37,13 +37,13 @@
     for bad in [Outcome::ServerError, Outcome::ConnectFailed, Outcome::ConnectionReset] {
         let mut harness = Harness::new(settings(RetrySafety::Idempotent), 11);
         harness.set_endpoints(fleet(5, 1, 1));
-        let sick = ServerId(2);
+        let failing = ServerId(2);
         let sent =
-            serve(&mut harness, 5, 400, |s| if s == sick { (bad, 0.2) } else { (Outcome::Success, 30.0) });
+            serve(&mut harness, 5, 400, |s| if s == failing { (bad, 0.2) } else { (Outcome::Success, 30.0) });
         assert!(sent[2] <= 12, "{bad:?}: {sent:?}, trials only");
         assert!(sent[2] >= 3, "{bad:?}: {sent:?}, there are trials");
-        let well = serve(&mut harness, 5, 400, |_| (Outcome::Success, 30.0));
-        assert!(well[2] > 30, "{bad:?}: {well:?}, the ejection has ended");
+        let recovered = serve(&mut harness, 5, 400, |_| (Outcome::Success, 30.0));
+        assert!(recovered[2] > 30, "{bad:?}: {recovered:?}, the ejection has ended");
     }
 }
 
@@ -53,8 +53,8 @@
     harness.set_endpoints(fleet(5, 1, 1));
     let sent = serve(&mut harness, 5, 300, |s| (Outcome::Success, if s.0 == 2 { 300.0 } else { 30.0 }));
     assert!(sent[2] < 20, "{sent:?}");
-    let well = serve(&mut harness, 5, 600, |_| (Outcome::Success, 30.0));
-    assert!(well[2] > 30, "{well:?}");
+    let recovered = serve(&mut harness, 5, 600, |_| (Outcome::Success, 30.0));
+    assert!(recovered[2] > 30, "{recovered:?}");
 }
 
 #[test]
@@ -72,22 +72,24 @@
     harness.set_endpoints(fleet(4, 1, 1));
     serve(&mut harness, 4, 40, |_| (Outcome::Success, 20.0));
     // Two requests at one server without a response, none at the others.
-    let asked: Vec<_> = (0..8).map(|_| harness.request(0)).filter_map(|(id, s)| s.map(|s| (id, s))).collect();
-    let hung = asked.iter().map(|a| a.1).find(|s| asked.iter().filter(|a| a.1 == *s).count() > 1).unwrap();
-    for (id, server) in &asked {
-        if *server != hung {
+    let requests: Vec<_> =
+        (0..8).map(|_| harness.request(0)).filter_map(|(id, s)| s.map(|s| (id, s))).collect();
+    let silent =
+        requests.iter().map(|a| a.1).find(|s| requests.iter().filter(|a| a.1 == *s).count() > 1).unwrap();
+    for (id, server) in &requests {
+        if *server != silent {
             harness.respond(*id, 0, Outcome::Success, 20.0);
         }
     }
     let actions = harness.advance(Micros::from_ms(150.0));
-    for &(id, _) in asked.iter().filter(|a| a.1 == hung) {
+    for &(id, _) in requests.iter().filter(|a| a.1 == silent) {
         assert!(actions.contains(&Action::Cancel { request: id, attempt: AttemptNo(0) }), "{actions:?}");
         harness.respond(id, 0, Outcome::Cancelled, 150.0);
-        assert!(harness.sent_to(id).is_some_and(|s| s != hung));
+        assert!(harness.sent_to(id).is_some_and(|s| s != silent));
         harness.respond(id, 1, Outcome::Success, 20.0);
     }
     let after = serve(&mut harness, 4, 6, |_| (Outcome::Success, 20.0));
-    assert_eq!(after[hung.0 as usize], 0, "none before its first trial");
+    assert_eq!(after[silent.0 as usize], 0, "none before its first trial");
 }
 
 /// Regression: at low load, expensive requests ejected healthy servers, and were retried in vain.
@@ -123,17 +125,18 @@
         1 => (Outcome::ServerError, 0.2),
         _ => (Outcome::Success, 20.0),
     });
-    let well = serve(&mut harness, 3, 400, |_| (Outcome::Success, 20.0));
-    assert!(well[1] > 30, "{well:?}");
+    let recovered = serve(&mut harness, 3, 400, |_| (Outcome::Success, 20.0));
+    assert!(recovered[1] > 30, "{recovered:?}");
 }
 
 #[test]
 fn mostly_unreachable_fleet_uses_the_rest() {
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 11);
     harness.set_endpoints(fleet(8, 1, 1));
-    let cut = |s: ServerId| if s.0 < 6 { (Outcome::ConnectFailed, 100.0) } else { (Outcome::Success, 20.0) };
-    serve(&mut harness, 8, 60, cut);
-    let sent = serve(&mut harness, 8, 100, cut);
+    let outcome_of =
+        |s: ServerId| if s.0 < 6 { (Outcome::ConnectFailed, 100.0) } else { (Outcome::Success, 20.0) };
+    serve(&mut harness, 8, 60, outcome_of);
+    let sent = serve(&mut harness, 8, 100, outcome_of);
     assert!(sent[..6].iter().sum::<u32>() < 40, "{sent:?}");
     assert!(sent[6] + sent[7] >= 95, "{sent:?}");
 }
--- a/crates/balancer/tests/observer.rs
+++ b/crates/balancer/tests/observer.rs
@@ -3,9 +3,9 @@
 use bellcroft_balancer::*;
 use common::*;
 
-fn watch(effect: RetrySafety) -> (Observer, Time) {
+fn watch(retry_safety: RetrySafety) -> (Observer, Time) {
     let settings = Settings {
-        classes: vec![class(effect)],
+        classes: vec![class(retry_safety)],
         initial_capacity: 0.2,
         slow_start_window: Micros::from_ms(10_000.0),
         ..Settings::default()
@@ -28,7 +28,7 @@
     }
 }
 
-fn ended(outcome: Outcome, attempt: u32) -> Event {
+fn outcome_event(outcome: Outcome, attempt: u32) -> Event {
     Event::Outcome {
         request: RequestId(1),
         attempt: AttemptNo(attempt),
@@ -64,21 +64,21 @@
     o.action(now, &send(0, now));
     o.action(now, &send(1, now));
     assert_reported(&o, "two attempts at once");
-    o.event(now, &ended(Outcome::ServerError, 0));
+    o.event(now, &outcome_event(Outcome::ServerError, 0));
     assert_reported(&o, "must not go out again");
     o.action(now, &Action::Shed { request: RequestId(1), retry_after: None });
     assert_reported(&o, "refused though it may have run");
 
     let (mut o, now) = watch(keyed(DedupScope::Zone, 100.0));
     o.action(now, &send(0, now));
-    o.event(now, &ended(Outcome::TimedOut, 0));
+    o.event(now, &outcome_event(Outcome::TimedOut, 0));
     o.action(now, &send(2, now));
     assert!(o.faults.is_empty(), "{:?}", o.faults);
-    o.event(now, &ended(Outcome::TimedOut, 1));
+    o.event(now, &outcome_event(Outcome::TimedOut, 1));
     o.action(now, &send(1, now));
     assert_reported(&o, "outside the group");
     let late = now + Micros::from_ms(150.0);
-    o.event(late, &ended(Outcome::TimedOut, 2));
+    o.event(late, &outcome_event(Outcome::TimedOut, 2));
     o.action(late, &send(0, late));
     assert_reported(&o, "must not go out again");
 }
--- a/crates/balancer/tests/random_walk.rs
+++ b/crates/balancer/tests/random_walk.rs
@@ -4,9 +4,9 @@
 use common::*;
 use std::collections::BTreeMap;
 
-fn settings(pick: u64) -> Settings {
+fn settings(seed: u64) -> Settings {
     Settings {
-        balancers: 1 + (pick % 7) as u32,
+        balancers: 1 + (seed % 7) as u32,
         classes: vec![
             class(RetrySafety::Idempotent),
             class(RetrySafety::AtMostOnce),
@@ -15,13 +15,13 @@
             class(keyed(DedupScope::Group, 600.0)),
             Class { late_weight: 0.3, stream: true, ..class(RetrySafety::Idempotent) },
         ],
-        hedging: pick % 2 == 0,
-        cancel: pick % 3 != 0,
-        retry_after: pick % 5 == 0,
-        health_checks: pick % 4 == 0,
-        report_source: if pick % 3 == 0 { LoadReportSource::None } else { LoadReportSource::Answers },
+        hedging: seed % 2 == 0,
+        cancel: seed % 3 != 0,
+        retry_after: seed % 5 == 0,
+        health_checks: seed % 4 == 0,
+        report_source: if seed % 3 == 0 { LoadReportSource::None } else { LoadReportSource::Answers },
         report_fields: vec![LoadReportField::InFlight, LoadReportField::ServiceTime],
-        discovery: if pick % 2 == 1 { Discovery::OnRequest } else { Discovery::Pushed },
+        discovery: if seed % 2 == 1 { Discovery::OnRequest } else { Discovery::Pushed },
         initial_capacity: 0.2,
         slow_start_window: Micros::from_ms(4000.0),
         ..Settings::default()
@@ -52,10 +52,10 @@
 }
 
 /// Runs `steps` random events; returns the balancer's actions of each step as text.
-fn walk(pick: u64, steps: u32) -> (Harness, Vec<String>) {
-    let mut rng = fastrand::Rng::with_seed(pick);
-    let settings = settings(pick);
-    let harness = Harness::new(settings.clone(), pick ^ 0x5eed);
+fn walk(seed: u64, steps: u32) -> (Harness, Vec<String>) {
+    let mut rng = fastrand::Rng::with_seed(seed);
+    let settings = settings(seed);
+    let harness = Harness::new(settings.clone(), seed ^ 0x5eed);
     let endpoints = fleet(1 + rng.u32(0..9), 3, 3);
     let (streaming, in_flight, attempts) = (Vec::new(), Vec::new(), BTreeMap::new());
     let mut walk = Walk { rng, settings, harness, endpoints, streaming, in_flight, attempts };
@@ -222,19 +222,19 @@
 
 #[test]
 fn random_walks_violate_no_rule() {
-    for pick in 0..120 {
-        let (harness, texts) = walk(pick, 1500);
-        assert!(harness.observer.faults.is_empty(), "walk {pick}: {:#?}", harness.observer.faults);
-        assert_eq!(harness.observer.lost(harness.now), 0, "walk {pick}");
+    for seed in 0..120 {
+        let (harness, texts) = walk(seed, 1500);
+        assert!(harness.observer.faults.is_empty(), "walk {seed}: {:#?}", harness.observer.faults);
+        assert_eq!(harness.observer.lost(harness.now), 0, "walk {seed}");
         let sends = texts.iter().filter(|s| s.contains("Send")).count();
-        assert!(sends > 50, "walk {pick} sent only {sends} times");
+        assert!(sends > 50, "walk {seed} sent only {sends} times");
     }
 }
 
 #[test]
 fn equal_events_give_equal_actions() {
-    for pick in 0..10 {
-        assert_eq!(walk(pick, 800).1, walk(pick, 800).1);
+    for seed in 0..10 {
+        assert_eq!(walk(seed, 800).1, walk(seed, 800).1);
     }
 }
 
--- a/crates/balancer/tests/retry_safety.rs
+++ b/crates/balancer/tests/retry_safety.rs
@@ -16,19 +16,19 @@
 /// All combinations of retry safety, outcome of the first attempt, scope, and time inside or after the window.
 #[test]
 fn retry_follows_retry_safety_and_outcome() {
-    let effects = [
+    let retry_safeties = [
         RetrySafety::Idempotent,
         RetrySafety::AtMostOnce,
         keyed(DedupScope::All, 100.0),
         keyed(DedupScope::Zone, 100.0),
         keyed(DedupScope::Group, 100.0),
     ];
-    for copies in [false, true] {
-        for effect in effects {
+    for hedging in [false, true] {
+        for retry_safety in retry_safeties {
             for outcome in OUTCOMES {
                 for ms in [5.0, 120.0] {
                     let settings =
-                        Settings { classes: vec![class(effect)], hedging: copies, ..Settings::default() };
+                        Settings { classes: vec![class(retry_safety)], hedging, ..Settings::default() };
                     let mut harness = Harness::new(settings, 3);
                     harness.set_endpoints(fleet(12, 3, 4));
                     let (id, first) = harness.request(0);
@@ -36,25 +36,27 @@
                     harness.advance(Micros::from_ms(ms));
                     harness.respond(id, 0, outcome, ms);
                     let (next, actions) = (harness.sent_to(id), harness.actions.clone());
-                    let case = format!("{effect:?} {outcome:?} after {ms} ms, copies {copies}");
-                    let proven = outcome.never_ran();
-                    let inside = ms < 100.0;
-                    match effect {
+                    let case = format!("{retry_safety:?} {outcome:?} after {ms} ms, hedging {hedging}");
+                    let never_ran = outcome.never_ran();
+                    let in_window = ms < 100.0;
+                    match retry_safety {
                         RetrySafety::Idempotent => assert!(next.is_some(), "{case}"),
                         RetrySafety::AtMostOnce => {
-                            assert_eq!(next.is_some(), proven, "{case}");
-                            assert_eq!(is_failed(&actions, id), !proven, "{case}");
+                            assert_eq!(next.is_some(), never_ran, "{case}");
+                            assert_eq!(is_failed(&actions, id), !never_ran, "{case}");
                         }
                         RetrySafety::Deduplicated { scope: group, .. } => {
-                            assert_eq!(next.is_some(), proven || inside, "{case}");
+                            assert_eq!(next.is_some(), never_ran || in_window, "{case}");
                             let next = next.map_or(first, |s| s.0);
                             match group {
-                                _ if proven => {}
-                                DedupScope::All => assert_eq!(is_rejected(&actions, id), !inside, "{case}"),
+                                _ if never_ran => {}
+                                DedupScope::All => {
+                                    assert_eq!(is_rejected(&actions, id), !in_window, "{case}")
+                                }
                                 DedupScope::Zone => assert_eq!(next % 3, first % 3, "{case}"),
                                 DedupScope::Group => assert_eq!(next % 4, first % 4, "{case}"),
                             }
-                            if !proven && !inside && group != DedupScope::All {
+                            if !never_ran && !in_window && group != DedupScope::All {
                                 assert!(is_failed(&actions, id), "{case}");
                             }
                         }
--- a/crates/balancer/tests/slow_start_share.rs
+++ b/crates/balancer/tests/slow_start_share.rs
@@ -44,9 +44,9 @@
 #[test]
 fn server_in_slow_start_receives_its_share() {
     let mut harness = Harness::new(settings(), 4);
-    let mut lines = fleet(6, 1, 1);
-    lines[5].started_at = Some(harness.now);
-    harness.set_endpoints(lines);
+    let mut endpoints = fleet(6, 1, 1);
+    endpoints[5].started_at = Some(harness.now);
+    harness.set_endpoints(endpoints);
     let (cold, all) = load(&mut harness, 200.0, 1500.0, ServerId(5));
     let warm = f64::from(all - cold) / 5.0;
     assert!(f64::from(cold) <= 0.5 * warm, "cold {cold}, a warm one {warm}");
@@ -60,12 +60,12 @@
 #[test]
 fn second_restart_resets_slow_start() {
     let mut harness = Harness::new(settings(), 4);
-    let mut lines = fleet(6, 1, 1);
-    lines[5].started_at = Some(harness.now);
-    harness.set_endpoints(lines.clone());
+    let mut endpoints = fleet(6, 1, 1);
+    endpoints[5].started_at = Some(harness.now);
+    harness.set_endpoints(endpoints.clone());
     load(&mut harness, 200.0, 8000.0, ServerId(5));
-    lines[5].started_at = Some(harness.now);
-    harness.handle(Event::Endpoints(EndpointUpdate::Delta(vec![lines[5].clone()])));
+    endpoints[5].started_at = Some(harness.now);
+    harness.handle(Event::Endpoints(EndpointUpdate::Delta(vec![endpoints[5].clone()])));
     let (cold, all) = load(&mut harness, 200.0, 1000.0, ServerId(5));
     assert!(f64::from(cold) <= 0.5 * f64::from(all - cold) / 5.0, "{cold} of {all}");
     harness.assert_rules();
--- a/crates/balancer/tests/streaming_requests.rs
+++ b/crates/balancer/tests/streaming_requests.rs
@@ -3,14 +3,14 @@
 use bellcroft_balancer::*;
 use common::*;
 
-const LONG: Micros = Micros(600_000_000);
+const MAX_UPLOAD_TIME: Micros = Micros(600_000_000);
 
-fn settings(effect: RetrySafety) -> Settings {
-    Settings { classes: vec![class(effect)], ..Settings::default() }
+fn settings(retry_safety: RetrySafety) -> Settings {
+    Settings { classes: vec![class(retry_safety)], ..Settings::default() }
 }
 
-fn coming(id: u64) -> Event {
-    Event::Request(Request { streaming: true, ..Request::new(RequestId(id), ClassId(0), LONG) })
+fn streaming_request(id: u64) -> Event {
+    Event::Request(Request { streaming: true, ..Request::new(RequestId(id), ClassId(0), MAX_UPLOAD_TIME) })
 }
 
 /// However long the body takes, no response is due: the server is neither silent nor ejected.
@@ -18,11 +18,12 @@
 fn streaming_request_does_not_eject_its_server() {
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 1);
     harness.set_endpoints(fleet(1, 1, 1));
-    harness.handle(coming(900));
+    harness.handle(streaming_request(900));
     assert!(harness.sent_to(RequestId(900)).is_some());
     let actions = harness.advance(Micros::from_ms(20_000.0));
-    let blamed = |a: &Action| matches!(a, Action::Cancel { .. } | Action::Log { .. } | Action::Fail { .. });
-    assert!(!actions.iter().any(blamed), "{actions:?}");
+    let blames_server =
+        |a: &Action| matches!(a, Action::Cancel { .. } | Action::Log { .. } | Action::Fail { .. });
+    assert!(!actions.iter().any(blames_server), "{actions:?}");
     // It does not count towards the server's concurrency limit, which is two at first.
     for _ in 0..2 {
         assert!(harness.request(0).1.is_some());
@@ -35,14 +36,14 @@
 fn deadline_runs_from_body_complete() {
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 1);
     harness.set_endpoints(fleet(4, 1, 1));
-    harness.handle(coming(900));
+    harness.handle(streaming_request(900));
     harness.advance(Micros::from_ms(5_000.0));
     harness.handle(Event::BodyComplete { request: RequestId(900), time_left: Micros::from_ms(800.0) });
-    let silent = |a: &Action| matches!(a, Action::Log { text } if text.contains("silent"));
+    let is_silence_logged = |a: &Action| matches!(a, Action::Log { text } if text.contains("silent"));
     let soon = harness.advance(Micros::from_ms(150.0));
-    assert!(!soon.iter().any(silent), "not overdue yet: {soon:?}");
+    assert!(!soon.iter().any(is_silence_logged), "not overdue yet: {soon:?}");
     let late = harness.advance(Micros::from_ms(600.0));
-    assert!(late.iter().any(silent), "silent: {late:?}");
+    assert!(late.iter().any(is_silence_logged), "silent: {late:?}");
     harness.respond(RequestId(900), 0, Outcome::TimedOut, 800.0);
     harness.advance(Micros::from_ms(100.0));
     harness.assert_rules();
@@ -51,20 +52,20 @@
 /// While its body is buffered completely it is retried like any other request; afterwards it ends at once.
 #[test]
 fn exhausted_request_is_not_retried() {
-    for (spent, effect) in [
+    for (is_exhausted, retry_safety) in [
         (false, RetrySafety::AtMostOnce),
         (true, RetrySafety::AtMostOnce),
         (true, keyed(DedupScope::Zone, 5e3)),
     ] {
-        let mut harness = Harness::new(settings(effect), 3);
+        let mut harness = Harness::new(settings(retry_safety), 3);
         harness.set_endpoints(fleet(4, 2, 2));
-        harness.handle(coming(900));
-        if spent {
+        harness.handle(streaming_request(900));
+        if is_exhausted {
             harness.handle(Event::AttemptsExhausted { request: RequestId(900) });
         }
         let actions = harness.respond(RequestId(900), 0, Outcome::ConnectFailed, 1.0).to_vec();
-        assert_eq!(sent_in(&actions, RequestId(900)).is_some(), !spent);
-        assert_eq!(is_rejected(&actions, RequestId(900)), spent, "it never ran");
+        assert_eq!(sent_in(&actions, RequestId(900)).is_some(), !is_exhausted);
+        assert_eq!(is_rejected(&actions, RequestId(900)), is_exhausted, "it never ran");
     }
 }
 
@@ -73,11 +74,11 @@
 fn attempt_outlives_disconnected_streaming_request() {
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 1);
     harness.set_endpoints(fleet(2, 1, 1));
-    harness.handle(coming(900));
+    harness.handle(streaming_request(900));
     let server = harness.sent_to(RequestId(900)).expect("it is sent");
     harness.handle(Event::ClientDisconnected { request: RequestId(900) });
-    let gone = |id: u32| Endpoint { status: Status::Gone, ..Endpoint::serving(ServerId(id)) };
-    harness.handle(Event::Endpoints(EndpointUpdate::Delta(vec![gone(server.0)])));
+    let removed = |id: u32| Endpoint { status: Status::Gone, ..Endpoint::serving(ServerId(id)) };
+    harness.handle(Event::Endpoints(EndpointUpdate::Delta(vec![removed(server.0)])));
     harness.advance(Micros::from_ms(30_000.0));
     harness.handle(Event::Endpoints(EndpointUpdate::Delta(vec![Endpoint::serving(ServerId(77))])));
     harness.respond(RequestId(900), 0, Outcome::ConnectionReset, 1.0);
@@ -102,9 +103,9 @@
     let (later, _) = harness.request(0);
     let actions = harness.respond(later, 0, Outcome::ConnectionReset, 1.0).to_vec();
     assert!(sent_in(&actions, later).is_some());
-    let (once, _) = harness.request(1);
-    let actions = harness.respond(once, 0, Outcome::ConnectionReset, 1.0).to_vec();
-    assert_eq!(sent_in(&actions, once), None, "the new class's rules");
+    let (unsafe_request, _) = harness.request(1);
+    let actions = harness.respond(unsafe_request, 0, Outcome::ConnectionReset, 1.0).to_vec();
+    assert_eq!(sent_in(&actions, unsafe_request), None, "the new class's rules");
     let bad = Settings { classes: Vec::new(), ..harness.observer.settings.clone() };
     assert_eq!(harness.balancer.reconfigure(bad, &[]), Err(SettingsError::NoClasses));
     assert_eq!(harness.balancer.settings().max_attempts, 3, "nothing has changed");
