--- a/crates/agent/src/cli/members.rs
+++ b/crates/agent/src/cli/members.rs
@@ -26,22 +26,25 @@
 
 fn print(status: &MembershipStatus) {
     println!("member {} of {}, heard at {}", status.number, status.cluster, status.listen);
-    println!("stance: {} ({})", status.stance, status.reason);
+    println!("stance: {} ({})", status.quorum_state, status.reason);
     let error = status.size_error.map_or(String::new(), |e| format!(", give or take {:.0}%", 100.0 * e));
-    println!("here: {}{error}; roster: {}; reckoned by: {}", status.here, status.roster, status.reckoned);
-    if status.doubt > 0 {
-        println!("own hearing in doubt: {} of 3", status.doubt);
+    println!(
+        "here: {}{error}; roster: {}; reckoned by: {}",
+        status.reachable, status.expected_size, status.effective_size
+    );
+    if status.local_health > 0 {
+        println!("own hearing in doubt: {} of 3", status.local_health);
     }
     let percent = |share: f64| format!("{:.0}%", 100.0 * share);
     let seen = |what: &str, seen: &SeenStatus| {
         println!(
             "{what}: answers take {} of the wanted time, load speaks for {}, {} refused",
-            percent(seen.took),
-            percent(seen.full),
-            percent(seen.refused)
+            percent(seen.latency),
+            percent(seen.load),
+            percent(seen.rejection_ratio)
         );
     };
-    if status.fleet.answers > 0.0 {
+    if status.fleet.responses > 0.0 {
         seen("all see", &status.fleet);
         status.sites.iter().for_each(|site| seen(&format!("  site {}", site.site), &site.seen));
     }
@@ -51,15 +54,15 @@
     );
     let ago = |ms: u64| format!("{:.1} s", ms as f64 / 1e3);
     for m in &status.members {
-        let answered = m.answered_ms.map_or("never".to_owned(), ago);
+        let answered = m.ms_since_ack.map_or("never".to_owned(), ago);
         println!(
             "{:>7} {:<8} {:>10} {:>6} {:>5} {:<9} {answered:>10} {}",
             m.number,
             m.state,
             ago(m.since_ms),
-            m.by,
+            m.reported_by,
             m.site,
-            m.duty,
+            m.role,
             m.address
         );
     }
--- a/crates/agent/src/cli/status.rs
+++ b/crates/agent/src/cli/status.rs
@@ -171,7 +171,7 @@
         println!("bad requests: {}", status.bad_requests);
     }
     if let Some(peers) = &status.membership {
-        println!("stance: {} ({}); reckoned by {}", peers.stance, peers.reason, peers.reckoned);
+        println!("stance: {} ({}); reckoned by {}", peers.quorum_state, peers.reason, peers.effective_size);
     }
     status.problems.iter().for_each(|problem| println!("problem: {problem}"));
 }
--- a/crates/agent/src/peers/status.rs
+++ b/crates/agent/src/peers/status.rs
@@ -1,4 +1,5 @@
-//! The membership part of `status.json` and of the control socket's replies. Field names are external: they do not change.
+//! The membership part of `status.json` and of the control socket's replies. The serialized names are external:
+//! they stay, and the fields have the names of the protocol.
 
 use bellcroft_balancer::{FleetState, Time};
 use bellcroft_membership::{Member, Membership, QuorumState, Role};
@@ -14,19 +15,24 @@
     /// The address that its socket is bound to.
     pub listen: String,
     /// Its quorum state: `waking`, `alone`, `minority`, `majority`, `degraded` or `whole`.
-    pub stance: String,
+    #[serde(rename = "stance")]
+    pub quorum_state: String,
     /// The counts behind the quorum state, as text.
     pub reason: String,
     /// Reachable members, this one included.
-    pub here: u32,
-    /// The relative standard error of `here`; none where the view holds all members.
+    #[serde(rename = "here")]
+    pub reachable: u32,
+    /// The relative standard error of `reachable`; none where the view holds all members.
     pub size_error: Option<f64>,
     /// Expected number of instances.
-    pub roster: u32,
+    #[serde(rename = "roster")]
+    pub expected_size: u32,
     /// The effective size: the number of instances that share limits of the whole fleet.
-    pub reckoned: u32,
+    #[serde(rename = "reckoned")]
+    pub effective_size: u32,
     /// The local health score: 0 (healthy) to 3.
-    pub doubt: u32,
+    #[serde(rename = "doubt")]
+    pub local_health: u32,
     /// The digest of all servers, as known here.
     pub fleet: SeenStatus,
     /// The same by site.
@@ -39,13 +45,17 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SeenStatus {
     /// The effective number of responses, up to 32.
-    pub answers: f64,
+    #[serde(rename = "answers")]
+    pub responses: f64,
     /// Latency of responses, as a share of the latency target.
-    pub took: f64,
+    #[serde(rename = "took")]
+    pub latency: f64,
     /// Latency that the servers' load predicts, likewise.
-    pub full: f64,
+    #[serde(rename = "full")]
+    pub load: f64,
     /// The share of requests that instances reject.
-    pub refused: f64,
+    #[serde(rename = "refused")]
+    pub rejection_ratio: f64,
 }
 
 impl SeenStatus {
@@ -53,10 +63,10 @@
     pub fn of(state: FleetState) -> Self {
         let round = |value: f64| (value * 1e3).round() / 1e3;
         SeenStatus {
-            answers: round(state.weight),
-            took: round(state.latency),
-            full: round(state.load),
-            refused: round(state.shed),
+            responses: round(state.weight),
+            latency: round(state.latency),
+            load: round(state.load),
+            rejection_ratio: round(state.shed),
         }
     }
 }
@@ -81,19 +91,24 @@
     /// Milliseconds since the state began.
     pub since_ms: u64,
     /// The member whose observation led to the state.
-    pub by: u32,
+    #[serde(rename = "by")]
+    pub reported_by: u32,
     /// Its address.
     pub address: String,
     /// Its site.
     pub site: u8,
     /// Its role: `agent` or `observer`.
-    pub duty: String,
+    #[serde(rename = "duty")]
+    pub role: String,
     /// The epoch of its incarnation: its start by its own clock, in Unix milliseconds ...
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub epoch: u64,
     /// ... and the counter.
-    pub round: u32,
+    #[serde(rename = "round")]
+    pub counter: u32,
     /// Milliseconds since it last acked a probe of this instance.
-    pub answered_ms: Option<u64>,
+    #[serde(rename = "answered_ms")]
+    pub ms_since_ack: Option<u64>,
 }
 
 impl MembershipStatus {
@@ -101,19 +116,19 @@
     pub(super) fn new(membership: &Membership, now: Time, listen: String) -> Self {
         let config = membership.config();
         let (size, size_error) = membership.size();
-        let (here, roster) = (size.round() as u32, membership.roster());
+        let (reachable, expected_size) = (size.round() as u32, membership.roster());
         let quorum_state = membership.quorum_state();
         MembershipStatus {
             cluster: config.cluster.clone(),
             number: config.number.0,
             listen,
-            stance: quorum_state.as_str().to_owned(),
-            reason: quorum_reason(quorum_state, here, roster),
-            here,
+            quorum_state: quorum_state.as_str().to_owned(),
+            reason: quorum_reason(quorum_state, reachable, expected_size),
+            reachable,
             size_error,
-            roster,
-            reckoned: membership.effective_size(now),
-            doubt: membership.local_health(),
+            expected_size,
+            effective_size: membership.effective_size(now),
+            local_health: membership.local_health(),
             fleet: SeenStatus::of(membership.fleet(now)),
             sites: membership
                 .sites()
@@ -131,13 +146,13 @@
             number: member.id.0,
             state: member.state.as_str().to_owned(),
             since_ms: ms_since(member.since),
-            by: member.reported_by.0,
+            reported_by: member.reported_by.0,
             address: member.address.to_string(),
             site: member.site,
-            duty: role_name(member.role).to_owned(),
-            life: member.incarnation.epoch,
-            round: member.incarnation.counter,
-            answered_ms: member.last_ack.map(ms_since),
+            role: role_name(member.role).to_owned(),
+            epoch: member.incarnation.epoch,
+            counter: member.incarnation.counter,
+            ms_since_ack: member.last_ack.map(ms_since),
         }
     }
 }
@@ -151,12 +166,12 @@
 }
 
 /// Why an instance has its quorum state, for `status.json` and the log.
-pub(super) fn quorum_reason(state: QuorumState, here: u32, roster: u32) -> String {
-    let counts = format!("{here} of {roster} are here");
+pub(super) fn quorum_reason(state: QuorumState, reachable: u32, expected: u32) -> String {
+    let counts = format!("{reachable} of {expected} are here");
     match state {
         QuorumState::Recovering => format!("just started, or stood still; {counts} by what it holds"),
-        QuorumState::Isolated if roster <= 1 => "there is to be one".to_owned(),
-        QuorumState::Isolated => format!("nobody else is heard, of {roster}"),
+        QuorumState::Isolated if expected <= 1 => "there is to be one".to_owned(),
+        QuorumState::Isolated => format!("nobody else is heard, of {expected}"),
         QuorumState::Minority => format!("{counts}, half or less"),
         QuorumState::Majority => format!("{counts}, more than half, and a quarter or more is missing"),
         QuorumState::Degraded | QuorumState::Complete => counts,
--- a/crates/agent/src/telemetry.rs
+++ b/crates/agent/src/telemetry.rs
@@ -71,11 +71,11 @@
         gauge(&families::MEMBERS, &[state.as_str()], count as f64);
     }
     let status = peers.status();
-    gauge(&families::MEMBERS_HERE, &[], status.here.into());
-    gauge(&families::MEMBERS_RECKONED, &[], status.reckoned.into());
-    gauge(&families::MEMBERS_ROSTER, &[], status.roster.into());
+    gauge(&families::MEMBERS_HERE, &[], status.reachable.into());
+    gauge(&families::MEMBERS_RECKONED, &[], status.effective_size.into());
+    gauge(&families::MEMBERS_ROSTER, &[], status.expected_size.into());
     for stance in QuorumState::ALL {
-        gauge(&families::STANCE, &[stance.as_str()], f64::from(stance.as_str() == status.stance));
+        gauge(&families::STANCE, &[stance.as_str()], f64::from(stance.as_str() == status.quorum_state));
     }
     let (figures, counters) = peers.stats();
     let count = |family: &'static Family, label: &str, total: u64| {
@@ -117,7 +117,11 @@
     for (word, total) in ["whole", "cut", "refused"].iter().zip(figures.digests) {
         count(&families::DIGESTS, word, total);
     }
-    let seen = [("took", status.fleet.took), ("full", status.fleet.full), ("refused", status.fleet.refused)];
+    let seen = [
+        ("took", status.fleet.latency),
+        ("full", status.fleet.load),
+        ("refused", status.fleet.rejection_ratio),
+    ];
     for (word, value) in seen {
         gauge(&families::FLEET_SEEN, &[word], value);
     }
