--- a/crates/agent/src/telemetry.rs
+++ b/crates/agent/src/telemetry.rs
@@ -103,11 +103,11 @@
         for (state, count) in STATES.iter().zip(states) {
             self.gauge(&families::MEMBERS, &[state.as_str()], count as f64);
         }
-        self.gauge(&families::MEMBERS_HERE, &[], status.here.into());
-        self.gauge(&families::MEMBERS_RECKONED, &[], status.reckoned.into());
-        self.gauge(&families::MEMBERS_ROSTER, &[], status.roster.into());
+        self.gauge(&families::MEMBERS_HERE, &[], status.reachable.into());
+        self.gauge(&families::MEMBERS_RECKONED, &[], status.effective_size.into());
+        self.gauge(&families::MEMBERS_ROSTER, &[], status.expected_size.into());
         for quorum in QuorumState::ALL {
-            let is_present = quorum.as_str() == status.stance;
+            let is_present = quorum.as_str() == status.quorum_state;
             self.gauge(&families::STANCE, &[quorum.as_str()], f64::from(is_present));
         }
     }
@@ -146,9 +146,9 @@
     }
 
     fn fleet(&self, status: &MembershipStatus) {
-        self.gauge(&families::FLEET_SEEN, &["took"], status.fleet.took);
-        self.gauge(&families::FLEET_SEEN, &["full"], status.fleet.full);
-        self.gauge(&families::FLEET_SEEN, &["refused"], status.fleet.refused);
+        self.gauge(&families::FLEET_SEEN, &["took"], status.fleet.latency);
+        self.gauge(&families::FLEET_SEEN, &["full"], status.fleet.load);
+        self.gauge(&families::FLEET_SEEN, &["refused"], status.fleet.rejection_ratio);
     }
 }
 
