--- a/crates/testbed/src/faults/shim.rs
+++ b/crates/testbed/src/faults/shim.rs
@@ -23,7 +23,7 @@
 
     /// The library, which cargo builds beside the test that depends on it.
     fn library() -> PathBuf {
-        const NAME: &str = "libbellcroft_faultshim.so";
+        const NAME: &str = "libbellcroft_fault_injector.so";
         let own = std::env::current_exe().expect("a path");
         let folder = own.parent().expect("a folder");
         let places = [folder.join(NAME), folder.join("deps").join(NAME)];
