--- a/crates/agent/tests/attempts.rs
+++ b/crates/agent/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request at the backends, and what its client is told.
+//! Attempts: what is retried, what fails, and which connections to servers are reused.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
@@ -15,14 +15,14 @@
     (directory, agent)
 }
 
-/// How long the agent waits, as it tells a server.
-fn told_wait(seen: &Message) -> Duration {
+/// The time-out that the agent forwards to a server.
+fn forwarded_timeout(seen: &Message) -> Duration {
     let wait = seen.header("x-timeout").and_then(|w| w.strip_suffix('u')).expect("a wait");
     Duration::from_micros(wait.parse().expect("microseconds"))
 }
 
 #[tokio::test]
-async fn a_request_goes_on_unchanged_and_its_answer_comes_back_unchanged() {
+async fn request_and_response_are_forwarded_unchanged() {
     let mut backend = Backend::start(|_| Reply::Bytes(ok("body of the answer"))).await;
     let (_directory, agent) = world(&[&backend]).await;
     let mut client = agent.client().await;
@@ -34,12 +34,12 @@
     assert!(text.contains(&format!("X-Request-ID: {}\r\n", seen.header("x-request-id").expect("an id"))));
     assert_eq!(seen.header("idempotency-key"), Some("k1"));
     assert_eq!(seen.body, b"the body");
-    let wait = told_wait(&seen);
+    let wait = forwarded_timeout(&seen);
     assert!(!wait.is_zero() && wait < Duration::from_secs(2), "{wait:?}: less than the client waits");
 }
 
 #[tokio::test]
-async fn connections_are_kept_and_used_again() {
+async fn idle_connections_are_reused() {
     let mut backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let (_directory, agent) = world(&[&backend]).await;
     let mut client = agent.client().await;
@@ -51,13 +51,13 @@
     assert_eq!(backend.connections(), 1);
 }
 
-/// A connection that was used a moment ago can't be used yet, and its backend gets a second one in place of a wait.
+/// A connection is not reusable at once after a response; the next request opens another one instead of waiting.
 #[tokio::test]
-async fn a_request_right_behind_another_opens_a_second_connection() {
+async fn immediate_next_request_opens_a_second_connection() {
     let mut backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let (_directory, agent) = world(&[&backend]).await;
     let mut client = agent.client().await;
-    // On a busy machine the first connection can be ready again before the next request has come.
+    // On a busy machine the first connection can be reusable before the next request arrives.
     for _ in 0..4_000 {
         assert_eq!(client.ask(&request("GET", "/read", "2000m", "")).await.status(), 200);
         if backend.next().await.connection == 1 {
@@ -67,9 +67,9 @@
     panic!("each request waited for the first connection");
 }
 
-/// A backend holds only so many connections: one client that never pauses gets no more than a few.
+/// Servers limit their connections, so a client without pauses may cause only a few.
 #[tokio::test]
-async fn requests_in_a_row_hold_a_bounded_number_of_connections() {
+async fn back_to_back_requests_use_few_connections() {
     const MAX_CONNECTIONS: usize = 8;
     let mut backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let (_directory, agent) = world(&[&backend]).await;
@@ -81,9 +81,9 @@
     assert!(backend.connections() <= MAX_CONNECTIONS, "{}", backend.connections());
 }
 
-/// The second connection need not come up: the first serves the request as soon as it may be used again.
+/// If the second connection is not established, the first one serves the request as soon as it is reusable.
 #[tokio::test]
-async fn a_second_connection_that_does_not_come_up_is_not_waited_for() {
+async fn request_does_not_wait_for_unanswered_second_connect() {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let listener = socket.listen(1).expect("a listener");
@@ -91,13 +91,13 @@
     let directory = Directory::start(Mood::Mute).await;
     let mut config = config(directory.address, &[host("s", address, "up")]);
     config["settings"]["limits"]["connectTimeoutMs"] = 60_000.into();
-    // A further attempt would find the first connection ready.
+    // Another attempt would find the first connection reusable.
     config["settings"]["limits"]["maxAttempts"] = 1.into();
     let agent = Agent::with(config, |_| {}).await;
     let mut client = agent.client().await;
     client.send(&request("GET", "/read", "20000m", "")).await;
     let mut stream = soon("the agent's connection", listener.accept()).await.expect("a connection").0;
-    // Nobody takes these two: no further connection comes up.
+    // These two are not accepted, so no further connection is established.
     let fill = || tokio::net::TcpStream::connect(address);
     let _fillers =
         [fill().await.expect("a place in the backlog"), fill().await.expect("a place in the backlog")];
@@ -111,10 +111,10 @@
     }
 }
 
-/// An unsafe request whose connection breaks after its last byte may have run: it is neither sent again nor
-/// refused, for a refusal would have the client repeat it.
+/// An unsafe request whose connection breaks after its last byte may have been executed: it is neither retried nor
+/// rejected, since a rejection would make the client retry it.
 #[tokio::test]
-async fn a_reset_after_the_last_byte_may_have_run() {
+async fn unsafe_request_is_not_retried_after_reset() {
     let mut first = Backend::start(|_| Reply::Last(Vec::new())).await;
     let (_directory, agent) = world(&[&first]).await;
     let answer = agent.client().await.ask(&request("POST", "/pay", "2000m", "b")).await;
@@ -123,9 +123,9 @@
     assert!(first.seen.try_recv().is_err(), "sent twice");
 }
 
-/// A refused connect never ran, whatever the class.
+/// A request whose connect was refused has not been executed, whatever its class.
 #[tokio::test]
-async fn a_refused_connect_never_ran_and_even_an_unsafe_request_goes_elsewhere() {
+async fn unsafe_request_is_retried_after_refused_connect() {
     let mut good = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let directory = Directory::start(Mood::Mute).await;
     let hosts = [host("dead", nobody().await, "up"), host("good", good.address, "up")];
@@ -137,9 +137,9 @@
     }
 }
 
-/// Only `X-Not-Processed: 1` proves that a request did not run; a bare 503 may come from something that ran it.
+/// Only `X-Not-Processed: 1` proves that a request was not executed; an unmarked 503 does not.
 #[tokio::test]
-async fn a_bare_503_may_have_run_and_is_not_passed_on() {
+async fn unmarked_503_is_not_retried_or_forwarded() {
     let mut backend =
         Backend::start(|_| Reply::Bytes(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n".to_vec())).await;
     let (_directory, agent) = world(&[&backend]).await;
@@ -150,7 +150,7 @@
 }
 
 #[tokio::test]
-async fn a_marked_503_never_ran_and_an_unsafe_request_is_sent_again() {
+async fn unsafe_request_is_retried_after_marked_503() {
     let count = AtomicUsize::new(0);
     let mut backend = Backend::start(move |_| match count.fetch_add(1, Ordering::SeqCst) {
         0 => Reply::Bytes(b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n".to_vec()),
@@ -166,9 +166,9 @@
     assert_eq!(again.connection, 0, "a rejection costs no connection");
 }
 
-/// A part of a body must never pass for the whole.
+/// A partial body must not be taken for a complete one.
 #[tokio::test]
-async fn an_answer_that_breaks_off_is_no_answer() {
+async fn truncated_response_fails_its_attempt() {
     let backend =
         Backend::start(|_| Reply::Last(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf".to_vec())).await;
     let (_directory, agent) = world(&[&backend]).await;
@@ -177,7 +177,7 @@
 }
 
 #[tokio::test]
-async fn answers_that_make_no_sense_fail_their_attempt_alone() {
+async fn malformed_responses_fail_only_their_attempt() {
     let count = AtomicUsize::new(0);
     let backend = Backend::start(move |_| match count.fetch_add(1, Ordering::SeqCst) {
         0 => Reply::Last(b"\0\xff\r\n\r\n".to_vec()),
@@ -197,13 +197,11 @@
     }
 }
 
-/// A cut-off machine says nothing at all. The client still gets its answer before it gives up, and the mute
-/// connection is not used again.
+/// A server that is cut off sends nothing. The client still gets a response by its deadline, and the connection is not reused.
 #[tokio::test]
-async fn a_mute_backend_costs_its_request_only_until_the_deadline() {
+async fn silent_server_delays_its_request_until_the_deadline() {
     const WAIT: Duration = Duration::from_millis(2_000);
-    // A busy machine can hold up any one answer, and none comes sooner for it: an agent that lets the client's time pass
-    // does so in every turn.
+    // A busy machine can delay any one response, but an agent that misses the deadline does so in every turn.
     let mut taken = Vec::new();
     while taken.last().is_none_or(|last| *last >= WAIT) {
         assert!(taken.len() < 5, "each answer came after its client's time: {taken:?}");
@@ -216,10 +214,10 @@
         assert_eq!(answer.status(), 504);
         let seen = backend.next().await;
         assert_eq!(seen.connection, 0);
-        let told = told_wait(&seen);
+        let told = forwarded_timeout(&seen);
         assert!(told < WAIT, "the server is told that the agent waits longer than its client: {told:?}");
         assert_eq!(soon("the mute connection's end", backend.closed.recv()).await, Some(0));
-        // It is suspect now, but the only one there is.
+        // The server is suspect now, but there is no other.
         soon("a served request", async {
             while agent.client().await.ask(&request("GET", "/read", "2000m", "")).await.status() != 200 {}
         })
@@ -228,9 +226,9 @@
     }
 }
 
-/// A connection that the backend has closed while it stood idle is not written to.
+/// A connection that its server closed while it was idle is not written to.
 #[tokio::test]
-async fn a_connection_that_was_closed_while_idle_is_not_used() {
+async fn connection_closed_while_idle_is_not_reused() {
     let closing = b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx".to_vec();
     let mut backend = Backend::start(move |_| Reply::Last(closing.clone())).await;
     let (_directory, agent) = world(&[&backend]).await;
@@ -238,15 +236,15 @@
         let answer = agent.client().await.ask(&request("POST", "/pay", "2000m", "b")).await;
         assert_eq!(answer.status(), 200);
         assert_eq!(backend.next().await.connection, connection);
-        // The end that the backend's side sent arrives within this on loopback.
+        // The server's FIN arrives within this time on loopback.
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
 
-/// The agent's own limit lies well below the backend's: at its limit a backend closes, and a request that is
-/// on its way just then ends as a reset.
+/// The agent's idle limit is well below the server's: when a server closes at its limit, a request that was just sent ends
+/// as a reset.
 #[tokio::test]
-async fn idle_connections_are_retired_before_the_backend_would() {
+async fn idle_connections_expire_before_the_server_closes_them() {
     let mut backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let directory = Directory::start(Mood::Mute).await;
     let mut config = config(directory.address, &[host("s", backend.address, "up")]);
@@ -259,14 +257,14 @@
     assert!(asked.elapsed() > Duration::from_millis(900), "kept for a good part of the time");
 }
 
-/// The client leaves: an attempt that is out goes on, its outcome counts, and its connection serves the next.
+/// After a disconnect an attempt in flight goes on, its outcome counts, and its connection serves the next request.
 #[tokio::test]
-async fn an_attempt_whose_client_left_keeps_its_connection() {
+async fn attempt_of_disconnected_client_keeps_its_connection() {
     let word = Arc::new(Notify::new());
     let gate = word.clone();
     let mut backend = Backend::start(move |m| match m.head.contains("/pay") {
         true => Reply::When(gate.clone(), ok("x")),
-        // Not to be used again, so that the first connection is the only one that can be.
+        // Closed after use, so that only the first connection is reusable.
         false => Reply::Bytes(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n".to_vec()),
     })
     .await;
@@ -277,7 +275,7 @@
     client.stream.shutdown().await.expect("the client leaves");
     client.closed().await;
     word.notify_one();
-    // The answer must have come back to the agent before its connection can serve again.
+    // The agent must have the response before the connection is reusable.
     soon("the connection's second use", async {
         loop {
             assert_eq!(agent.client().await.ask(&request("GET", "/read", "2000m", "")).await.status(), 200);
@@ -289,8 +287,8 @@
     .await;
 }
 
-/// An address that takes no connection: two that nobody has accepted fill its backlog of one, and a third connect stays
-/// under way until they are taken.
+/// An address that accepts no connection: two unaccepted ones fill its backlog of one, and a third connect stays pending
+/// until they are accepted.
 struct Silent {
     listener: tokio::net::TcpListener,
     _fillers: [tokio::net::TcpStream; 2],
@@ -312,7 +310,7 @@
         self.listener.local_addr().expect("an address")
     }
 
-    /// Takes the two, so that there is room, and then the agent's connection.
+    /// Accepts the two, which frees the backlog, and then the agent's connection.
     async fn wake(&self) -> tokio::net::TcpStream {
         for _ in 0..2 {
             soon("a filler", self.listener.accept()).await.expect("a filler");
@@ -321,10 +319,9 @@
     }
 }
 
-/// Nothing goes out for a request whose client has left: here its connect is still under way, to an address
-/// that takes no connection until its backlog has room.
+/// Nothing is sent for a request whose client disconnected while the connect was pending.
 #[tokio::test]
-async fn nothing_goes_out_for_a_client_that_left_while_connecting() {
+async fn disconnect_while_connecting_sends_nothing() {
     let silent = Silent::start().await;
     let directory = Directory::start(Mood::Mute).await;
     let mut config = config(directory.address, &[host("s", silent.address(), "up")]);
@@ -335,19 +332,19 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
     drop(client);
     tokio::time::sleep(Duration::from_millis(100)).await;
-    // Now there is room: the connect comes up (the kernel tries again within a second or so) and waits unused.
+    // The backlog is free: the connection is established (the kernel retries within a second or so) and stays unused.
     let mut stream = silent.wake().await;
-    // It serves the next request, so the first one's bytes would have come before these.
+    // It serves the next request, so bytes of the first would have arrived before these.
     let mut client = agent.client().await;
     client.send(&request("GET", "/read/next", "60000m", "")).await;
     let message = soon("the next request", read_message(&mut stream, 0)).await.expect("a request");
     assert_eq!(message.first_line(), "GET /read/next HTTP/1.1");
 }
 
-/// A connection that does not come up is given a part of the wanted time, and not the platform's time-out: another server
-/// answers while that is still wanted.
+/// An unanswered connect ends after a part of the request's latency objective, not at the platform's time-out, so that
+/// another server can still respond in time.
 #[tokio::test]
-async fn a_connect_that_meets_silence_leaves_time_for_another_server() {
+async fn unanswered_connect_leaves_time_for_a_retry() {
     let silent = Silent::start().await;
     let backend = Backend::start(|_| Reply::Bytes(ok("right"))).await;
     let directory = Directory::start(Mood::Mute).await;
@@ -359,14 +356,13 @@
         let answer = agent.client().await.ask(&request("GET", "/read", "20000m", "")).await;
         assert_eq!((answer.status(), answer.body.as_slice()), (200, b"right".as_slice()), "{turn}");
     }
-    // It was tried: its connect comes up once there is room.
+    // The connect was attempted: it succeeds once the backlog is free.
     silent.wake().await;
 }
 
-/// What the balancer gives up is answered at once, and a client that the settings allow advice is told when to
-/// come back.
+/// A rejected request is answered at once, with Retry-After where the settings allow it.
 #[tokio::test]
-async fn a_refusal_says_when_to_come_back() {
+async fn rejection_carries_retry_after() {
     let directory = Directory::start(Mood::Mute).await;
     let rejecting = b"HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n".to_vec();
     let backend = Backend::start(move |_| Reply::Bytes(rejecting.clone())).await;
@@ -377,10 +373,10 @@
     assert!(after > 0.0 && after <= 0.75, "{after}");
 }
 
-/// Spoilt answers: noise, heads without end, lengths that cannot be and heads that go on and on. Each is an
-/// attempt that may have run, ends soon, and its connection, which the backend leaves open, is closed.
+/// Invalid responses: noise, endless heads, impossible lengths. Each attempt ends soon and may have been executed; its
+/// connection, which the server leaves open, is closed.
 #[tokio::test]
-async fn a_spoilt_answer_fails_its_attempt_and_closes_its_connection() {
+async fn invalid_response_fails_its_attempt_and_closes_its_connection() {
     let head = "HTTP/1.1 200 OK\r\n".to_owned();
     let spoilt: Vec<Vec<u8>> = vec![
         b"\x80\x81\xff\0 noise".to_vec(),
@@ -406,9 +402,9 @@
     assert!(backend.seen.try_recv().is_err(), "sent twice");
 }
 
-/// 1xx answers ahead are skipped. What comes behind a good answer spoils its connection and not the answer.
+/// Interim responses are skipped. Bytes behind a valid response end its connection, not the response.
 #[tokio::test]
-async fn a_good_answer_with_more_than_belongs_to_it_is_served_and_its_connection_dropped() {
+async fn response_with_surplus_bytes_is_served_and_connection_closed() {
     let more: [&[u8]; 2] = [b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", b"\xff\0noise"];
     let mut backend = Backend::start(move |m| {
         let ahead = b"HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n".to_vec();
@@ -423,12 +419,12 @@
     }
 }
 
-/// A server says a second answer some milliseconds after the first, when the next request may be on its way: whoever reads
-/// that can't tell whose it is. So a connection rests after an answer, and what comes meanwhile ends it.
+/// A server sends a second response some milliseconds after the first, when the next request may have been sent: the reader
+/// cannot tell to which request it belongs. So a connection is not reusable at once, and bytes in that time end it.
 #[tokio::test]
-async fn a_second_answer_some_milliseconds_late_is_nobody_s() {
+async fn late_duplicate_response_is_discarded() {
     const LATE: Duration = Duration::from_millis(2);
-    // Past this the stand-in was held up, and says nothing more: nobody rests for ever.
+    // After a longer stall the stand-in sends no second response: connections become reusable after a bounded time.
     const TOO_LATE: Duration = Duration::from_millis(4);
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -437,7 +433,7 @@
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
             let said = said.clone();
-            // Its own kernel must not hold the second answer back until the next request brings an acknowledgement.
+            // The kernel must not delay the second response until the next request acknowledges the first.
             stream.set_nodelay(true).expect("an option");
             tokio::spawn(async move {
                 while let Some(message) = read_message(&mut stream, 0).await {
@@ -446,8 +442,8 @@
                     if stream.write_all(&answer).await.is_err() {
                         return;
                     }
-                    // The bad order: the second answer comes right behind the first byte of the next request, if one comes
-                    // so soon.
+                    // The harmful order: the second response follows the first byte of the next request, if one arrives so
+                    // soon.
                     let _ = tokio::time::timeout(LATE, stream.readable()).await;
                     if answered.elapsed() < TOO_LATE && stream.write_all(&answer).await.is_ok() {
                         said.fetch_add(1, Ordering::SeqCst);
@@ -470,11 +466,11 @@
     }
 }
 
-/// A server is told what its client has left when the request is written, and not when it was decided: the connection comes up
-/// late here, for its address has no room at first.
+/// The forwarded time-out counts from the writing of the request, not from its decision: the connection is established late
+/// here, since the backlog is full at first.
 #[tokio::test]
-async fn a_connection_that_comes_up_late_does_not_lengthen_the_deadline_that_is_told() {
-    /// By how much a server may be told more than its client has left.
+async fn late_connect_does_not_extend_the_forwarded_timeout() {
+    /// The tolerance of the forwarded time-out.
     const SLACK: Duration = Duration::from_millis(150);
     const WAIT: Duration = Duration::from_secs(20);
     let silent = Silent::start().await;
--- a/crates/agent/tests/bodies.rs
+++ b/crates/agent/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies of any size and pace: what is passed on as it comes, what can be tried again, and what is cut off.
+//! Bodies of any size and rate: what is streamed, what can be retried, and what times out.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 const MIB: usize = 1 << 20;
 
-/// A backend whose connections the test plays itself.
+/// A server whose connections the test serves itself.
 async fn raw() -> (SocketAddr, mpsc::Receiver<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -48,7 +48,7 @@
     bytes
 }
 
-/// Takes the next connection and reads a request's head; what has come of the body follows it.
+/// Accepts the next connection and reads a request's head; returns it with the received part of the body.
 async fn head(connections: &mut mpsc::Receiver<TcpStream>) -> (TcpStream, String, Vec<u8>) {
     let mut stream = soon("a connection", connections.recv()).await.expect("one");
     let mut bytes = read_until(&mut stream, b"\r\n\r\n").await;
@@ -61,13 +61,13 @@
     request("POST", path, wait, "").replace("Content-Length: 0", framing)
 }
 
-/// Bytes that differ by place, so that a part in a wrong place is noticed.
+/// Bytes that differ by position, so that misplaced parts are detected.
 fn pattern(length: usize) -> Vec<u8> {
     (0..length).map(|n| (n / 7 + n / 4096 * 31) as u8).collect()
 }
 
 #[tokio::test]
-async fn a_long_answer_begins_before_it_is_whole_and_comes_whole() {
+async fn long_response_is_streamed_completely() {
     let (address, mut connections) = raw().await;
     let (agent, _directory) = agent(&[address]).await;
     let body = pattern(3 * MIB);
@@ -86,7 +86,7 @@
             false => part.to_vec(),
         };
         server.write_all(&piece(&body[..half])).await.expect("it reads");
-        // The client has the first half while the server still owes the second.
+        // The client has the first half before the server sends the second.
         let mut got = read_until(&mut client.stream, b"\r\n\r\n").await;
         while got.len() < half {
             assert_ne!(soon("more", client.stream.read_buf(&mut got)).await.expect("more"), 0);
@@ -102,7 +102,7 @@
         if !chunked {
             assert!(got.ends_with(&body), "unchanged");
         }
-        // The connection is good for the next request, once it may be used again.
+        // The connection serves the next request once it is reusable.
         tokio::time::sleep(PAST_REUSE_DELAY).await;
         client.send(&request("GET", "/read", "2000m", "")).await;
         read_until(&mut server, b"\r\n\r\n").await;
@@ -111,9 +111,9 @@
     }
 }
 
-/// An answer that breaks on the way is no whole one, and its client can tell.
+/// The client can tell a response that broke off from a complete one.
 #[tokio::test]
-async fn an_answer_that_breaks_on_the_way_ends_short() {
+async fn broken_streamed_response_reaches_client_truncated() {
     let (address, mut connections) = raw().await;
     let (agent, _directory) = agent(&[address]).await;
     for framing in ["Content-Length: 1000000", "Transfer-Encoding: chunked"] {
@@ -126,15 +126,15 @@
         server.write_all(&pattern(0x18000)).await.expect("it reads");
         let mut got = read_until(&mut client.stream, b"\r\n\r\n").await;
         drop(server);
-        // However it ends, by a close or by a reset, it does not look whole.
+        // By a close or a reset, it does not look complete.
         while !matches!(soon("the end", client.stream.read_buf(&mut got)).await, Ok(0) | Err(_)) {}
         assert!(got.starts_with(b"HTTP/1.1 200") && !got.ends_with(b"0\r\n\r\n") && got.len() < 1_000_000);
     }
 }
 
-/// A long request reaches its server while it is coming, and its time begins with its last byte.
+/// A long request reaches its server while it is being received; its response time counts from its last byte.
 #[tokio::test]
-async fn a_long_request_is_passed_on_as_it_comes() {
+async fn long_request_is_streamed() {
     let (address, mut connections) = raw().await;
     let (agent, _directory) = agent(&[address]).await;
     let body = pattern(2 * MIB);
@@ -157,7 +157,7 @@
             got.extend(read_exactly(&mut server, half - got.len()).await);
             got
         };
-        // Longer than its client waits for the answer: it is still coming.
+        // Longer than the response time-out: the body is still being sent.
         tokio::time::sleep(Duration::from_millis(700)).await;
         client.stream.write_all(&piece(&body[half..])).await.expect("it reads");
         if chunked {
@@ -173,14 +173,13 @@
     }
 }
 
-/// Before anything behind its begin has gone out a long request goes elsewhere like any other; after that nobody can send
-/// it again, and its client hears so.
+/// A long request is retried until bytes behind its buffered beginning have been forwarded; then it fails.
 #[tokio::test]
-async fn a_long_request_is_tried_again_only_while_all_of_it_is_there() {
+async fn long_request_is_retried_only_while_buffered() {
     let (address, mut connections) = raw().await;
     let (agent, _directory) = agent(&[address, nobody().await]).await;
     let body = pattern(MIB);
-    // Whichever of the two is picked first: nobody is there, or somebody is.
+    // One of the two servers refuses connections; either can be picked first.
     for _ in 0..6 {
         let mut client = agent.client().await;
         client.send(&post("/save", "2000m", &format!("Content-Length: {}", body.len()))).await;
@@ -202,9 +201,9 @@
     assert!(connections.try_recv().is_err(), "no half of it goes anywhere");
 }
 
-/// An answer given before the request is whole reaches a client that is still sending.
+/// A response to an incomplete request reaches a client that is still sending.
 #[tokio::test]
-async fn an_early_answer_is_heard_by_a_client_that_still_sends() {
+async fn early_response_reaches_a_sending_client() {
     let (address, mut connections) = raw().await;
     let (agent, _directory) = agent(&[address]).await;
     let mut client = agent.client().await;
@@ -225,9 +224,9 @@
     let _ = soon("its end", sending).await;
 }
 
-/// Chunked requests one behind the other over one connection, and a request that hides behind a bad chunk.
+/// Pipelined chunked requests on one connection, and a request hidden behind an invalid chunk.
 #[tokio::test]
-async fn chunked_requests_follow_each_other_and_hide_nothing() {
+async fn pipelined_chunked_requests_cannot_smuggle_another() {
     let mut backend = Backend::start(|m| Reply::Bytes(ok(&String::from_utf8_lossy(&m.body)))).await;
     let (agent, _directory) = agent(&[backend.address]).await;
     let chunked = |body: &str| post("/pay", "2000m", "Transfer-Encoding: chunked") + body;
@@ -251,14 +250,14 @@
     assert!(backend.seen.try_recv().is_err(), "nothing of these went on");
 }
 
-/// A client that takes 2 s for its head is served; one that stops in its body is let go, and so is one without end.
+/// A client that takes 2 s for its head is served; one that stops within its body is disconnected, as is an endless one.
 #[tokio::test]
-async fn slow_is_served_and_silent_is_let_go() {
+async fn slow_client_is_served_and_silent_one_disconnected() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let (agent, _directory) = agent(&[backend.address]).await;
     let slow = async {
         let mut client = agent.client().await;
-        // Twice over one connection: the second one's time is its own.
+        // Twice on one connection: each request has its own time-out.
         for _ in 0..2 {
             let text = request("GET", "/read", "2000m", "");
             for part in text.as_bytes().chunks(text.len() / 10 + 1) {
@@ -288,9 +287,9 @@
     tokio::join!(slow, silent, endless);
 }
 
-/// Bodies that wait do not fill the memory: neither side is read before the other one takes.
+/// Waiting bodies do not fill the memory: neither side is read before the other one accepts bytes.
 #[tokio::test]
-async fn memory_does_not_grow_with_bodies() {
+async fn memory_is_bounded_with_many_bodies() {
     let (address, mut connections) = raw().await;
     let (agent, _directory) = agent(&[address]).await;
     let mut held = Vec::new();
@@ -298,7 +297,7 @@
         let mut up = agent.client().await;
         up.send(&post("/pay", "2000m", &format!("Content-Length: {}", 24 * MIB))).await;
         tokio::spawn(async move { up.stream.write_all(&pattern(24 * MIB)).await });
-        // It reads the head and nothing more.
+        // It reads only the head.
         held.push(head(&mut connections).await);
         let mut down = agent.client().await;
         down.send(&request("GET", "/read", "20000m", "")).await;
--- a/crates/agent/tests/clients.rs
+++ b/crates/agent/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that are idle, mute, slow or wrong, and what they may not cost the others.
+//! Clients that are idle, silent, slow or invalid, and their effect on others.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,10 +16,10 @@
     (backend, directory, agent)
 }
 
-/// Connections that asked once and stayed, and others that never said a word, hold no place for long: more of
-/// them than there are places, and a client that comes after them is still served in time.
+/// Idle connections, used once or never, are evicted: with more of them than the limit, a later client is still served in
+/// time.
 #[tokio::test]
-async fn idle_and_mute_connections_make_room() {
+async fn idle_and_silent_connections_are_evicted() {
     let (_backend, _directory, agent) = world(80).await;
     let mut kept = Vec::new();
     for _ in 0..60 {
@@ -32,10 +32,9 @@
     }
 }
 
-/// Where clients leave one connection behind after the other, faster than idle ones grow old, an answer closes its
-/// connection and says so; with few connections none does.
+/// Near the connection limit a response closes its connection (`connection: close`); with few connections none does.
 #[tokio::test]
-async fn in_a_crowd_each_answer_is_the_last_of_its_connection() {
+async fn responses_close_connections_near_the_limit() {
     let (_backend, _directory, agent) = world(80).await;
     let mut kept = Vec::new();
     loop {
@@ -52,9 +51,9 @@
     assert!(kept.len() >= 5, "few connections are all kept");
 }
 
-/// A connection is not given up for want of room while a request of it is open.
+/// At the connection limit, a connection with a pending request is not evicted.
 #[tokio::test]
-async fn a_connection_with_a_request_open_never_gives_way() {
+async fn connection_with_pending_request_is_never_evicted() {
     let word = Arc::new(Notify::new());
     let gate = word.clone();
     let mut backend = Backend::start(move |m| match m.head.contains("/pay") {
@@ -78,9 +77,9 @@
     assert_eq!(payer.answer().await.body, b"paid");
 }
 
-/// Nothing, half a head and half a body: each is answered with an error or closed, well within 3 s.
+/// No byte, half a head and half a body: each gets an error response or is closed, well within 3 s.
 #[tokio::test]
-async fn what_does_not_come_whole_is_given_up() {
+async fn incomplete_requests_time_out() {
     let (mut backend, _directory, agent) = world(1024).await;
     let half_body = request("POST", "/pay", "2000m", "body").replace("body", "bo");
     for text in ["", "GET /read HTTP/1.1\r\nHost: x\r\n", &half_body] {
@@ -95,10 +94,10 @@
     assert!(backend.seen.try_recv().is_err(), "half a request went on");
 }
 
-/// A length that two readers read in two ways hides a second request from one of them. It goes nowhere, and
-/// nothing behind it is taken for a request.
+/// A request of ambiguous length may hide a second one (request smuggling). It is not forwarded, and no byte behind it is
+/// taken for a request.
 #[tokio::test]
-async fn a_request_whose_length_is_ambiguous_is_refused_and_closes() {
+async fn ambiguous_length_is_rejected_and_connection_closed() {
     let (mut backend, _directory, agent) = world(1024).await;
     let inner = request("GET", "/read/hidden", "2000m", "");
     let plain = |lines: &str| {
@@ -120,15 +119,15 @@
         client.closed().await;
     }
     assert!(backend.seen.try_recv().is_err(), "something went on");
-    // A chunked body alone is plain; its request is served.
+    // A chunked body alone is unambiguous; its request is served.
     let chunked = plain("Transfer-Encoding: chunked\r\n") + "2\r\nab\r\n0\r\n\r\n";
     assert_eq!(agent.client().await.ask(&chunked).await.status(), 200);
     assert_eq!(backend.next().await.body, b"ab");
 }
 
-/// An endless head and an endless body end early, and take no memory.
+/// An endless head and an endless body are rejected early, without taking memory.
 #[tokio::test]
-async fn endless_heads_and_huge_bodies_are_turned_away_early() {
+async fn endless_heads_and_huge_bodies_are_rejected_early() {
     let (_backend, _directory, agent) = world(1024).await;
     let mut client = agent.client().await;
     let head = "GET /read HTTP/1.1\r\n".to_owned() + &"X-Filler: y\r\n".repeat(50) + "X-Long: ";
@@ -141,9 +140,9 @@
     client.closed().await;
 }
 
-/// A second request under an id that is open is turned away; the first one is served, and the id is free again.
+/// A second request with a pending id is rejected; the first one is served, and its id can be used again.
 #[tokio::test]
-async fn an_open_id_is_not_taken_twice() {
+async fn duplicate_pending_request_id_is_rejected() {
     let (mut backend, word) = Backend::held("first").await;
     let directory = Directory::start(Mood::Mute).await;
     let agent = Agent::start(directory.address, &[host("s", backend.address, "up")]).await;
@@ -159,7 +158,7 @@
     assert!(backend.seen.try_recv().is_err(), "sent twice");
 }
 
-/// Requests written back to back are answered one by one, in their order.
+/// Pipelined requests get their responses one by one, in their order.
 #[tokio::test]
 async fn pipelined_requests_are_answered_in_order() {
     let backend = Backend::start(|m| Reply::Bytes(ok(m.first_line()))).await;
@@ -179,9 +178,9 @@
     }
 }
 
-/// A request that comes in pieces, slowly, is served as if it had come at once.
+/// A request in slow fragments is served like one that arrives at once.
 #[tokio::test]
-async fn a_request_in_pieces_is_served() {
+async fn fragmented_request_is_served() {
     let (mut backend, _directory, agent) = world(1024).await;
     let mut stream = TcpStream::connect(agent.address).await.expect("a connection");
     stream.set_nodelay(true).expect("an option");
--- a/crates/agent/tests/endings.rs
+++ b/crates/agent/tests/endings.rs
@@ -1,5 +1,5 @@
-//! What is still owed when something ends: a client that leaves. Stand-ins hold one side until the other event is known
-//! to have happened; what servers and clients have seen decides.
+//! The ends of requests: disconnects, deadlines and shutdown. Stand-ins hold one side until the other event is known to have
+//! happened; verdicts come from the records of servers and clients.
 
 use std::time::Duration;
 use testbed::*;
@@ -7,24 +7,24 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-/// From so long after its client's leaving no attempt begins for a request (the users' term).
+/// From this time after a disconnect on no attempt of its request may begin.
 const AFTER_LEAVING: Duration = Duration::from_millis(100);
 
-/// The path of a request whose body is more than the agent and both kernels hold while nobody reads it: the end of its stream
-/// can't reach the agent before an attempt reads on.
+/// The path of a request whose body exceeds the buffers of the agent and both kernels: the end of its stream reaches the agent
+/// only after an attempt reads on.
 const BEYOND_THE_KERNELS: &str = "/save/long";
 
-/// Settings that say that lists are pushed: over sockets nothing comes by itself, so the agent asks, also after a silence,
-/// and whatever number a discovery that has begun anew gives its list.
+/// With pushed lists the agent watches over sockets, also after a silence, and whatever version a restarted discovery gives
+/// its list.
 #[tokio::test]
-async fn a_list_that_is_pushed_is_followed_and_again_after_a_silence() {
+async fn pushed_list_is_watched_again_after_silence() {
     let backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let mut directory = Directory::start(Mood::Mute).await;
     let mut config = config(directory.address, &[host("s", backend.address, "draining")]);
     config["settings"]["discovery"] = "pushed".into();
     let agent = Agent::with(config, |_| {}).await;
     for seq in [7, 3] {
-        // Each of these calls was made while it says nothing.
+        // Discovery does not respond to any of these calls.
         for _ in 0..3 {
             directory.next_call().await;
         }
@@ -39,17 +39,16 @@
     }
 }
 
-/// Clients whose request waits for a server leave, with bytes behind their request up to every limit of what is read
-/// ahead, so that the end of their stream lies behind what nobody reads. A server comes up when the time is over: only
-/// those who are still there get it, and for the others no attempt begins: not one byte of it goes out.
+/// Clients whose request waits for a server disconnect, with bytes behind their request up to every limit of reading ahead,
+/// so that the end of their stream lies behind unread bytes. Then a server comes up: no byte of an attempt is sent for them.
 #[tokio::test]
-async fn a_client_that_leaves_while_its_request_waits_is_not_sent_on() {
+async fn waiting_request_of_disconnected_client_is_not_forwarded() {
     let mut backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let hosts = |health: &str| vec![host("s", backend.address, health)];
     let (away, here) = (hosts("draining"), hosts("up"));
     for leaving in Leaving::ALL {
         let directory = Directory::start(Mood::Mute).await;
-        // Its watch waits, so that the server comes up as soon as the list says so.
+        // The watch is open, so that the server is up as soon as the list changes.
         directory.list(1, &away);
         let agent = Agent::with(patient_config(directory.address, &away), |_| {}).await;
         let baseline = Baseline::of(&agent);
@@ -69,12 +68,12 @@
         texts.extend([299_999, 300_000].map(|sent| coming(BEYOND_THE_KERNELS, 300_000, sent)));
         let (mut left, mut ids) = (Vec::new(), Vec::new());
         for text in texts.iter().cycle().take(6 * texts.len()) {
-            // An id of its own for each, and the same bytes else.
+            // Each request has its own id and otherwise the same bytes.
             let text = text.replacen("X-Request-ID: ", &format!("X-Request-ID: {}-", left.len()), 1);
             let id = text.split("X-Request-ID: ").nth(1).and_then(|rest| rest.lines().next());
             ids.push(id.expect("its id").to_owned());
             let mut client = agent.client().await;
-            // What the kernel does not take is not sent: the client leaves all the same.
+            // Bytes that the kernel does not take are not sent; the client disconnects nevertheless.
             let _ = tokio::time::timeout(Duration::from_millis(30), client.stream.write_all(text.as_bytes()))
                 .await;
             left.push(client);
@@ -107,10 +106,10 @@
     }
 }
 
-/// An answer of unknown length that trickles and never ends is cut when its request's time is over: its client can tell,
-/// and the connection that it came over is not used again.
+/// An endless trickling response of unknown length is cut off at its request's deadline: its client can tell, and the server's
+/// connection is not reused.
 #[tokio::test]
-async fn an_answer_that_trickles_ends_with_its_request_s_time() {
+async fn trickling_response_ends_at_the_request_deadline() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let directory = Directory::start(Mood::Mute).await;
     let hosts = [host("s", listener.local_addr().expect("an address"), "up")];
@@ -124,13 +123,13 @@
     let trickle = tokio::spawn(async move {
         let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         backend.write_all(head).await.expect("it reads");
-        // It goes on for as long as it is let.
+        // It sends until the connection ends.
         while backend.write_all(b"1\r\nx\r\n").await.is_ok() {
             sleep(Duration::from_millis(20)).await;
         }
     });
     let mut answer = Vec::new();
-    // However its end is worded by the kernel: no last chunk has come.
+    // By a close or a reset: no last chunk has arrived.
     let _ = soon("the answer's end", client.stream.read_to_end(&mut answer)).await;
     let answer = String::from_utf8_lossy(&answer);
     assert!(answer.starts_with("HTTP/1.1 200 ") && answer.contains("1\r\nx\r\n"), "{answer}");
@@ -145,14 +144,14 @@
     assert_eq!(next.answer().await.status(), 200);
 }
 
-/// Requests whose clients leave while decisions wait for a list leave nothing behind: what is counted as in flight at their
-/// server would keep all others from it.
+/// Requests whose clients disconnect while decisions are deferred leave no attempt in flight, which would count against the
+/// capacity of their server.
 #[tokio::test]
-async fn what_ends_while_decisions_wait_holds_no_place() {
+async fn disconnect_during_deferral_leaves_nothing_in_flight() {
     let mut backend = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let mut other = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let directory = Directory::start(Mood::Mute).await;
-    // As many as there are instances on the roster: with fewer an instance would not go by what a server holds.
+    // As many instances as the roster has: with fewer, an instance ignores the server's attempts in flight.
     let hosts = [host("s", backend.address, "up"), host("t", other.address, "up")];
     let config = patient_config(directory.address, &hosts);
     let folder = Folder::new();
@@ -161,7 +160,7 @@
     let operator = folder.write("agent.toml", text);
     let agent = Agent::operated(config, &operator).await;
     let id = agent.child.id().expect("it runs");
-    // On a busy machine the wait may be over before they have left; then nothing was shown, and it is done again.
+    // On a busy machine the deferral may end before the disconnects; then the round shows nothing and is repeated.
     for round in 0.. {
         assert!(round < 10, "decisions never waited for as long as it takes to leave");
         kill("-STOP", id).await;
@@ -172,7 +171,7 @@
             client.send(&text.replacen("X-Request-ID: ", &format!("X-Request-ID: {n}-"), 1)).await;
             clients.push(client);
         }
-        // So long that it knows, on waking, that it stood still.
+        // Longer than the threshold of a stall.
         sleep(Duration::from_millis(1_300)).await;
         kill("-CONT", id).await;
         soon("they are taken", async {
@@ -196,15 +195,14 @@
     assert_eq!(agent.figure("svc.in_progress").await, 0);
 }
 
-/// Asks as those who are still there do, and what it is told.
+/// The status of a request whose client stays.
 async fn sentinel(agent: &Agent) -> u16 {
     agent.client().await.ask(&request("GET", "/read/sentinel", "20000m", "")).await.status()
 }
 
-/// The end waits for what is open by the deadlines of the settings that hold when it is told to end, not of those that it
-/// started with.
+/// A shutdown waits for pending requests by the deadlines of the settings at its start, not of those at the process's start.
 #[tokio::test]
-async fn an_end_waits_by_the_deadlines_of_the_present_settings() {
+async fn shutdown_waits_by_the_present_deadlines() {
     let (mut backend, word) = Backend::held("x").await;
     let directory = Directory::start(Mood::Mute).await;
     let mut config = patient_config(directory.address, &[host("s", backend.address, "up")]);
@@ -220,7 +218,7 @@
     client.send(&request("POST", "/pay", "20000m", "b")).await;
     backend.next().await;
     agent.term().await;
-    // Past the moment of accepting and the former deadline.
+    // After the end of accepting and the former deadline.
     sleep(Duration::from_millis(1_500)).await;
     word.notify_one();
     assert_eq!(client.answer().await.status(), 200);
@@ -228,9 +226,9 @@
     assert!(backend.seen.try_recv().is_err(), "sent twice");
 }
 
-/// A second word to end, and a word to read the files again, change nothing for what is in flight while an instance ends.
+/// A second SIGTERM and a SIGHUP during a shutdown change nothing for requests in flight.
 #[tokio::test]
-async fn a_second_word_to_end_and_a_reload_change_nothing_at_the_end() {
+async fn second_signal_and_reload_during_shutdown_are_ignored() {
     let (mut backend, word) = Backend::held("x").await;
     let directory = Directory::start(Mood::Mute).await;
     let mut agent =
@@ -241,11 +239,11 @@
     client.send(&request("POST", "/pay", "20000m", "b")).await;
     backend.next().await;
     agent.term().await;
-    // The first word has been heard: what is idle has been closed for it.
+    // The first signal has been handled: idle connections are closed.
     idle.closed().await;
     agent.term().await;
     agent.hang_up().await;
-    // It still takes who comes, and says that it is not ready: the two have not ended it.
+    // It still accepts, and is not ready: the second signals have not ended it.
     assert_eq!(agent.client().await.ask("GET /ready HTTP/1.1\r\n\r\n").await.status(), 503);
     word.notify_one();
     assert_eq!(client.answer().await.status(), 200);
--- a/crates/agent/tests/leaving.rs
+++ b/crates/agent/tests/leaving.rs
@@ -1,6 +1,5 @@
-//! A client leaves at one moment of its request after another: before a retry, before a second copy, in the middle of the
-//! bytes of an attempt. Stand-ins hold their side until the leaving is known to have been noticed; one who stays shows that
-//! what must not happen for the others does happen for it.
+//! Clients that disconnect at each stage of a request: before a retry, before a hedged request, within the bytes of an attempt.
+//! Stand-ins hold their side until the agent has noticed the disconnect; a client that stays shows that the scenario works.
 
 use serde_json::Value;
 use std::collections::HashSet;
@@ -11,15 +10,15 @@
 use tokio::net::TcpSocket;
 use tokio::sync::{mpsc, Notify};
 
-/// From so long after its client's leaving no attempt begins for a request (the users' term).
+/// From this time after a disconnect on no attempt of its request may begin.
 const AFTER_LEAVING: Duration = Duration::from_millis(100);
 
-/// A request with an id of the test's own.
+/// A request with this id.
 fn named(id: &str, method: &str, path: &str, body: &str) -> String {
     request_as(id, method, path, "20000m", body)
 }
 
-/// So many servers, that decisions need not spare one that has just turned something away or says nothing.
+/// Enough servers that the balancer can avoid one that has just rejected a request or is silent.
 async fn several<S: Fn(&Message) -> Reply + Send + Sync + 'static>(script: impl Fn() -> S) -> Vec<Backend> {
     let mut servers = Vec::new();
     for _ in 0..12 {
@@ -28,7 +27,7 @@
     servers
 }
 
-/// All of them, up.
+/// The list entries of all servers, up.
 fn listed(servers: &[Backend]) -> Vec<Value> {
     servers.iter().enumerate().map(|(n, server)| host(&format!("s{n}"), server.address, "up")).collect()
 }
@@ -75,10 +74,10 @@
     }
 }
 
-/// The attempt of a request is turned away only when its client has left: nothing is sent again, whatever the class. For
-/// one that stays it is, over the same servers.
+/// An attempt is rejected after its client has disconnected: there is no retry, whatever the class. For a client that stays
+/// there is one, with the same servers.
 #[tokio::test]
-async fn nothing_is_tried_again_for_a_client_that_has_left() {
+async fn disconnected_client_gets_no_retry() {
     let mut turning = Turning::start().await;
     let directory = Directory::start(Mood::Mute).await;
     let hosts = listed(&turning.servers);
@@ -114,9 +113,9 @@
     baseline.restored(&agent, &ids, servers).await;
 }
 
-/// A second copy is due, and its client has left: none goes out. One that stays, and asked later, gets its own.
+/// No hedged request is sent when its client has disconnected. A later client that stays gets one.
 #[tokio::test]
-async fn no_second_copy_goes_out_for_a_client_that_has_left() {
+async fn disconnected_client_gets_no_hedge() {
     let (tell, mut came) = mpsc::channel(16);
     let word = Arc::new(Notify::new());
     let script = || {
@@ -147,13 +146,13 @@
         agent.until("svc.in_progress", |open| open == 0).await;
         let mut client = agent.client().await;
         client.send(&named(&stays, "GET", "/read/held", "")).await;
-        // Its copy is due after the other one's would have been.
+        // Its hedge is due after that of the other request would have been.
         for attempt in 0..2 {
             assert_eq!(soon("an attempt", came.recv()).await, Some(stays.clone()), "{leaving:?}: {attempt}");
         }
         let words = async {
             loop {
-                // A server that has just told is not waiting yet.
+                // A server that has just reported the request may not wait yet.
                 word.notify_waiters();
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
@@ -169,11 +168,11 @@
     baseline.restored(&agent, &ids, held).await;
 }
 
-/// A server has taken a part of a request when its client leaves: the rest is not written, and the connection ends.
+/// The client disconnects when a server has received a part of the request: the rest is not written, and the connection ends.
 #[tokio::test]
-async fn an_attempt_that_is_written_in_part_ends_there() {
+async fn partly_written_attempt_stops_on_disconnect() {
     let socket = TcpSocket::new_v4().expect("a socket");
-    // The kernels hold less than the request.
+    // The buffers of the kernels are smaller than the request.
     socket.set_recv_buffer_size(4 << 10).expect("an option");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let listener = socket.listen(64).expect("a listener");
@@ -185,7 +184,7 @@
         let id = format!("part-{leaving:?}");
         let text = named(&id, "POST", "/save/part", &body);
         let mut client = agent.client().await;
-        // It goes on sending for as long as anybody takes it, until it leaves.
+        // The client sends until it disconnects.
         let word = Arc::new(Notify::new());
         let leave = word.clone();
         let sending = tokio::spawn(async move {
@@ -195,13 +194,13 @@
             }
         });
         let (mut server, _) = soon("a connection", listener.accept()).await.expect("a connection");
-        // It is under way, and the server takes no more.
+        // The attempt has begun, and the server reads no more.
         let mut begin = vec![0; 1 << 10];
         soon("its begin", server.read_exact(&mut begin)).await.expect("its begin");
         assert!(String::from_utf8_lossy(&begin).contains(&id));
         word.notify_one();
         let half = sending.await.expect("no panic").leave(leaving).await;
-        // The server takes what there is, and meets the end before the whole of it.
+        // The server reads on, and meets the end before the complete request.
         let mut got = begin.len();
         let mut rest = vec![0; 64 << 10];
         loop {
@@ -217,10 +216,10 @@
     }
 }
 
-/// All places are taken: whoever connects now, asks and leaves, is taken only when places are free again, long after it has
-/// left. Nothing goes out for it, be its request short or with a body, alone or with more behind it.
+/// At the connection limit, clients that connect, send a request and disconnect are accepted long after their disconnect.
+/// Nothing is sent for them, whether the request is short, has a body, or has more bytes behind it.
 #[tokio::test]
-async fn who_asked_and_left_before_there_was_a_place_is_not_sent_on() {
+async fn request_from_closed_backlog_connection_is_not_forwarded() {
     let mut server = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let listed = |health: &str| vec![host("s", server.address, health)];
     let (away, here) = (listed("draining"), listed("up"));
@@ -229,9 +228,9 @@
         request("POST", "/save/left", "20000m", &"b".repeat(60_000)),
     ];
     texts.push(texts[0].clone() + &texts[1]);
-    // More behind it than the kernels hold: its end comes only while it is read.
+    // More bytes behind it than the kernels buffer: its end arrives only as it is read.
     texts.push(texts[0].clone() + &"f".repeat(6 << 20));
-    // A body that is passed on as it comes, complete and not.
+    // A streamed body, complete and incomplete.
     let long = |sent: usize| {
         let head = request("POST", "/save/left", "20000m", "");
         head.replace("Content-Length: 0", "Content-Length: 100000") + &"b".repeat(sent)
@@ -241,7 +240,7 @@
         let directory = Directory::start(Mood::Mute).await;
         directory.list(1, &away);
         let mut config = patient_config(directory.address, &away);
-        // Twenty-eight places for clients: half of what the reserve with a second address leaves.
+        // Twenty-eight client connections: half of what the reserve with an admin console leaves.
         config["limits"]["sockets"] = 94.into();
         let agent = Agent::with(config, |_| {}).await;
         let mut stay = Vec::new();
@@ -254,7 +253,7 @@
         let mut half = Vec::new();
         for text in texts.iter().cycle().take(30) {
             let mut client = agent.client().await;
-            // What the kernels do not take is not sent: the client leaves all the same.
+            // Bytes that the kernels do not take are not sent; the client disconnects nevertheless.
             let sending = client.stream.write_all(text.as_bytes());
             let _ = tokio::time::timeout(Duration::from_millis(30), sending).await;
             half.push(client.leave(leaving).await);
@@ -262,7 +261,7 @@
         tokio::time::sleep(AFTER_LEAVING).await;
         directory.list(2, &here);
         for mut client in stay {
-            // In a crowd each answer is the last on its connection, which frees the place.
+            // Near the limit each response closes its connection, which makes capacity.
             assert_eq!(client.answer().await.status(), 200);
         }
         for _ in 0..3 {
@@ -276,10 +275,10 @@
     }
 }
 
-/// Hundreds leave while the agent stands still, and the server that their requests wait for comes up meanwhile: when it goes
-/// on, the list may be read first, and still no attempt begins for any of them.
+/// Hundreds of clients disconnect during a stall, while a server comes up: after the stall the list may be read first, and
+/// still no attempt begins for any of them.
 #[tokio::test]
-async fn a_burst_that_leaves_while_the_agent_stands_still_is_not_sent_on() {
+async fn burst_disconnected_during_stall_is_not_forwarded() {
     const BURST: usize = 300;
     let mut server = Backend::start(|_| Reply::Bytes(ok("x"))).await;
     let hosts = |health: &str| vec![host("s", server.address, health)];
@@ -300,7 +299,7 @@
             kill("-STOP", process).await;
             if list_first {
                 directory.list(2, &here);
-                // Its answer is written before any client leaves.
+                // Its response is written before any client disconnects.
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
             let mut half = Vec::new();
--- a/crates/agent/tests/system_calls.rs
+++ b/crates/agent/tests/system_calls.rs
@@ -1,19 +1,19 @@
-//! System calls that fail or do less, in the ways that Linux documents: no request is lost or run twice for them.
+//! System calls that fail or transfer less, in the ways that Linux documents: no request is lost or executed twice.
 //!
-//! The real program runs under `bellcroft-fault-injector`, which has one in so many calls fail. Verdicts come from the clients'
-//! and the servers' own records.
+//! The real program runs under `bellcroft-fault-injector`, which fails a fraction of the calls. Verdicts come from the records of
+//! clients and servers.
 
 use std::time::Duration;
 use testbed::faults::Shim;
 use testbed::*;
 
-/// Requests of each run, at the least.
+/// The minimum of requests in each run.
 const REQUESTS: usize = 400;
-/// Of which so many may be refused or fail. A call that fails costs its request an attempt, and now and then three of them
+/// The maximum of rejected or failed requests among them: a failed call fails its attempt, and now and then three attempts
 /// in a row.
 const MAX_NOT_SERVED: usize = 4;
 
-/// Plays traffic against an agent under this specification; what was wrong.
+/// Runs traffic against an agent under this specification; the error lists what was wrong.
 async fn play(specification: &str) -> Result<(), String> {
     let world = World::start(8, &Plan::default()).await;
     let shim = Shim::new(specification);
@@ -41,11 +41,11 @@
     Ok(())
 }
 
-/// Plays each one after the other and tells of all that went wrong.
+/// Runs all specifications one after the other, and reports all failures together.
 async fn play_all(specifications: &[&str]) {
     let mut wrong = Vec::new();
     for specification in specifications {
-        // A connection that clients could not have is no loss; a shorter run could hide one that is.
+        // A connection that a client could not open is no lost request; a shorter run could hide one.
         let ended = tokio::time::timeout(Duration::from_secs(60), play(specification)).await;
         wrong.extend(ended.unwrap_or_else(|_| Err(format!("{specification}: did not end"))).err());
     }
@@ -53,12 +53,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn reads_that_are_short_or_interrupted_are_read_on() {
+async fn short_and_interrupted_reads_are_continued() {
     play_all(&["recv short", "recv short every=3", "recv EINTR", "recv EINTR every=3"]).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn writes_that_are_short_or_interrupted_are_written_on() {
+async fn short_and_interrupted_writes_are_continued() {
     play_all(&[
         "send short; writev short",
         "send EINTR; writev EINTR",
@@ -68,7 +68,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn connections_that_could_not_be_taken_are_taken_again() {
+async fn failed_accepts_are_retried() {
     play_all(&[
         "accept4 ECONNABORTED every=3",
         "accept4 EINTR every=3",
@@ -83,7 +83,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn connections_that_could_not_be_made_are_made_again() {
+async fn failed_connects_are_retried() {
     play_all(&[
         "socket ENFILE every=4",
         "socket ENOBUFS every=4",
@@ -100,7 +100,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn waits_that_are_interrupted_and_a_wall_clock_that_is_stepped_change_nothing() {
+async fn interrupted_waits_and_clock_steps_change_nothing() {
     play_all(&[
         "epoll_wait EINTR every=3",
         "clock_gettime step ms=3600000 from=700",
@@ -110,7 +110,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn all_kinds_at_once_lose_nothing() {
+async fn combined_faults_lose_no_request() {
     play_all(&[
         "recv short; recv EINTR seed=2; send short; send EINTR seed=2; writev short; writev EINTR seed=2; \
                 accept4 ECONNABORTED; accept4 ENFILE seed=2; socket ENFILE; connect EADDRNOTAVAIL; \
@@ -119,9 +119,9 @@
     .await;
 }
 
-/// Faults that could do no harm hide nothing: a specification that can't be read ends the program with the word at fault.
+/// An invalid specification ends the program with the invalid word; otherwise its faults would silently be missing.
 #[tokio::test]
-async fn a_specification_that_can_t_be_read_is_refused_with_the_word() {
+async fn invalid_specification_is_rejected_with_its_word() {
     for (specification, why) in [
         ("recv EFOO", "rule 1: \"EFOO\" is no fault"),
         ("recv short; sing EINTR", "rule 2: \"sing\" is no call that can fail"),
--- a/crates/agent/tests/telemetry.rs
+++ b/crates/agent/tests/telemetry.rs
@@ -1,4 +1,4 @@
-//! What the real program sends of itself, and that nobody's request waits for a receiver.
+//! Remote write of the real program; no request waits for a receiver.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 const SHORT: &str =
     "interval = \"100ms\"\ntimeout = \"300ms\"\nretry_first = \"10ms\"\nretry_most = \"50ms\"\n";
 
-/// An operator's file with a receiver.
+/// An operator's file with a receiver of remote write.
 fn file(folder: &Folder, receiver: &Receiver, more: &str) -> std::path::PathBuf {
     folder.write("agent.toml", &format!("[remote_write]\nurl = \"{}\"\n{SHORT}{more}", receiver.url()))
 }
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn what_arrives_is_what_clients_and_servers_saw() {
+async fn received_samples_match_clients_and_servers() {
     let mut stage = Stage::set().await;
     let mut agent =
         stage.agent("n7", "[remote_write.labels]\nbuilding = \"quote \\\" and \\n newline\"\n").await;
@@ -85,9 +85,9 @@
     assert_eq!(during.sum("bellcroft_requests_in_flight", &[]), 0.0);
     let common = [("instance", "n7"), ("job", "bellcroft"), ("building", "quote \" and \n newline")];
     assert!(during.series.keys().all(|l| common.iter().all(|(n, v)| l.get(*n).is_some_and(|own| own == v))));
-    // No server is named unless the operator says so.
+    // Servers are not named unless the operator enables it.
     assert!(during.series.keys().all(|l| !l.contains_key("server")));
-    // A clean stop ends every series.
+    // A graceful shutdown ends every series.
     assert!(store
         .series
         .values()
@@ -95,7 +95,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn whatever_a_receiver_does_requests_are_served_and_what_it_missed_is_counted_or_comes_in_order() {
+async fn receiver_faults_never_affect_requests_or_reorder_samples() {
     let stage = Stage::set().await;
     let mut agent = stage.agent("n0", "queue_bytes = 33554432\n").await;
     let load = traffic(&agent, 100.0, 5);
@@ -122,7 +122,7 @@
             .sum("bellcroft_remote_write_samples_total", &[("outcome", "dropped_refused")]);
         stage.receiver.taking.send_replace(Taking::All);
         let answered = load.count();
-        // All that was kept has come once the newest count has: a queue keeps its order.
+        // The queue is ordered, so all queued samples have arrived once the newest has.
         stage.receiver.until("the count after the fault", |store, _| taken(store) >= answered).await;
         stage
             .receiver
@@ -151,7 +151,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_killed_agent_counts_on_and_its_growth_is_the_true_count() {
+async fn counters_stay_correct_across_a_kill() {
     let stage = Stage::set().await;
     let mut all = 0;
     let mut agent = stage.agent("n0", "").await;
@@ -189,7 +189,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_reload_moves_to_another_receiver_and_to_other_labels_while_a_request_is_out() {
+async fn reload_changes_receiver_and_labels_with_pending_request() {
     let stage = Stage::set().await;
     let token = stage.folder.write("token", "first-secret\n");
     let more = |labels: &str| {
@@ -226,7 +226,7 @@
         })
         .await;
     assert_eq!(other.store().wrong, Vec::<String>::new());
-    // What cannot be read changes nothing.
+    // An invalid file changes nothing.
     stage.folder.write("token", " ");
     agent.hang_up().await;
     other
@@ -236,7 +236,7 @@
         other.posted().last().and_then(|p| p.authorization.clone()).as_deref(),
         Some("Bearer second-secret")
     );
-    // Nor does what only a restart can take.
+    // Nor does a setting that only a restart applies.
     stage.folder.write("token", "second-secret");
     stage.folder.write("agent.toml", "");
     agent.hang_up().await;
@@ -249,7 +249,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_stop_with_a_full_queue_flushes_for_so_long_and_counts_what_is_left() {
+async fn shutdown_flushes_full_queue_and_counts_the_rest() {
     let stage = Stage::set().await;
     let mut agent = stage.agent("n0", "queue_bytes = 65536\nflush_within = \"200ms\"\n").await;
     stage.receiver.taking.send_replace(Taking::Mute);
@@ -268,7 +268,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_receiver_of_1_0_and_one_that_writes_less_than_it_was_sent() {
+async fn version_1_and_partial_write_receivers_are_handled() {
     let stage = Stage::set().await;
     stage.receiver.only_v1.send_replace(true);
     let first = stage.agent("n0", "").await;
@@ -289,7 +289,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn servers_are_named_up_to_a_cap_and_the_rest_together() {
+async fn server_labels_beyond_the_cap_are_aggregated() {
     let stage = Stage::set().await;
     let agent = stage.agent("n0", "server_names = 2\n").await;
     let load = traffic(&agent, 200.0, 11);
@@ -310,10 +310,9 @@
     assert_eq!(all, store.sum("bellcroft_attempts_total", &[]), "nothing of the count is lost");
 }
 
-/// An answer is read up to a bound and no further: what goes on costs its connection, or a receiver could keep the agent
-/// reading.
+/// A receiver's response is read up to a limit; a longer one closes its connection, so that the agent does not read forever.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_body_without_end_costs_its_connection() {
+async fn endless_receiver_response_closes_its_connection() {
     let stage = Stage::set().await;
     stage.receiver.taking.send_replace(Taking::Endless);
     let agent = stage.agent("n0", "").await;
