--- a/crates/agent-core/src/admin.rs
+++ b/crates/agent-core/src/admin.rs
@@ -91,9 +91,22 @@
     }
 }
 
+/// Whether a command has succeeded.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ReplyStatus {
+    /// It has: `200`.
+    Done,
+    /// It has not, or the answer is no: `400`.
+    Rejected,
+}
+
 /// An answer: a line that begins with `200` or `400`, and what follows it.
-pub fn format_reply(good: bool, says: impl fmt::Display) -> String {
-    format!("{} {says}\n", if good { 200 } else { 400 })
+pub fn format_reply(status: ReplyStatus, text: impl fmt::Display) -> String {
+    let code = match status {
+        ReplyStatus::Done => 200,
+        ReplyStatus::Rejected => 400,
+    };
+    format!("{code} {text}\n")
 }
 
 /// The finished requests of a class.
@@ -156,7 +169,7 @@
 impl Stats {
     /// The complete reply to `show-stat`: the status line, the figures, `EOF`.
     pub fn reply(&self) -> String {
-        let mut text = format_reply(true, "figures");
+        let mut text = format_reply(ReplyStatus::Done, "figures");
         // Writing to a string cannot fail.
         let _ = writeln!(text, "{self}EOF");
         text
--- a/crates/agent-core/src/lib.rs
+++ b/crates/agent-core/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! - [`guard`]: what may be sent, retried and closed, and the count of violations.
 //! - [`shutdown`]: the times of a graceful shutdown.
-//! - [`service`]: serving, draining and shutting down.
+//! - [`serving`]: serving, draining and shutting down.
 //! - [`handover`]: the limits of two processes during a rolling restart.
 //! - [`stall`]: the deferral of decisions after the process stood still.
 //! - [`clock_skew`]: the difference between the wall clocks of this machine and the platform.
@@ -20,6 +20,6 @@
 pub mod guard;
 pub mod handover;
 pub mod reconfigure;
-pub mod service;
+pub mod serving;
 pub mod shutdown;
 pub mod stall;
--- a/crates/agent-core/src/service.rs
+++ b/crates/agent-core/src/serving.rs
@@ -13,6 +13,15 @@
 /// The same for a process that shuts down with a successor: it is killed once the longest deadline has passed.
 const REPLACED_IDLE_TIMEOUT: Micros = Micros(450_000);
 
+/// What follows a process that shuts down.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ShutdownKind {
+    /// Nothing: its application ends too.
+    Final,
+    /// A successor, which accepts new connections.
+    Replaced,
+}
+
 /// The serving state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServingState {
@@ -21,11 +30,11 @@
     /// Draining since this time; [`Service::resume`] ends it.
     Draining(Time),
     /// Shutting down; nothing ends it.
-    End {
+    ShuttingDown {
         /// When the shutdown began.
         since: Time,
-        /// A successor accepts new connections.
-        replaced: bool,
+        /// What follows this process.
+        kind: ShutdownKind,
     },
 }
 
@@ -58,7 +67,7 @@
 
     /// Serves again; false if the instance shuts down.
     pub fn resume(&mut self) -> bool {
-        let allowed = !matches!(self.state, ServingState::End { .. });
+        let allowed = !matches!(self.state, ServingState::ShuttingDown { .. });
         if allowed {
             self.state = ServingState::Serving;
         }
@@ -66,9 +75,9 @@
     }
 
     /// Starts the shutdown. A second call changes nothing.
-    pub fn shut_down(&mut self, now: Time, replaced: bool) {
-        if !matches!(self.state, ServingState::End { .. }) {
-            self.state = ServingState::End { since: now, replaced };
+    pub fn shut_down(&mut self, now: Time, kind: ShutdownKind) {
+        if !matches!(self.state, ServingState::ShuttingDown { .. }) {
+            self.state = ServingState::ShuttingDown { since: now, kind };
         }
     }
 
@@ -90,9 +99,11 @@
         match self.state {
             ServingState::Serving => None,
             ServingState::Draining(since) => Some(since + DRAIN_IDLE_TIMEOUT),
-            ServingState::End { since, replaced: true } => Some(since + REPLACED_IDLE_TIMEOUT),
+            ServingState::ShuttingDown { since, kind: ShutdownKind::Replaced } => {
+                Some(since + REPLACED_IDLE_TIMEOUT)
+            }
             // The application ends too; no further request arrives.
-            ServingState::End { since, replaced: false } => Some(since),
+            ServingState::ShuttingDown { since, kind: ShutdownKind::Final } => Some(since),
         }
     }
 }
--- a/crates/agent-core/tests/service.rs
+++ b/crates/agent-core/tests/serving.rs
@@ -1,6 +1,6 @@
 //! Draining, resuming and shutting down an instance.
 
-use bellcroft_agent_core::service::*;
+use bellcroft_agent_core::serving::*;
 use bellcroft_balancer::{Micros, Time};
 
 const SECOND: Micros = Micros(1_000_000);
@@ -22,10 +22,10 @@
 #[test]
 fn shutdown_cannot_be_resumed_or_changed() {
     let mut service = Service::default();
-    service.shut_down(Time(7), true);
+    service.shut_down(Time(7), ShutdownKind::Replaced);
     assert!(!service.resume() && !service.drain(Time(8)));
-    service.shut_down(Time(9), false);
-    assert_eq!(service.state(), ServingState::End { since: Time(7), replaced: true });
+    service.shut_down(Time(9), ShutdownKind::Final);
+    assert_eq!(service.state(), ServingState::ShuttingDown { since: Time(7), kind: ShutdownKind::Replaced });
     assert!(!service.is_ready() && service.closes_connections());
 }
 
@@ -33,9 +33,9 @@
 #[test]
 fn replaced_process_closes_idle_connections_before_its_kill() {
     let mut service = Service::default();
-    service.shut_down(Time(0), true);
+    service.shut_down(Time(0), ShutdownKind::Replaced);
     assert!(service.close_idle_at().expect("a time") < Time(0) + SECOND * 0.7);
     let mut alone = Service::default();
-    alone.shut_down(Time(0), false);
+    alone.shut_down(Time(0), ShutdownKind::Final);
     assert_eq!(alone.close_idle_at(), Some(Time(0)));
 }
--- a/crates/agent/src/daemon/commands.rs
+++ b/crates/agent/src/daemon/commands.rs
@@ -4,8 +4,8 @@
 use super::control::{self, Reply};
 use super::instance::{Instance, SocketAfterShutdown};
 use super::status::Phase;
-use bellcroft_agent_core::admin::{format_reply, AdminRequest, ClassStats, Stats};
-use bellcroft_agent_core::service::ServingState;
+use bellcroft_agent_core::admin::{format_reply, AdminRequest, ClassStats, ReplyStatus, Stats};
+use bellcroft_agent_core::serving::ServingState;
 use serde::Serialize;
 use serde_json::Value;
 use std::os::fd::OwnedFd;
@@ -100,9 +100,9 @@
     pub(super) fn on_admin_request(&self, request: AdminRequest) -> String {
         match request {
             AdminRequest::Ready if self.phase() == Phase::Ready && self.server.is_ready() => {
-                format_reply(true, "yes")
+                format_reply(ReplyStatus::Done, "yes")
             }
-            AdminRequest::Ready => format_reply(false, "no"),
+            AdminRequest::Ready => format_reply(ReplyStatus::Rejected, "no"),
             AdminRequest::ShowStat => self.stats().reply(),
             AdminRequest::Drain => self.drain_by_operator(),
             AdminRequest::Resume => self.resume_by_operator(),
@@ -115,17 +115,17 @@
             info!(instance = %self.name(), "admin console: draining");
         }
         match self.server.serving_state() {
-            ServingState::End { .. } => format_reply(false, "it is ending"),
-            ServingState::Serving | ServingState::Draining(_) => format_reply(true, "draining"),
+            ServingState::ShuttingDown { .. } => format_reply(ReplyStatus::Rejected, "it is ending"),
+            ServingState::Serving | ServingState::Draining(_) => format_reply(ReplyStatus::Done, "draining"),
         }
     }
 
     fn resume_by_operator(&self) -> String {
         if self.server.change(|service| service.resume()) {
             info!(instance = %self.name(), "admin console: serving resumed");
-            format_reply(true, "serving")
+            format_reply(ReplyStatus::Done, "serving")
         } else {
-            format_reply(false, "it is ending")
+            format_reply(ReplyStatus::Rejected, "it is ending")
         }
     }
 
--- a/crates/agent/src/daemon/console.rs
+++ b/crates/agent/src/daemon/console.rs
@@ -3,7 +3,7 @@
 
 use crate::clock::Clock;
 use bellcroft_agent_core::admin::{
-    format_reply, parse, AdminRequest, AdminRequestError, AdminSessions, MAX_LINE_BYTES,
+    format_reply, parse, AdminRequest, AdminRequestError, AdminSessions, ReplyStatus, MAX_LINE_BYTES,
 };
 use bellcroft_net::{Listener, Stream};
 use std::cell::RefCell;
@@ -128,7 +128,7 @@
             await_reactor_poll().await;
             answer(request)
         }
-        Err(error) => format_reply(false, error),
+        Err(error) => format_reply(ReplyStatus::Rejected, error),
     };
     stream.write_all(reply.as_bytes()).await?;
     stream.shutdown().await
--- a/crates/agent/src/daemon/serve.rs
+++ b/crates/agent/src/daemon/serve.rs
@@ -17,6 +17,7 @@
 use crate::control_plane::ControlPlane;
 use crate::downstream::Server;
 use bellcroft_agent_core::handover::HandoverEvent;
+use bellcroft_agent_core::serving::ShutdownKind;
 use bellcroft_net::Listener;
 use serde_json::Value;
 use std::cell::RefCell;
@@ -279,7 +280,8 @@
             // A successor keeps this process's member number, so the member does not leave.
             instance.control.leave();
         }
-        instance.server.change(|service| service.shut_down(signalled, replaced));
+        let kind = if replaced { ShutdownKind::Replaced } else { ShutdownKind::Final };
+        instance.server.change(|service| service.shut_down(signalled, kind));
         let successor = if replaced || handed_over { Successor::Listening } else { Successor::None };
         shutdown::answer_all(instance, signalled, self.accept_task.take(), successor).await;
         // After the last response, so that the last samples count it.
--- a/crates/agent/src/downstream/mod.rs
+++ b/crates/agent/src/downstream/mod.rs
@@ -14,7 +14,7 @@
 use crate::request_log::CloseReason;
 use bellcroft_agent_core::body_limits::BufferPool;
 use bellcroft_agent_core::guard::ConnectionState;
-use bellcroft_agent_core::service::{Service, ServingState};
+use bellcroft_agent_core::serving::{Service, ServingState};
 use bellcroft_net::{AcceptError, Listener, Stream};
 use capacity::{can_be_spared, LAST_RESPONSE_SHARE, STATE_CHECK_INTERVAL};
 use connection::{client_disconnected, ClientConnection};
