--- a/crates/agent/src/telemetry.rs
+++ b/crates/agent/src/telemetry.rs
@@ -5,7 +5,7 @@
 use crate::clock::Clock;
 use crate::daemon::config::Config;
 use crate::peers::status::MembershipStatus;
-use crate::peers::{Counts, Peers};
+use crate::peers::{PeerCounters, Peers};
 use bellcroft_balancer::{Micros, RequestId, ServerId};
 use bellcroft_membership::{QuorumState, RejectReason, State, Stats};
 use bellcroft_operator_config::RemoteWrite;
@@ -23,7 +23,7 @@
 /// The states of a member, in the order of [`Peers::states`].
 const STATES: [State; 5] = [State::Absent, State::Alive, State::Suspect, State::Dead, State::Left];
 
-/// The labels of received hints, in the order of [`Counts::heard`].
+/// The labels of received hints, in the order of [`PeerCounters::hint_verdicts`].
 const RECEIVED_HINTS: [&str; 4] = ["taken", "too_often", "too_many", "alone"];
 
 /// The series of an instance; none without remote write.
@@ -74,11 +74,11 @@
 pub fn sample_peers(registry: &Registry, peers: &Peers, stalls: u64) {
     let sample = PeerSample { registry };
     let status = peers.status();
-    let (stats, counts) = peers.stats();
+    let (stats, counters) = peers.stats();
     sample.members(peers.states(), &status);
-    sample.messages(&stats, counts.unsent);
+    sample.messages(&stats, counters.unsent_datagrams);
     sample.events(&stats, stalls);
-    sample.hints(&counts);
+    sample.hints(&counters);
     sample.digests(&stats);
     sample.fleet(&status);
 }
@@ -103,11 +103,11 @@
         for (state, count) in STATES.iter().zip(states) {
             self.gauge(&families::MEMBERS, &[state.as_str()], count as f64);
         }
-        self.gauge(&families::MEMBERS_HERE, &[], status.here.into());
-        self.gauge(&families::MEMBERS_RECKONED, &[], status.reckoned.into());
-        self.gauge(&families::MEMBERS_ROSTER, &[], status.roster.into());
+        self.gauge(&families::MEMBERS_HERE, &[], status.reachable.into());
+        self.gauge(&families::MEMBERS_RECKONED, &[], status.effective_size.into());
+        self.gauge(&families::MEMBERS_ROSTER, &[], status.expected_size.into());
         for quorum in QuorumState::ALL {
-            let is_present = quorum.as_str() == status.stance;
+            let is_present = quorum.as_str() == status.quorum_state;
             self.gauge(&families::STANCE, &[quorum.as_str()], f64::from(is_present));
         }
     }
@@ -131,10 +131,10 @@
         self.count(&families::MEMBER_EVENTS, "stalled", stats.stalls.max(stalls));
     }
 
-    fn hints(&self, counts: &Counts) {
-        self.count(&families::HINTS, "told", counts.told.0);
-        self.count(&families::HINTS, "undelivered", counts.told.1);
-        for (label, total) in RECEIVED_HINTS.iter().zip(counts.heard) {
+    fn hints(&self, counters: &PeerCounters) {
+        self.count(&families::HINTS, "told", counters.hints_sent);
+        self.count(&families::HINTS, "undelivered", counters.hints_undelivered);
+        for (label, total) in RECEIVED_HINTS.iter().zip(counters.hint_verdicts) {
             self.count(&families::HINTS, label, total);
         }
     }
@@ -146,9 +146,9 @@
     }
 
     fn fleet(&self, status: &MembershipStatus) {
-        self.gauge(&families::FLEET_SEEN, &["took"], status.fleet.took);
-        self.gauge(&families::FLEET_SEEN, &["full"], status.fleet.full);
-        self.gauge(&families::FLEET_SEEN, &["refused"], status.fleet.refused);
+        self.gauge(&families::FLEET_SEEN, &["took"], status.fleet.latency);
+        self.gauge(&families::FLEET_SEEN, &["full"], status.fleet.load);
+        self.gauge(&families::FLEET_SEEN, &["refused"], status.fleet.rejection_ratio);
     }
 }
 
