--- a/crates/supervisor/tests/orders.rs
+++ b/crates/supervisor/tests/orders.rs
@@ -92,23 +92,7 @@
     fn perform(&mut self, action: Action) {
         match action {
             Action::Start(id, release) => self.start(id, release),
-            Action::Terminate(id) => {
-                // A serving process is terminated only for a roll: count the instances that do not serve then.
-                let serves =
-                    |p: &Option<Process>| p.as_ref().is_some_and(|p| p.served && p.terminated.is_none());
-                let rolls = serves(&self.processes[id.0]) && self.stopped_at.is_none();
-                let process = self.processes[id.0].as_mut().expect("only a running process is terminated");
-                assert!(process.terminated.is_none(), "terminated twice");
-                process.terminated = Some(self.now);
-                if rolls {
-                    let failed = |place: usize| {
-                        matches!(self.supervisor.phase(InstanceId(place)), Phase::Failed { .. })
-                    };
-                    let down =
-                        (0..self.processes.len()).filter(|p| !serves(&self.processes[*p]) && !failed(*p));
-                    assert!(down.count() <= self.policy.roll_at_once, "too many are down for the roll");
-                }
-            }
+            Action::Terminate(id) => self.terminate(id),
             Action::Kill(id) => {
                 let process = self.processes[id.0].as_ref().expect("only what runs is killed");
                 let terminated = process.terminated.expect("killed without a termination before");
@@ -147,6 +131,21 @@
         }
     }
 
+    fn terminate(&mut self, id: InstanceId) {
+        // A serving process is terminated only for a roll: count the instances that do not serve then.
+        let serves = |p: &Option<Process>| p.as_ref().is_some_and(|p| p.served && p.terminated.is_none());
+        let rolls = serves(&self.processes[id.0]) && self.stopped_at.is_none();
+        let process = self.processes[id.0].as_mut().expect("only a running process is terminated");
+        assert!(process.terminated.is_none(), "terminated twice");
+        process.terminated = Some(self.now);
+        if rolls {
+            let failed =
+                |place: usize| matches!(self.supervisor.phase(InstanceId(place)), Phase::Failed { .. });
+            let down = (0..self.processes.len()).filter(|p| !serves(&self.processes[*p]) && !failed(*p));
+            assert!(down.count() <= self.policy.roll_at_once, "too many are down for the roll");
+        }
+    }
+
     fn start(&mut self, id: InstanceId, release: ReleaseId) {
         assert!(self.stopped_at.is_none(), "a start after the stop");
         assert!(self.processes[id.0].is_none(), "two processes of instance {}", id.0);
@@ -315,7 +314,7 @@
 }
 
 #[test]
-fn roll_to_unusable_program_stops_at_first_and_rolls_back() {
+fn roll_to_unusable_program_stops_and_rolls_back() {
     let mut machine = Machine::new(7, 10, Policy::default(), 0);
     machine.bad_release = Some(ReleaseId(1));
     machine.pass(Duration::from_secs(3));
--- a/crates/supervisor/tests/unit/policy.rs
+++ b/crates/supervisor/tests/unit/policy.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn back_off_doubles_to_max_and_jitter_only_shortens_it() {
+fn backoff_doubles_up_to_max_and_jitter_shortens_it() {
     let restart = Restart::default();
     let full: Vec<u128> = (1..=10).map(|n| restart.back_off(n, 0.0).as_millis()).collect();
     assert_eq!(full, [200, 400, 800, 1600, 3200, 6400, 12800, 25600, 30000, 30000]);
