--- a/crates/agent-core/src/handover.rs
+++ b/crates/agent-core/src/handover.rs
@@ -51,7 +51,7 @@
             }
             HandoverEvent::ListenerTransferred => self.role = HandoverRole::Successor,
             HandoverEvent::SuccessorExited if self.role == HandoverRole::Successor => {
-                self.role = HandoverRole::Standalone
+                self.role = HandoverRole::Standalone;
             }
             HandoverEvent::SuccessorExited => {
                 self.successors = self.successors.saturating_sub(1);
--- a/crates/agent/src/daemon/commands.rs
+++ b/crates/agent/src/daemon/commands.rs
@@ -121,7 +121,7 @@
     }
 
     fn resume_by_operator(&self) -> String {
-        if self.server.change(|service| service.resume()) {
+        if self.server.change(bellcroft_agent_core::serving::Service::resume) {
             info!(instance = %self.name(), "admin console: serving resumed");
             format_reply(ReplyStatus::Done, "serving")
         } else {
--- a/crates/agent/src/discovery/codec.rs
+++ b/crates/agent/src/discovery/codec.rs
@@ -69,8 +69,12 @@
 /// The longest name that is told.
 const MAX_REPORTED_CHARS: usize = 64;
 
-/// Reads a list. An entry that makes no sense is left out, and its reason kept: one bad line must not cost the others,
-/// and a list of bad lines must not look like an empty one.
+/// Parses a list. A malformed entry is left out and its reason kept: one bad entry must not cost the others, and a list of bad
+/// entries must not look like an empty one.
+///
+/// # Errors
+///
+/// The value is not a list, or has no version.
 pub fn parse_list(value: &Value) -> Result<EndpointList, ListError> {
     let hosts = value.get("hosts").and_then(Value::as_array).ok_or(ListError::NoHosts)?;
     let seq = value.get("seq").and_then(Value::as_u64).ok_or(ListError::NoVersion)?;
--- a/crates/agent/src/fleet/instances.rs
+++ b/crates/agent/src/fleet/instances.rs
@@ -142,7 +142,7 @@
             Report::Unusable(reason) => warn!(instance = %name, reason, "instance unusable, terminating it"),
             Report::Died(exit) => warn!(instance = %name, exit, "instance exited unexpectedly"),
             Report::Failed { deaths } => {
-                warn!(instance = %name, deaths, "instance failed, not restarting it")
+                warn!(instance = %name, deaths, "instance failed, not restarting it");
             }
             Report::Killed => warn!(instance = %name, "instance did not stop in time, killing it"),
         }
--- a/crates/agent/tests/shutdown.rs
+++ b/crates/agent/tests/shutdown.rs
@@ -135,7 +135,7 @@
         }
     };
     tokio::select! {
-        _ = all => {}
+        () = all => {}
         () = stalling => {}
         () = sleep_until(killed_at) => {}
     }
--- a/crates/balancer/src/api/time.rs
+++ b/crates/balancer/src/api/time.rs
@@ -37,6 +37,7 @@
         self.0 as f64 / 1e3
     }
     /// This duration minus `other`, at least zero.
+    #[must_use]
     pub fn saturating_sub(self, other: Micros) -> Micros {
         Micros(self.0.saturating_sub(other.0))
     }
--- a/crates/balancer/tests/hedging.rs
+++ b/crates/balancer/tests/hedging.rs
@@ -38,7 +38,7 @@
     let copies = (0..4).filter(|_| {
         let (id, _) = route.request(0, &share, Some(50.0));
         let copied = sent_in(&route.harness.advance(Micros::from_ms(60.0)), id).is_some();
-        for attempt in 0..1 + u32::from(copied) {
+        for attempt in 0..=u32::from(copied) {
             route.harness.respond(id, attempt, Outcome::Success, 60.0);
         }
         copied
--- a/crates/balancer/tests/overload.rs
+++ b/crates/balancer/tests/overload.rs
@@ -166,8 +166,11 @@
         let due: Vec<_> = out.iter().filter(|o| o.0 <= harness.now).map(|o| o.1.id).collect();
         for id in due {
             actions.extend_from_slice(harness.respond(id, 0, Outcome::Success, 40.0));
-            let (_, r) = out.swap_remove(out.iter().position(|o| o.1.id == id).unwrap());
-            tally.get_mut(&(r.class.0, r.tenant.map(|t| t.0))).unwrap().1 += 1;
+            let (_, r) = out.swap_remove(out.iter().position(|o| o.1.id == id).expect("it is out"));
+            tally
+                .get_mut(&(r.class.0, r.tenant.map(|t| t.0)))
+                .expect("a tally of each class and tenant")
+                .1 += 1;
         }
         for action in actions {
             if let Action::Send { request, .. } = action {
--- a/crates/balancer/tests/random_walk.rs
+++ b/crates/balancer/tests/random_walk.rs
@@ -87,7 +87,7 @@
                 Vec::new()
             }
             84..=86 => {
-                let request = RequestId(u64::from(self.rng.u32(0..step + 1)));
+                let request = RequestId(u64::from(self.rng.u32(0..=step)));
                 self.harness.handle(Event::ClientDisconnected { request }).to_vec()
             }
             87..=90 => self.update_endpoints(),
--- a/crates/balancer/tests/retry_safety.rs
+++ b/crates/balancer/tests/retry_safety.rs
@@ -51,7 +51,7 @@
                             match group {
                                 _ if never_ran => {}
                                 DedupScope::All => {
-                                    assert_eq!(is_rejected(&actions, id), !in_window, "{case}")
+                                    assert_eq!(is_rejected(&actions, id), !in_window, "{case}");
                                 }
                                 DedupScope::Zone => assert_eq!(next % 3, first % 3, "{case}"),
                                 DedupScope::Group => assert_eq!(next % 4, first % 4, "{case}"),
--- a/crates/balancer/tests/slow_start/fleet.rs
+++ b/crates/balancer/tests/slow_start/fleet.rs
@@ -183,10 +183,10 @@
                 }
             }
             FleetEvent::Arrival { attempt, server, sent, work } => {
-                self.on_arrival(attempt, server, sent, work)
+                self.on_arrival(attempt, server, sent, work);
             }
             FleetEvent::AttemptEnds { attempt, outcome, sent, report } => {
-                self.on_attempt_ended(attempt, outcome, sent, report)
+                self.on_attempt_ended(attempt, outcome, sent, report);
             }
             FleetEvent::ServerDown(server) => self.servers[server].up_since = None,
             FleetEvent::ServerUp(server) => self.on_server_up(server),
--- a/crates/experiments/src/experiment.rs
+++ b/crates/experiments/src/experiment.rs
@@ -104,7 +104,7 @@
         let sizes = experiment.sweep.iter().map(|(_, values)| values.len());
         let count = sizes
             .chain([experiment.policies.len(), experiment.seeds.len()])
-            .try_fold(1_usize, |all, n| all.checked_mul(n));
+            .try_fold(1_usize, usize::checked_mul);
         match count {
             Some(count) if count <= CELLS_MOST => {}
             Some(count) => {
--- a/crates/experiments/src/sockets.rs
+++ b/crates/experiments/src/sockets.rs
@@ -225,7 +225,7 @@
             let told = told.clone();
             load::run(load(number), move |sent, _| {
                 if number == 0 {
-                    told(sent * scenario.instances as u64)
+                    told(sent * scenario.instances as u64);
                 }
             })
         })
--- a/crates/membership/tests/digest.rs
+++ b/crates/membership/tests/digest.rs
@@ -178,7 +178,7 @@
     for _ in 0..rounds {
         for number in 0..all {
             fleet.with(number, |peer, now, _| {
-                peer.digest().record_response(now, (number % 2) as u8, latencies[number % 2], 0.1)
+                peer.digest().record_response(now, (number % 2) as u8, latencies[number % 2], 0.1);
             });
         }
         fleet.play(seconds(0.05));
--- a/crates/membership/tests/faults.rs
+++ b/crates/membership/tests/faults.rs
@@ -262,14 +262,13 @@
         fleet.play(seconds(20.0));
         assert!(fleet.agrees(), "{name}: the former epoch never returns");
     }
-    fn all_hold_later_epoch(fleet: &Fleet, before: bellcroft_membership::Incarnation) -> bool {
-        let of = |by: usize| {
-            fleet.peer(by).and_then(|p| p.member(bellcroft_membership::Id(4))).map(|m| m.incarnation)
-        };
-        (0..12)
-            .filter(|n| *n != 4)
-            .all(|by| of(by).is_some_and(|incarnation| incarnation.epoch > before.epoch))
-    }
+}
+
+/// Whether all others hold member 4 with a later epoch.
+fn all_hold_later_epoch(fleet: &Fleet, before: bellcroft_membership::Incarnation) -> bool {
+    let of =
+        |by: usize| fleet.peer(by).and_then(|p| p.member(bellcroft_membership::Id(4))).map(|m| m.incarnation);
+    (0..12).filter(|n| *n != 4).all(|by| of(by).is_some_and(|incarnation| incarnation.epoch > before.epoch))
 }
 
 #[test]
--- a/crates/operator-config/src/section.rs
+++ b/crates/operator-config/src/section.rs
@@ -108,6 +108,7 @@
     }
 
     /// The section of a key, which may be absent.
+    #[must_use]
     pub fn section(&self, key: &'static str) -> Section<'i> {
         let table = self.value(key, "a section", |value| matches!(value, DeValue::Table(_)).then_some(()));
         let value = self.find(key).filter(|_| table.is_some());
--- a/crates/operator-config/tests/routes.rs
+++ b/crates/operator-config/tests/routes.rs
@@ -217,9 +217,9 @@
             text.truncate(cut);
         }
         if wrong(&text).is_empty() {
-            good += 1
+            good += 1;
         } else {
-            bad += 1
+            bad += 1;
         }
     }
     assert!(good > 300 && bad > 300, "{good} good, {bad} bad: the grammar shows little");
--- a/crates/routes/src/check.rs
+++ b/crates/routes/src/check.rs
@@ -224,7 +224,7 @@
     fn rules(&mut self, route: &RouteSpec, class: usize) {
         let name = &self.platform.classes[class];
         let class = &self.platform.settings.classes[class];
-        let repeats = route.retry_on.is_none_or(|on| on.after_it_may_have_run());
+        let repeats = route.retry_on.is_none_or(bellcroft_balancer::RetryOn::after_it_may_have_run);
         let copies = route.second_copy_after != SecondCopy::Never;
         match class.retry_safety {
             RetrySafety::Idempotent => {}
--- a/crates/simulation/src/engine.rs
+++ b/crates/simulation/src/engine.rs
@@ -523,7 +523,7 @@
                 Action::Cancel { request, attempt } => self.call_off(request.0, attempt.0, Ended::Cancelled),
                 Action::Shed { request, retry_after } => {
                     self.count_in(instance, Digest::record_rejection);
-                    self.answer(request.0, Final::Refused(retry_after))
+                    self.answer(request.0, Final::Refused(retry_after));
                 }
                 Action::Fail { request } => self.answer(request.0, Final::Failed),
                 Action::SetTimer { at, timer } => {
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -274,7 +274,7 @@
                 }
                 Due::Tick(number) if self.ticks[number] == Some(at) => {
                     self.ticks[number] = None;
-                    self.with(number, |peer, now, out| peer.tick(now, out));
+                    self.with(number, Peer::tick);
                 }
                 Due::Tick(_) => {}
             }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -97,6 +97,6 @@
 
 fn panic_message(panic: &(dyn Any + Send)) -> String {
     let text = panic.downcast_ref::<String>().cloned();
-    let text = text.or_else(|| panic.downcast_ref::<&str>().map(|text| text.to_string()));
+    let text = text.or_else(|| panic.downcast_ref::<&str>().map(std::string::ToString::to_string));
     text.unwrap_or_else(|| "panic without a text".into())
 }
--- a/crates/testbed/src/metrics/unit.rs
+++ b/crates/testbed/src/metrics/unit.rs
@@ -91,9 +91,8 @@
 
 /// `name{label="value"}`.
 fn series(text: &str) -> Result<Labels, String> {
-    let selector = match promql_parser::parser::parse(text)? {
-        Expr::VectorSelector(selector) => selector,
-        _ => return Err(format!("{text} is no series")),
+    let Expr::VectorSelector(selector) = promql_parser::parser::parse(text)? else {
+        return Err(format!("{text} is no series"));
     };
     let mut labels: Labels = selector.name.into_iter().map(|name| ("__name__".to_owned(), name)).collect();
     for matcher in selector.matchers.matchers {
--- a/crates/testbed/src/page.rs
+++ b/crates/testbed/src/page.rs
@@ -2,7 +2,11 @@
 
 use std::path::Path;
 
-/// Replaces what stands between a page's markers.
+/// Replaces the text between a page's markers.
+///
+/// # Errors
+///
+/// The page cannot be read or written, or has no such markers.
 pub fn write_into(page: &Path, marker: &str, table: &str) -> Result<(), String> {
     let (open, close) = (format!("<!-- {marker} -->\n"), format!("<!-- end {marker} -->"));
     let text = std::fs::read_to_string(page).map_err(|e| format!("{}: {e}", page.display()))?;
