--- a/crates/agent/src/fleet/supervisor_loop.rs
+++ b/crates/agent/src/fleet/supervisor_loop.rs
@@ -70,7 +70,7 @@
         last_roll: None,
         ended_rolls: 0,
         begun_reloads: 0,
-        reload: ReloadProgress::default(),
+        reload: super::commands::ReloadProgress::default(),
         log: RecentLog::default(),
         finished: false,
         ready_notified: false,
