--- a/crates/agent/src/daemon/config/error.rs
+++ b/crates/agent/src/daemon/config/error.rs
@@ -3,7 +3,7 @@
 use crate::discovery::codec::ListError;
 use bellcroft_balancer::SettingsError;
 use bellcroft_operator_config::Fault;
-use bellcroft_routes::Refusal;
+use bellcroft_routes::Diagnostic;
 use std::fmt;
 use std::io;
 use std::path::PathBuf;
@@ -137,7 +137,7 @@
         /// The operator's file.
         file: String,
         /// The route's line and what is wrong with it.
-        refusal: Refusal,
+        refusal: Diagnostic,
     },
 }
 
--- a/crates/agent/src/daemon/config/mod.rs
+++ b/crates/agent/src/daemon/config/mod.rs
@@ -16,7 +16,7 @@
 use bellcroft_membership as membership;
 use bellcroft_operator_config::{AgentFile, Daemon, RemoteWrite};
 use bellcroft_platform_settings::Names;
-use bellcroft_routes::{Platform, Spec};
+use bellcroft_routes::{Platform, RoutesConfig};
 use platform_file::PlatformFile;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -47,7 +47,7 @@
     /// The operator's settings of the state directory and of shutdown.
     pub daemon: Daemon,
     /// The operator's routes; they keep the rules under these settings.
-    pub routes: Spec,
+    pub routes: RoutesConfig,
     /// Where samples are sent, if anywhere.
     pub remote_write: Option<RemoteWrite>,
     /// Where membership listens, and its configuration; none if the instance has no cluster.
--- a/crates/agent/src/daemon/config/validate.rs
+++ b/crates/agent/src/daemon/config/validate.rs
@@ -4,7 +4,7 @@
 use super::platform_file::PlatformFile;
 use bellcroft_balancer::Settings;
 use bellcroft_platform_settings::Names;
-use bellcroft_routes::{Platform, Spec};
+use bellcroft_routes::{Platform, RoutesConfig};
 
 /// With fewer descriptors the reserved ones leave too few for clients and servers.
 const MIN_SOCKETS: usize = 80;
@@ -47,7 +47,7 @@
 /// Checks the routes against the platform's settings.
 pub(super) fn check_routes(
     operator_path: &str,
-    routes: &Spec,
+    routes: &RoutesConfig,
     platform: &Platform,
     errors: &mut Vec<ConfigError>,
 ) {
--- a/crates/agent/src/driver/mod.rs
+++ b/crates/agent/src/driver/mod.rs
@@ -36,7 +36,7 @@
 use bellcroft_agent_core::stall::StallDetector;
 use bellcroft_balancer::{Action, Balancer, EndpointUpdate, Event, Micros, ServerId, SettingsError};
 use bellcroft_platform_settings::Names;
-use bellcroft_routes::{Ids, Recent, Table};
+use bellcroft_routes::{BudgetIds, LatencyWindow, RouteTable};
 use bellcroft_telemetry::Instance;
 use endpoints::EndpointTable;
 use reload::watch_policy;
@@ -65,12 +65,12 @@
     attempts: AttemptsInFlight,
     endpoints: EndpointTable,
     discovery: Discovery,
-    routes: Rc<Table>,
-    route_ids: Ids,
+    routes: Rc<RouteTable>,
+    route_ids: BudgetIds,
     /// The former maximum of attempts, while a reload's transition lasts.
     attempt_limit: AttemptLimitTransition,
     /// Recent response times by class.
-    response_times: Vec<Recent>,
+    response_times: Vec<LatencyWindow>,
 }
 
 impl State {
@@ -252,9 +252,9 @@
 
 impl State {
     fn new(config: Config) -> Result<Self, SettingsError> {
-        let mut route_ids = Ids::default();
-        let routes = Rc::new(Table::unchecked(&config.routes, &mut route_ids));
-        let response_times = config.names.classes.iter().map(|_| Recent::default()).collect();
+        let mut route_ids = BudgetIds::default();
+        let routes = Rc::new(RouteTable::unchecked(&config.routes, &mut route_ids));
+        let response_times = config.names.classes.iter().map(|_| LatencyWindow::default()).collect();
         let discovery = Discovery::new(config.discovery, watch_policy(&config.settings));
         Ok(State {
             balancer: Balancer::new(config.settings, config.seed)?,
--- a/crates/agent/src/driver/reload.rs
+++ b/crates/agent/src/driver/reload.rs
@@ -6,7 +6,7 @@
 use bellcroft_agent_core::reconfigure::{merge_names, ClassSignature, IncompatibleClass};
 use bellcroft_balancer::{ClassId, Settings, SettingsError, Tenant, TenantId, ZoneId};
 use bellcroft_platform_settings::Names;
-use bellcroft_routes::{Recent, Route, Table};
+use bellcroft_routes::{LatencyWindow, Route, RouteTable};
 use std::rc::Rc;
 use std::sync::Arc;
 
@@ -31,9 +31,9 @@
         }
         state.balancer.reconfigure(settings, &changed)?;
         self.reconfigure_discovery(&mut state);
-        state.response_times.resize_with(registry.len(), Recent::default);
+        state.response_times.resize_with(registry.len(), LatencyWindow::default);
         for (index, _) in &changed {
-            state.response_times[*index] = Recent::default();
+            state.response_times[*index] = LatencyWindow::default();
         }
         self.upstream.reconfigure(
             duration(newer.names.connect_timeout),
@@ -76,7 +76,7 @@
     /// Applies the routes of a checked configuration to requests that arrive from now on.
     pub fn set_routes(&self, config: &Config) {
         let mut state = self.state.borrow_mut();
-        let table = Table::unchecked(&config.routes, &mut state.route_ids);
+        let table = RouteTable::unchecked(&config.routes, &mut state.route_ids);
         state.routes = Rc::new(table);
     }
 
--- a/crates/agent/src/driver/requests.rs
+++ b/crates/agent/src/driver/requests.rs
@@ -9,7 +9,7 @@
 use bellcroft_balancer::{
     ClassId, Event, KeyId, Limits, Micros, Request, RequestId, RetrySafety, TenantId, Time,
 };
-use bellcroft_routes::{Route, SecondCopy};
+use bellcroft_routes::{HedgePolicy, Route};
 use bytes::Bytes;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Method, StatusCode, Uri};
@@ -311,10 +311,10 @@
     /// The time after which a hedged request is sent. None for a streaming body, which only one attempt can read.
     fn hedge_delay(&self, incoming: &IncomingRequest) -> Option<Micros> {
         let route = incoming.route.as_ref().filter(|_| incoming.body.upload().is_none())?;
-        match route.second_copy_after {
-            SecondCopy::Never => None,
-            SecondCopy::After(delay) => Some(delay),
-            SecondCopy::Percentile(percentile) => {
+        match route.hedge {
+            HedgePolicy::Never => None,
+            HedgePolicy::After(delay) => Some(delay),
+            HedgePolicy::Percentile(percentile) => {
                 self.response_times[incoming.class.0].percentile(percentile)
             }
         }
--- a/crates/agent/src/telemetry.rs
+++ b/crates/agent/src/telemetry.rs
@@ -9,7 +9,7 @@
 use bellcroft_balancer::{Micros, RequestId, ServerId};
 use bellcroft_membership::{QuorumState, RejectReason, State, Stats};
 use bellcroft_operator_config::RemoteWrite;
-use bellcroft_routes::SecondCopy;
+use bellcroft_routes::HedgePolicy;
 use bellcroft_telemetry::{families, About, Allowed, Instance, Over, Policy, Registry, Version};
 use families::Family;
 use std::rc::Rc;
@@ -51,12 +51,12 @@
         let budgets = [route.retry_budget, pool.and_then(|pool| pool.retry_budget)];
         // A retry is charged to each budget, so the smallest one limits it.
         let retries = budgets.into_iter().flatten().map(|b| b.ratio).reduce(f64::min);
-        let hedge_shares = [route.second_copies_most, pool.and_then(|pool| pool.second_copies_most)];
+        let hedge_shares = [route.max_hedge_ratio, pool.and_then(|pool| pool.max_hedge_ratio)];
         let hedges = hedge_shares.into_iter().flatten().reduce(f64::min);
         allowed.push(Allowed {
             route: &route.name,
             retries: retries.unwrap_or(COMMON_RETRY_RATIO),
-            copies: hedges.filter(|_| route.second_copy_after != SecondCopy::Never),
+            copies: hedges.filter(|_| route.hedge != HedgePolicy::Never),
         });
     }
     instance.allowed(&allowed);
--- a/crates/operator-config/src/agent.rs
+++ b/crates/operator-config/src/agent.rs
@@ -5,7 +5,7 @@
 use crate::reader::{load, parse};
 use crate::section::Section;
 use crate::telemetry::RemoteWrite;
-use bellcroft_routes::Spec;
+use bellcroft_routes::RoutesConfig;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -18,7 +18,7 @@
     /// Its state directory and its shutdown.
     pub daemon: Daemon,
     /// Its routes as written; the platform's settings decide whether they are valid.
-    pub routes: Spec,
+    pub routes: RoutesConfig,
     /// Where its samples go; nowhere without the section.
     pub remote_write: Option<RemoteWrite>,
     /// Its cluster; none without the section.
--- a/crates/operator-config/src/routes.rs
+++ b/crates/operator-config/src/routes.rs
@@ -2,7 +2,10 @@
 
 use crate::section::Section;
 use bellcroft_balancer::{Micros, RetryOn};
-use bellcroft_routes::{BudgetSpec, Lines, Match, PoolSpec, RouteSpec, SecondCopy, Spec, Within};
+use bellcroft_routes::{
+    HedgePolicy, PoolConfig, RetryBudgetConfig, RetryScope, RouteConfig, RouteMatch, RoutesConfig,
+    SourceLines,
+};
 use std::time::Duration;
 
 /// The bounds of time-outs.
@@ -12,16 +15,16 @@
 const MAX_COUNT: u64 = 1_000_000;
 
 /// Reads the routes and the pools.
-pub(crate) fn schema(top: &Section) -> Spec {
+pub(crate) fn schema(top: &Section) -> RoutesConfig {
     let routes = top.sections("route").iter().map(route).collect();
     let pools = top.section("pool");
     let pools = pools.children().into_iter().map(|(name, section)| pool(name, &section)).collect();
-    Spec { routes, pools }
+    RoutesConfig { routes, pools }
 }
 
 /// The lines of the keys that have been read so far.
-fn lines(section: &Section) -> Lines {
-    Lines { section: section.line(), keys: section.lines() }
+fn lines(section: &Section) -> SourceLines {
+    SourceLines { section: section.line(), keys: section.lines() }
 }
 
 fn time(section: &Section, key: &'static str) -> Option<Micros> {
@@ -36,7 +39,7 @@
     section.count(key, 1..=MAX_COUNT).map(|count| count as u32)
 }
 
-fn budget(section: &Section, key: &'static str) -> Option<BudgetSpec> {
+fn budget(section: &Section, key: &'static str) -> Option<RetryBudgetConfig> {
     let section = section.section(key);
     let ratio = section.share("ratio");
     let burst = section.number("burst", 1.0..=1e6);
@@ -45,29 +48,32 @@
     }
     let ratio = section.required("ratio", ratio, "the further attempts that each request earns");
     let burst = section.required("burst", burst, "the further attempts that are saved up at most");
-    Some(BudgetSpec { ratio: ratio?, burst: burst? })
+    Some(RetryBudgetConfig { ratio: ratio?, burst: burst? })
 }
 
-fn route(section: &Section) -> RouteSpec {
+fn route(section: &Section) -> RouteConfig {
     let own = section.name();
     let own = section.required("name", own, "a name");
     let matches = section.section("match");
-    let matches =
-        Match { class: matches.text("class"), tenant: matches.text("tenant"), path: matches.text("path") };
+    let matches = RouteMatch {
+        class: matches.text("class"),
+        tenant: matches.text("tenant"),
+        path: matches.text("path"),
+    };
     let conditions = ["connect", "rejected", "reset", "timeout", "error"];
     let retry_on = section.choices("retry_on", &conditions).map(|chosen| {
         let has = |index: usize| chosen.contains(&index);
         RetryOn { connect: has(0), rejected: has(1), reset: has(2), timeout: has(3), error: has(4) }
     });
     let retry_within = section.parsed("retry_within", "\"any\" or \"zone\"", |word| match word {
-        "any" => Some(Within::Any),
-        "zone" => Some(Within::Zone),
+        "any" => Some(RetryScope::Any),
+        "zone" => Some(RetryScope::Zone),
         _ => None,
     });
     let expected =
         "\"never\", a percentile such as \"p95\" (p50 to p99.9), or a time such as \"200ms\" from 1ms to 10m";
-    let second_copy_after = section.parsed("second_copy_after", expected, second_copy).unwrap_or_default();
-    RouteSpec {
+    let hedge = section.parsed("second_copy_after", expected, second_copy).unwrap_or_default();
+    RouteConfig {
         name: own.unwrap_or_default(),
         matches,
         timeout: time(section, "timeout"),
@@ -78,35 +84,35 @@
         attempts: section.count("attempts", 1..=100).map(|count| count as u32),
         retry_on,
         retry_within,
-        second_copy_after,
-        second_copies_most: section.share("second_copies_most"),
+        hedge,
+        max_hedge_ratio: section.share("second_copies_most"),
         retry_budget: budget(section, "retry_budget"),
         max_in_flight: count(section, "max_in_flight"),
-        max_held: count(section, "max_held"),
+        max_queued: count(section, "max_held"),
         pool: section.text("pool"),
         lines: lines(section),
     }
 }
 
-fn second_copy(word: &str) -> Option<SecondCopy> {
+fn second_copy(word: &str) -> Option<HedgePolicy> {
     if word == "never" {
-        return Some(SecondCopy::Never);
+        return Some(HedgePolicy::Never);
     }
     if let Some(percentile) = word.strip_prefix('p') {
         let percentile: f64 = percentile.parse().ok()?;
-        return (50.0..=99.9).contains(&percentile).then_some(SecondCopy::Percentile(percentile));
+        return (50.0..=99.9).contains(&percentile).then_some(HedgePolicy::Percentile(percentile));
     }
     let after = humantime::parse_duration(word).ok()?;
-    (MIN_TIMEOUT..=MAX_TIMEOUT).contains(&after).then_some(SecondCopy::After(micros(after)))
+    (MIN_TIMEOUT..=MAX_TIMEOUT).contains(&after).then_some(HedgePolicy::After(micros(after)))
 }
 
-fn pool(name: String, section: &Section) -> PoolSpec {
-    PoolSpec {
+fn pool(name: String, section: &Section) -> PoolConfig {
+    PoolConfig {
         name,
         retry_budget: budget(section, "retry_budget"),
-        second_copies_most: section.share("second_copies_most"),
+        max_hedge_ratio: section.share("second_copies_most"),
         max_in_flight: count(section, "max_in_flight"),
-        max_held: count(section, "max_held"),
+        max_queued: count(section, "max_held"),
         lines: lines(section),
     }
 }
--- a/crates/operator-config/tests/routes.rs
+++ b/crates/operator-config/tests/routes.rs
@@ -2,7 +2,7 @@
 
 use bellcroft_balancer::{Class, DedupScope, Micros, RetrySafety, Settings, Tenant};
 use bellcroft_operator_config::AgentFile;
-use bellcroft_routes::{check, Platform, Table};
+use bellcroft_routes::{check, Platform, RouteTable};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -231,11 +231,11 @@
     let route = |n: usize| format!("[[route]]\nname = \"r{n}\"\nmatch = {{ path = \"/read/{n:05}\" }}\n");
     let text: String = (0..2000).map(route).collect();
     assert_eq!(wrong(&text), Vec::<String>::new());
-    let spec = bellcroft_routes::Spec {
+    let spec = bellcroft_routes::RoutesConfig {
         routes: (0..10_000)
-            .map(|n| bellcroft_routes::RouteSpec {
+            .map(|n| bellcroft_routes::RouteConfig {
                 name: n.to_string(),
-                matches: bellcroft_routes::Match {
+                matches: bellcroft_routes::RouteMatch {
                     path: Some(format!("/read/{n:05}")),
                     ..Default::default()
                 },
@@ -244,7 +244,7 @@
             .collect(),
         pools: Vec::new(),
     };
-    let table = Table::unchecked(&spec, &mut bellcroft_routes::Ids::default());
+    let table = RouteTable::unchecked(&spec, &mut bellcroft_routes::BudgetIds::default());
     assert_eq!(table.len(), 10_000);
     let found = table.lookup("read", Some("acme"), "/read/09999/x").map(|route| route.name.clone());
     assert_eq!(found.as_deref(), Some("9999"));
--- a/crates/routes/src/check.rs
+++ b/crates/routes/src/check.rs
@@ -1,8 +1,8 @@
 //! Whether routes keep the four rules.
 
-use crate::life::{round_down, Life, STEP, WAY};
-use crate::spec::{Match, PoolSpec, RouteSpec, SecondCopy, Spec, Within};
+use crate::config::{HedgePolicy, PoolConfig, RetryScope, RouteConfig, RouteMatch, RoutesConfig};
 use crate::table::Index;
+use crate::timeline::{round_down, AttemptTimeline, NETWORK_DELAY, SCHEDULING_DELAY};
 use crate::words;
 use bellcroft_balancer::{Class, DedupScope, Micros, RetrySafety, Settings};
 use std::collections::HashMap;
@@ -23,14 +23,14 @@
 
 /// What cannot stand in a file, and why.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Refusal {
+pub struct Diagnostic {
     /// Its line.
     pub line: usize,
     /// Route or pool, what is wrong, what would be right.
     pub what: String,
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}: {}", self.line, self.what)
     }
@@ -38,7 +38,7 @@
 
 /// Which rules are checked. All are, but for tests that show what a check is there for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Checks {
+pub struct EnabledChecks {
     /// Rule 2: repeats arrive while servers drop them.
     pub window: bool,
     /// Rule 2: repeats stay with the servers that share a memory.
@@ -49,21 +49,21 @@
     pub drain: bool,
 }
 
-impl Checks {
+impl EnabledChecks {
     /// All of them.
-    pub const ALL: Checks = Checks { window: true, group: true, effect: true, drain: true };
+    pub const ALL: EnabledChecks = EnabledChecks { window: true, group: true, effect: true, drain: true };
 }
 
 /// Everything that could break a rule, makes no sense or never takes effect, in the order of the file's lines.
-pub fn check(spec: &Spec, platform: &Platform) -> Vec<Refusal> {
-    check_only(spec, platform, Checks::ALL)
+pub fn check(config: &RoutesConfig, platform: &Platform) -> Vec<Diagnostic> {
+    check_only(config, platform, EnabledChecks::ALL)
 }
 
 /// As [`check`], with some of the rules left out.
-pub fn check_only(spec: &Spec, platform: &Platform, checks: Checks) -> Vec<Refusal> {
+pub fn check_only(config: &RoutesConfig, platform: &Platform, checks: EnabledChecks) -> Vec<Diagnostic> {
     let mut checker = Checker { platform, checks, refusals: Vec::new() };
-    checker.names(spec);
-    for route in &spec.routes {
+    checker.names(config);
+    for route in &config.routes {
         let classes = classes_of(route, platform);
         checker.matches(route, &classes);
         let longest = classes.iter().map(|class| platform.settings.classes[*class].deadline).max();
@@ -78,14 +78,14 @@
             checker.rules(route, class);
         }
     }
-    checker.unreachable(spec);
-    checker.pools(spec);
+    checker.unreachable(config);
+    checker.pools(config);
     checker.refusals.sort_by_key(|refusal| refusal.line);
     checker.refusals
 }
 
 /// The classes that a route's requests can be of.
-pub(crate) fn classes_of(route: &RouteSpec, platform: &Platform) -> Vec<usize> {
+pub(crate) fn classes_of(route: &RouteConfig, platform: &Platform) -> Vec<usize> {
     let first = route.matches.path.as_deref().and_then(|path| path.strip_prefix('/'));
     (0..platform.classes.len())
         .filter(|&class| {
@@ -103,24 +103,24 @@
 
 struct Checker<'a> {
     platform: &'a Platform<'a>,
-    checks: Checks,
-    refusals: Vec<Refusal>,
+    checks: EnabledChecks,
+    refusals: Vec<Diagnostic>,
 }
 
 impl Checker<'_> {
-    fn route(&mut self, route: &RouteSpec, key: &str, what: String) {
+    fn route(&mut self, route: &RouteConfig, key: &str, what: String) {
         let what = format!("route {:?}: {what}", route.name);
-        self.refusals.push(Refusal { line: route.lines.of(key), what });
+        self.refusals.push(Diagnostic { line: route.lines.of(key), what });
     }
 
-    fn pool(&mut self, pool: &PoolSpec, key: &str, what: String) {
+    fn pool(&mut self, pool: &PoolConfig, key: &str, what: String) {
         let what = format!("pool {:?}: {what}", pool.name);
-        self.refusals.push(Refusal { line: pool.lines.of(key), what });
+        self.refusals.push(Diagnostic { line: pool.lines.of(key), what });
     }
 
-    fn names(&mut self, spec: &Spec) {
+    fn names(&mut self, config: &RoutesConfig) {
         let mut seen: HashMap<&str, usize> = HashMap::new();
-        for route in &spec.routes {
+        for route in &config.routes {
             if let Some(line) = seen.insert(&route.name, route.lines.section) {
                 self.route(
                     route,
@@ -128,19 +128,19 @@
                     format!("has the name of the one in line {line}; each needs its own"),
                 );
             }
-            let known = |name: &String| spec.pools.iter().any(|pool| pool.name == *name);
+            let known = |name: &String| config.pools.iter().any(|pool| pool.name == *name);
             if let Some(pool) = route.pool.as_ref().filter(|pool| !known(pool)) {
                 self.route(route, "pool", format!("pool = {pool:?}, and there is no [pool.{pool}]"));
             }
         }
-        for pool in &spec.pools {
-            if !spec.routes.iter().any(|route| route.pool.as_ref() == Some(&pool.name)) {
+        for pool in &config.pools {
+            if !config.routes.iter().any(|route| route.pool.as_ref() == Some(&pool.name)) {
                 self.pool(pool, "", "no route is in it".into());
             }
         }
     }
 
-    fn matches(&mut self, route: &RouteSpec, of: &[usize]) {
+    fn matches(&mut self, route: &RouteConfig, of: &[usize]) {
         let (classes, tenants) = (self.platform.classes, self.platform.tenants);
         if let Some(class) = route.matches.class.as_ref().filter(|class| !classes.contains(class)) {
             let known = classes.join(", ");
@@ -166,7 +166,7 @@
     }
 
     /// Times that take no effect are mistakes: whoever wrote them thinks that they do.
-    fn times(&mut self, route: &RouteSpec, longest: Micros) {
+    fn times(&mut self, route: &RouteConfig, longest: Micros) {
         let timeout = route.timeout.unwrap_or(longest);
         let attempt = route.attempt_timeout.unwrap_or(timeout);
         let platform = self.platform.connect_timeout;
@@ -191,10 +191,10 @@
         }
     }
 
-    fn copies(&mut self, route: &RouteSpec, longest: Micros) {
+    fn copies(&mut self, route: &RouteConfig, longest: Micros) {
         let key = "second_copy_after";
-        if route.second_copy_after == SecondCopy::Never {
-            if route.second_copies_most.is_some() {
+        if route.hedge == HedgePolicy::Never {
+            if route.max_hedge_ratio.is_some() {
                 let why = "second_copies_most bounds nothing: second_copy_after is \"never\"".to_owned();
                 self.route(route, "second_copies_most", why);
             }
@@ -210,7 +210,7 @@
             self.route(route, key, why.into());
         }
         let attempt = route.attempt_timeout.or(route.timeout).unwrap_or(longest);
-        if let SecondCopy::After(after) = route.second_copy_after {
+        if let HedgePolicy::After(after) = route.hedge {
             if after >= attempt {
                 let (after, attempt) = (words(after), words(attempt));
                 let why =
@@ -221,11 +221,11 @@
     }
 
     /// The rules, for the route's requests of one class.
-    fn rules(&mut self, route: &RouteSpec, class: usize) {
+    fn rules(&mut self, route: &RouteConfig, class: usize) {
         let name = &self.platform.classes[class];
         let class = &self.platform.settings.classes[class];
         let repeats = route.retry_on.is_none_or(|on| on.after_it_may_have_run());
-        let copies = route.second_copy_after != SecondCopy::Never;
+        let copies = route.hedge != HedgePolicy::Never;
         match class.retry_safety {
             RetrySafety::Idempotent => {}
             RetrySafety::AtMostOnce => {
@@ -254,10 +254,10 @@
         }
     }
 
-    fn group(&mut self, route: &RouteSpec, name: &str, group: DedupScope) {
+    fn group(&mut self, route: &RouteConfig, name: &str, group: DedupScope) {
         let reach = match (group, route.retry_within) {
-            (DedupScope::Zone, Some(Within::Any)) => "servers of one zone",
-            (DedupScope::Group, Some(Within::Any | Within::Zone)) => "servers of one cell",
+            (DedupScope::Zone, Some(RetryScope::Any)) => "servers of one zone",
+            (DedupScope::Group, Some(RetryScope::Any | RetryScope::Zone)) => "servers of one cell",
             _ => return,
         };
         let right = if group == DedupScope::Zone { "retry_within = \"zone\"" } else { "no retry_within" };
@@ -268,27 +268,27 @@
         self.route(route, "retry_within", why);
     }
 
-    fn window(&mut self, route: &RouteSpec, name: &str, class: &Class, window: Micros) {
-        let life = Life::of(route, class, self.platform);
-        let Some(arrives) = life.last_repeat().filter(|arrives| *arrives > window) else { return };
-        let n = life.steps.len();
+    fn window(&mut self, route: &RouteConfig, name: &str, class: &Class, window: Micros) {
+        let timeline = AttemptTimeline::of(route, class, self.platform);
+        let Some(arrives) = timeline.last_repeat().filter(|arrives| *arrives > window) else { return };
+        let n = timeline.steps.len();
         let attempt = match route.attempt_timeout {
             Some(attempt) => format!(" with attempt_timeout = {}", words(attempt)),
             None => String::new(),
         };
         let mut right = Vec::new();
-        match life.attempts_within(window) {
+        match timeline.attempts_within(window) {
             most if (most as usize) < n => right.push(format!("attempts = {most}")),
             _ => {}
         }
-        if let Some(attempt) = life.attempt_within(window) {
+        if let Some(attempt) = timeline.attempt_within(window) {
             right.push(format!("attempt_timeout = {}", words(attempt)));
         }
-        let deadline = round_down(window.saturating_sub(WAY).saturating_sub(STEP));
+        let deadline = round_down(window.saturating_sub(NETWORK_DELAY).saturating_sub(SCHEDULING_DELAY));
         if deadline > Micros::ZERO {
             right.push(format!("timeout = {}", words(deadline)));
         }
-        let held = match life.queue {
+        let held = match timeline.queue {
             Some(_) => "",
             None => ", held back as long as its client waits (no queue_timeout)",
         };
@@ -305,10 +305,10 @@
 
     /// A server may be told to drain right after it was chosen: what leaves when its connection is up must still come
     /// within the grace.
-    fn drain(&mut self, route: &RouteSpec) {
+    fn drain(&mut self, route: &RouteConfig) {
         let grace = self.platform.settings.drain_grace_period;
         let Some(connect) = route.connect_timeout else { return };
-        let arrives = Micros(connect.0 + STEP.0 + WAY.0);
+        let arrives = Micros(connect.0 + SCHEDULING_DELAY.0 + NETWORK_DELAY.0);
         if arrives > grace {
             let why = format!(
                 "connect_timeout = {} lets a request reach a server {} after that began to drain, and the grace is {} \
@@ -316,21 +316,21 @@
                 words(connect),
                 words(arrives),
                 words(grace),
-                words(round_down(grace.saturating_sub(STEP).saturating_sub(WAY)))
+                words(round_down(grace.saturating_sub(SCHEDULING_DELAY).saturating_sub(NETWORK_DELAY)))
             );
             self.route(route, "connect_timeout", why);
         }
     }
 
     /// A route behind one that matches all that it could match never takes effect.
-    fn unreachable(&mut self, spec: &Spec) {
+    fn unreachable(&mut self, config: &RoutesConfig) {
         let mut index = Index::default();
-        for (place, route) in spec.routes.iter().enumerate() {
-            let Match { class, tenant, path } = &route.matches;
+        for (place, route) in config.routes.iter().enumerate() {
+            let RouteMatch { class, tenant, path } = &route.matches;
             let (class, tenant, path) =
                 (class.as_deref(), tenant.as_deref(), path.as_deref().unwrap_or_default());
             if let Some(before) = index.first(class, tenant, path) {
-                let before = &spec.routes[before];
+                let before = &config.routes[before];
                 let why = format!(
                     "it can never match: route {:?} in line {} matches all that it does and stands before it",
                     before.name, before.lines.section
@@ -341,12 +341,13 @@
         }
     }
 
-    fn pools(&mut self, spec: &Spec) {
-        for pool in &spec.pools {
-            let routes: Vec<&RouteSpec> =
-                spec.routes.iter().filter(|route| route.pool.as_ref() == Some(&pool.name)).collect();
-            let sum =
-                |of: fn(&RouteSpec) -> Option<f64>| routes.iter().filter_map(|route| of(route)).sum::<f64>();
+    fn pools(&mut self, config: &RoutesConfig) {
+        for pool in &config.pools {
+            let routes: Vec<&RouteConfig> =
+                config.routes.iter().filter(|route| route.pool.as_ref() == Some(&pool.name)).collect();
+            let sum = |of: fn(&RouteConfig) -> Option<f64>| {
+                routes.iter().filter_map(|route| of(route)).sum::<f64>()
+            };
             for (key, own, all) in [
                 (
                     "retry_budget",
@@ -358,9 +359,9 @@
                     pool.retry_budget.map(|b| b.burst),
                     sum(|r| r.retry_budget.map(|b| b.burst)),
                 ),
-                ("second_copies_most", pool.second_copies_most, sum(|r| r.second_copies_most)),
+                ("second_copies_most", pool.max_hedge_ratio, sum(|r| r.max_hedge_ratio)),
                 ("max_in_flight", pool.max_in_flight.map(f64::from), sum(|r| r.max_in_flight.map(f64::from))),
-                ("max_held", pool.max_held.map(f64::from), sum(|r| r.max_held.map(f64::from))),
+                ("max_held", pool.max_queued.map(f64::from), sum(|r| r.max_queued.map(f64::from))),
             ] {
                 // Sums of decimal fractions come out a little over.
                 if let Some(own) = own.filter(|own| all > own * (1.0 + 1e-9)) {
--- a/crates/routes/src/spec.rs
+++ b/crates/routes/src/config.rs
@@ -5,14 +5,14 @@
 
 /// The lines of a section's keys, counted from 1.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Lines {
+pub struct SourceLines {
     /// The line of the section.
     pub section: usize,
     /// Those of its keys.
     pub keys: BTreeMap<&'static str, usize>,
 }
 
-impl Lines {
+impl SourceLines {
     /// The line of a key, or of the section if the key is not there.
     pub fn of(&self, key: &str) -> usize {
         self.keys.get(key).copied().unwrap_or(self.section)
@@ -21,16 +21,16 @@
 
 /// All routes and pools of a file.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Spec {
+pub struct RoutesConfig {
     /// In the file's order: the first that matches a request is its route.
-    pub routes: Vec<RouteSpec>,
+    pub routes: Vec<RouteConfig>,
     /// `[pool.NAME]`.
-    pub pools: Vec<PoolSpec>,
+    pub pools: Vec<PoolConfig>,
 }
 
 /// What a route matches. What is not named matches anything.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct Match {
+pub struct RouteMatch {
     /// The class's name.
     pub class: Option<String>,
     /// The tenant's name.
@@ -41,7 +41,7 @@
 
 /// Where further attempts may go.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Within {
+pub enum RetryScope {
     /// To any server.
     Any,
     /// To servers in the zone of the first attempt.
@@ -50,7 +50,7 @@
 
 /// When a second copy goes out.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub enum SecondCopy {
+pub enum HedgePolicy {
     /// Never.
     #[default]
     Never,
@@ -62,7 +62,7 @@
 
 /// `{ ratio = 0.1, burst = 5 }`.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct BudgetSpec {
+pub struct RetryBudgetConfig {
     /// Further attempts that a request earns.
     pub ratio: f64,
     /// How many are saved up at most.
@@ -71,11 +71,11 @@
 
 /// A `[[route]]`. What is not set is as it is for requests without a route.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct RouteSpec {
+pub struct RouteConfig {
     /// Its name.
     pub name: String,
     /// What it matches.
-    pub matches: Match,
+    pub matches: RouteMatch,
     /// The client's time-out, as a cap.
     pub timeout: Option<Micros>,
     /// From the decision to send an attempt to its end.
@@ -91,47 +91,47 @@
     /// What another attempt may follow.
     pub retry_on: Option<RetryOn>,
     /// Where it may go.
-    pub retry_within: Option<Within>,
+    pub retry_within: Option<RetryScope>,
     /// When a second copy goes out.
-    pub second_copy_after: SecondCopy,
+    pub hedge: HedgePolicy,
     /// The share of the route's requests that may have one.
-    pub second_copies_most: Option<f64>,
+    pub max_hedge_ratio: Option<f64>,
     /// What further attempts are paid with.
-    pub retry_budget: Option<BudgetSpec>,
+    pub retry_budget: Option<RetryBudgetConfig>,
     /// Attempts out at a time.
     pub max_in_flight: Option<u32>,
     /// Requests held back at a time.
-    pub max_held: Option<u32>,
+    pub max_queued: Option<u32>,
     /// The pool that it shares limits with.
     pub pool: Option<String>,
     /// Where it stands.
-    pub lines: Lines,
+    pub lines: SourceLines,
 }
 
-impl RouteSpec {
+impl RouteConfig {
     /// Nothing in it bears on whether and when a request is repeated.
     pub fn leaves_repeats_alone(&self) -> bool {
         let times = [self.timeout, self.attempt_timeout, self.connect_timeout, self.queue_timeout];
         times.iter().all(Option::is_none)
             && self.attempts.is_none()
             && self.retry_on.is_none()
-            && self.second_copy_after == SecondCopy::Never
+            && self.hedge == HedgePolicy::Never
     }
 }
 
 /// A `[pool.NAME]`: what its routes share.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct PoolSpec {
+pub struct PoolConfig {
     /// Its name.
     pub name: String,
     /// What further attempts of all its routes are paid with.
-    pub retry_budget: Option<BudgetSpec>,
+    pub retry_budget: Option<RetryBudgetConfig>,
     /// The share of their requests that may have a second copy.
-    pub second_copies_most: Option<f64>,
+    pub max_hedge_ratio: Option<f64>,
     /// Attempts out at a time.
     pub max_in_flight: Option<u32>,
     /// Requests held back at a time.
-    pub max_held: Option<u32>,
+    pub max_queued: Option<u32>,
     /// Where it stands.
-    pub lines: Lines,
+    pub lines: SourceLines,
 }
--- a/crates/routes/src/recent.rs
+++ b/crates/routes/src/latency_window.rs
@@ -13,14 +13,14 @@
 
 /// The times of a class's last answers.
 #[derive(Debug, Default)]
-pub struct Recent {
+pub struct LatencyWindow {
     times: RefCell<VecDeque<Micros>>,
     /// Answers since the order was made.
     since: Cell<u32>,
     sorted: RefCell<Vec<Micros>>,
 }
 
-impl Recent {
+impl LatencyWindow {
     /// An answer took this long.
     pub fn add(&self, took: Micros) {
         let mut times = self.times.borrow_mut();
@@ -55,7 +55,7 @@
 
     #[test]
     fn percentiles_are_of_the_last_answers_and_none_before_there_are_enough() {
-        let recent = Recent::default();
+        let recent = LatencyWindow::default();
         for ms in 1..20 {
             recent.add(Micros::from_ms(f64::from(ms)));
             assert_eq!(recent.percentile(50.0), None);
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,27 +1,30 @@
 //! Routes: which requests get which time-outs, attempts, second copies and budgets, without I/O.
 //!
-//! A [`Spec`] is what an operator wrote. [`check`] proves that it keeps the four rules with the platform's settings,
-//! or says line by line what could break one; [`Table::compile`] makes of a good one what the agent looks up for each
-//! request. [`Recent`] knows the percentiles of a class's last answers.
+//! A [`RoutesConfig`] is what an operator wrote. [`check`] proves that it keeps the four rules with the platform's settings,
+//! or says line by line what could break one; [`RouteTable::compile`] makes of a good one what the agent looks up for each
+//! request. [`LatencyWindow`] knows the percentiles of a class's last answers.
 //!
 //! The proof is of times. For each route it computes the latest moment at which a byte of the last attempt could reach
-//! a server ([`Life`]), and holds it against the window in which servers drop repeats, the grace of a drain and the
+//! a server ([`AttemptTimeline`]), and holds it against the window in which servers drop repeats, the grace of a drain and the
 //! client's deadline. The same limits are obeyed at run time by `bellcroft-balancer` (which decides) and by the agent (which
 //! writes nothing after `write_by`); the proof does not rest on that, nor that on the proof.
 
 mod check;
+mod config;
 mod explain;
-mod life;
-mod recent;
-mod spec;
+mod latency_window;
 mod table;
+mod timeline;
 
-pub use check::{check, check_only, Checks, Platform, Refusal};
+pub use check::{check, check_only, Diagnostic, EnabledChecks, Platform};
+pub use config::{
+    HedgePolicy, PoolConfig, RetryBudgetConfig, RetryScope, RouteConfig, RouteMatch, RoutesConfig,
+    SourceLines,
+};
 pub use explain::explain;
-pub use life::{Life, Step, STEP, WAY};
-pub use recent::Recent;
-pub use spec::{BudgetSpec, Lines, Match, PoolSpec, RouteSpec, SecondCopy, Spec, Within};
-pub use table::{Ids, Route, Table};
+pub use latency_window::LatencyWindow;
+pub use table::{BudgetIds, Route, RouteTable};
+pub use timeline::{AttemptTimeline, AttemptTiming, NETWORK_DELAY, SCHEDULING_DELAY};
 
 /// A time in the words of the files: `7.5s`, `250ms`.
 pub(crate) fn words(span: bellcroft_balancer::Micros) -> String {
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -1,7 +1,7 @@
 //! What the agent looks up for each request.
 
-use crate::check::{check, Platform, Refusal};
-use crate::spec::{BudgetSpec, Match, RouteSpec, SecondCopy, Spec, Within};
+use crate::check::{check, Diagnostic, Platform};
+use crate::config::{HedgePolicy, RetryBudgetConfig, RetryScope, RouteConfig, RouteMatch, RoutesConfig};
 use bellcroft_balancer::{ConcurrencyLimit, Limits, Micros, RetryBudget, RetryOn};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -9,11 +9,11 @@
 /// Names of budgets and bounds that a process has given out; they stay with a route's or a pool's name over reloads,
 /// so that a reload neither fills a budget up nor forgets what is out.
 #[derive(Debug, Clone, Default)]
-pub struct Ids {
+pub struct BudgetIds {
     given: HashMap<String, u32>,
 }
 
-impl Ids {
+impl BudgetIds {
     fn of(&mut self, name: String) -> u32 {
         // 0 is the budget of requests without a route.
         let next = self.given.len() as u32 + 1;
@@ -33,39 +33,43 @@
     /// From the request's hand-over to an open connection to the end of the answer's head.
     pub first_byte_timeout: Option<Micros>,
     /// When a second copy goes out.
-    pub second_copy_after: SecondCopy,
+    pub hedge: HedgePolicy,
 }
 
 /// All routes of a file.
 #[derive(Debug, Clone, Default)]
-pub struct Table {
+pub struct RouteTable {
     routes: Vec<Arc<Route>>,
     index: Index,
 }
 
-impl Table {
+impl RouteTable {
     /// Checks a file's routes and makes the table of them.
     ///
     /// # Errors
     ///
     /// All that [`check`] refuses.
-    pub fn compile(spec: &Spec, platform: &Platform, ids: &mut Ids) -> Result<Self, Vec<Refusal>> {
-        let refusals = check(spec, platform);
+    pub fn compile(
+        config: &RoutesConfig,
+        platform: &Platform,
+        ids: &mut BudgetIds,
+    ) -> Result<Self, Vec<Diagnostic>> {
+        let refusals = check(config, platform);
         if !refusals.is_empty() {
             return Err(refusals);
         }
-        Ok(Self::unchecked(spec, ids))
+        Ok(Self::unchecked(config, ids))
     }
 
     /// The table of routes that may break a rule, for tests that show so.
-    pub fn unchecked(spec: &Spec, ids: &mut Ids) -> Self {
+    pub fn unchecked(config: &RoutesConfig, ids: &mut BudgetIds) -> Self {
         let mut index = Index::default();
-        let mut routes = Vec::with_capacity(spec.routes.len());
-        for (place, route) in spec.routes.iter().enumerate() {
+        let mut routes = Vec::with_capacity(config.routes.len());
+        for (place, route) in config.routes.iter().enumerate() {
             index.insert(&route.matches, place);
-            routes.push(Arc::new(made(route, spec, ids)));
+            routes.push(Arc::new(made(route, config, ids)));
         }
-        Table { routes, index }
+        RouteTable { routes, index }
     }
 
     /// How many routes there are.
@@ -87,8 +91,8 @@
     }
 }
 
-fn made(route: &RouteSpec, spec: &Spec, ids: &mut Ids) -> Route {
-    let pool = route.pool.as_ref().and_then(|name| spec.pools.iter().find(|pool| pool.name == *name));
+fn made(route: &RouteConfig, config: &RoutesConfig, ids: &mut BudgetIds) -> Route {
+    let pool = route.pool.as_ref().and_then(|name| config.pools.iter().find(|pool| pool.name == *name));
     let standard = Limits::STANDARD;
     let mut limits = Limits {
         timeout: route.timeout.unwrap_or(standard.timeout),
@@ -96,27 +100,27 @@
         queue_timeout: route.queue_timeout.unwrap_or(standard.queue_timeout),
         max_attempts: route.attempts.unwrap_or(standard.max_attempts),
         retry_on: route.retry_on.unwrap_or(RetryOn::ALL),
-        same_zone: route.retry_within == Some(Within::Zone),
+        same_zone: route.retry_within == Some(RetryScope::Zone),
         ..standard
     };
     let mut owners = vec![(
         format!("route {}", route.name),
         route.retry_budget,
-        route.second_copies_most,
+        route.max_hedge_ratio,
         route.max_in_flight,
-        route.max_held,
+        route.max_queued,
     )];
     if let Some(p) = pool {
         owners.push((
             format!("pool {}", p.name),
             p.retry_budget,
-            p.second_copies_most,
+            p.max_hedge_ratio,
             p.max_in_flight,
-            p.max_held,
+            p.max_queued,
         ));
     }
     for (owner, retries, copies, in_flight, held) in owners {
-        if let Some(BudgetSpec { ratio, burst }) = retries {
+        if let Some(RetryBudgetConfig { ratio, burst }) = retries {
             limits.budgets.push(RetryBudget {
                 id: ids.of(format!("{owner} retries")),
                 ratio,
@@ -143,7 +147,7 @@
         limits: Arc::new(limits),
         connect_timeout: route.connect_timeout,
         first_byte_timeout: route.first_byte_timeout,
-        second_copy_after: route.second_copy_after,
+        hedge: route.hedge,
     }
 }
 
@@ -178,7 +182,7 @@
 }
 
 impl Index {
-    pub(crate) fn insert(&mut self, matches: &Match, place: usize) {
+    pub(crate) fn insert(&mut self, matches: &RouteMatch, place: usize) {
         let tenants = match &matches.class {
             Some(class) => self.classes.entry(class.clone()).or_default(),
             None => &mut self.any_class,
@@ -211,38 +215,38 @@
     /// Class, tenant, path.
     type Matched<'a> = (Option<&'a str>, Option<&'a str>, Option<&'a str>);
 
-    fn spec(routes: &[Matched]) -> Spec {
-        let route = |(n, (class, tenant, path)): (usize, &Matched)| RouteSpec {
+    fn config(routes: &[Matched]) -> RoutesConfig {
+        let route = |(n, (class, tenant, path)): (usize, &Matched)| RouteConfig {
             name: n.to_string(),
-            matches: Match {
+            matches: RouteMatch {
                 class: class.map(str::to_owned),
                 tenant: tenant.map(str::to_owned),
                 path: path.map(str::to_owned),
             },
-            ..RouteSpec::default()
+            ..RouteConfig::default()
         };
-        Spec { routes: routes.iter().enumerate().map(route).collect(), pools: Vec::new() }
+        RoutesConfig { routes: routes.iter().enumerate().map(route).collect(), pools: Vec::new() }
     }
 
     /// A route that sets nothing is no route: the digest of actions is the same with a file of defaults.
     #[test]
     fn a_route_that_sets_nothing_has_the_standard_limits() {
-        let table = Table::unchecked(&spec(&[(Some("log"), None, None)]), &mut Ids::default());
+        let table = RouteTable::unchecked(&config(&[(Some("log"), None, None)]), &mut BudgetIds::default());
         assert_eq!(*table.routes[0].limits, Limits::STANDARD);
-        assert_eq!(table.routes[0].second_copy_after, SecondCopy::Never);
+        assert_eq!(table.routes[0].hedge, HedgePolicy::Never);
     }
 
     #[test]
     fn the_first_that_matches_is_the_route() {
-        let table = Table::unchecked(
-            &spec(&[
+        let table = RouteTable::unchecked(
+            &config(&[
                 (Some("log"), Some("acme"), None),
                 (Some("log"), None, Some("/log/urgent")),
                 (None, Some("acme"), None),
                 (None, None, Some("/read/é")),
                 (Some("log"), None, None),
             ]),
-            &mut Ids::default(),
+            &mut BudgetIds::default(),
         );
         for (class, tenant, path, name) in [
             ("log", Some("acme"), "/log/urgent", Some("0")),
@@ -272,7 +276,7 @@
                     (pick(&mut random, &["a", "b"]), pick(&mut random, &["t", "u"]), path)
                 })
                 .collect();
-            let table = Table::unchecked(&spec(&routes), &mut Ids::default());
+            let table = RouteTable::unchecked(&config(&routes), &mut BudgetIds::default());
             for _ in 0..20 {
                 let class = ["a", "b", "c"][random.usize(0..3)];
                 let tenant = [Some("t"), Some("u"), None][random.usize(0..3)];
@@ -290,17 +294,17 @@
 
     #[test]
     fn budgets_keep_their_names_over_reloads() {
-        let mut ids = Ids::default();
-        let mut spec = spec(&[(None, None, None)]);
-        let budget = Some(BudgetSpec { ratio: 0.1, burst: 3.0 });
-        spec.routes[0].retry_budget = budget;
-        spec.routes[0].max_held = Some(4);
-        let id = |table: &Table| table.routes[0].limits.budgets[0].id;
-        let first = id(&Table::unchecked(&spec, &mut ids));
+        let mut ids = BudgetIds::default();
+        let mut config = config(&[(None, None, None)]);
+        let budget = Some(RetryBudgetConfig { ratio: 0.1, burst: 3.0 });
+        config.routes[0].retry_budget = budget;
+        config.routes[0].max_queued = Some(4);
+        let id = |table: &RouteTable| table.routes[0].limits.budgets[0].id;
+        let first = id(&RouteTable::unchecked(&config, &mut ids));
         assert_ne!(first, 0);
-        let mut other = spec.clone();
+        let mut other = config.clone();
         other.routes[0].name = "other".into();
-        assert_ne!(id(&Table::unchecked(&other, &mut ids)), first);
-        assert_eq!(id(&Table::unchecked(&spec, &mut ids)), first);
+        assert_ne!(id(&RouteTable::unchecked(&other, &mut ids)), first);
+        assert_eq!(id(&RouteTable::unchecked(&config, &mut ids)), first);
     }
 }
--- a/crates/routes/src/life.rs
+++ b/crates/routes/src/timeline.rs
@@ -1,18 +1,18 @@
 //! The life of a route's request in the worst case: when each attempt can be decided, and when its bytes can arrive.
 
 use crate::check::Platform;
-use crate::spec::RouteSpec;
+use crate::config::RouteConfig;
 use bellcroft_balancer::{Class, Micros};
 
 /// What a timer and the tasks behind it may come late by, at each step of a request. The platform itself allows 50 ms
 /// in all.
-pub const STEP: Micros = Micros(20_000);
+pub const SCHEDULING_DELAY: Micros = Micros(20_000);
 /// What a request may take from the agent's socket to the server's, which judges repeats when they have come.
-pub const WAY: Micros = Micros(50_000);
+pub const NETWORK_DELAY: Micros = Micros(50_000);
 
 /// A life. All times count from the decision to send the first attempt.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Life {
+pub struct AttemptTimeline {
     /// After this the client waits no more, and no byte leaves.
     pub deadline: Micros,
     /// One attempt's time.
@@ -22,33 +22,33 @@
     /// How long a further attempt may be held back before it goes out; none where nothing but the deadline bounds it.
     pub queue: Option<Micros>,
     /// The attempts.
-    pub steps: Vec<Step>,
+    pub steps: Vec<AttemptTiming>,
 }
 
 /// An attempt's moments.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Step {
+pub struct AttemptTiming {
     /// The latest decision to send it; the earliest is at once, for an outcome that is no success may come at once.
     pub latest: Micros,
     /// The latest arrival of its first byte at the server.
     pub arrives: Micros,
 }
 
-impl Life {
+impl AttemptTimeline {
     /// A route's request of this class.
-    pub fn of(route: &RouteSpec, class: &Class, platform: &Platform) -> Self {
+    pub fn of(route: &RouteConfig, class: &Class, platform: &Platform) -> Self {
         let deadline = route.timeout.unwrap_or(class.deadline).min(class.deadline);
         let attempt = route.attempt_timeout.unwrap_or(deadline).min(deadline);
         let connect = route.connect_timeout.unwrap_or(platform.connect_timeout).min(attempt);
         let queue = route.queue_timeout;
         let most = platform.settings.max_attempts;
         let attempts = route.attempts.unwrap_or(most).min(most).max(1);
-        let mut life = Life { deadline, attempt, connect, queue, steps: Vec::new() };
+        let mut timeline = AttemptTimeline { deadline, attempt, connect, queue, steps: Vec::new() };
         for n in 1..=attempts {
-            let (latest, arrives) = life.latest(n);
-            life.steps.push(Step { latest, arrives });
+            let (latest, arrives) = timeline.latest(n);
+            timeline.steps.push(AttemptTiming { latest, arrives });
         }
-        life
+        timeline
     }
 
     /// The latest decision of the `n`th attempt, and the latest arrival of its first byte: each one before it takes its
@@ -56,12 +56,13 @@
     pub fn latest(&self, n: u32) -> (Micros, Micros) {
         let before = f64::from(n.saturating_sub(1));
         let one = match self.queue {
-            Some(queue) => add(add(self.attempt, STEP), queue),
-            None => add(self.deadline, STEP),
+            Some(queue) => add(add(self.attempt, SCHEDULING_DELAY), queue),
+            None => add(self.deadline, SCHEDULING_DELAY),
         };
         let latest = (one * before).min(self.deadline);
-        let leaves = add(add(latest, self.connect), STEP).min(add(self.deadline, STEP));
-        (latest, add(leaves, WAY))
+        let leaves =
+            add(add(latest, self.connect), SCHEDULING_DELAY).min(add(self.deadline, SCHEDULING_DELAY));
+        (latest, add(leaves, NETWORK_DELAY))
     }
 
     /// The latest arrival of a repeat's first byte; none if there is no repeat.
@@ -80,8 +81,11 @@
     pub fn attempt_within(&self, window: Micros) -> Option<Micros> {
         let repeats = self.steps.len().saturating_sub(1).max(1) as f64;
         let queue = self.queue?;
-        let room = window.saturating_sub(WAY).saturating_sub(STEP).saturating_sub(self.connect);
-        let one = (room * (1.0 / repeats)).saturating_sub(STEP).saturating_sub(queue);
+        let room = window
+            .saturating_sub(NETWORK_DELAY)
+            .saturating_sub(SCHEDULING_DELAY)
+            .saturating_sub(self.connect);
+        let one = (room * (1.0 / repeats)).saturating_sub(SCHEDULING_DELAY).saturating_sub(queue);
         let whole = round_down(one);
         (whole >= self.connect && whole > Micros::ZERO).then_some(whole)
     }
--- a/crates/routes/tests/walk.rs
+++ b/crates/routes/tests/random_routes.rs
@@ -56,28 +56,28 @@
 }
 
 /// A route for one class, with times on both sides of what the rules bear.
-fn random_route(class: usize, random: &mut fastrand::Rng) -> RouteSpec {
+fn random_route(class: usize, random: &mut fastrand::Rng) -> RouteConfig {
     let time = |random: &mut fastrand::Rng, most: u64| {
         (random.u8(0..3) > 0).then(|| Micros(random.u64(10..most) * 1000))
     };
     let mut flag = || random.bool();
     let retry_on =
         RetryOn { connect: flag(), rejected: flag(), reset: flag(), timeout: flag(), error: flag() };
-    RouteSpec {
+    RouteConfig {
         name: "r".into(),
-        matches: Match { class: Some(names()[class].clone()), ..Match::default() },
+        matches: RouteMatch { class: Some(names()[class].clone()), ..RouteMatch::default() },
         timeout: time(random, 3000),
         attempt_timeout: time(random, 900),
         connect_timeout: time(random, 900),
         queue_timeout: time(random, 300),
         attempts: (random.u8(0..4) > 0).then(|| random.u32(1..6)),
         retry_on: random.bool().then_some(retry_on),
-        retry_within: [None, None, Some(Within::Zone), Some(Within::Any)][random.usize(0..4)],
-        second_copy_after: match random.u8(0..4) {
-            0 => SecondCopy::After(Micros(random.u64(5..400) * 1000)),
-            _ => SecondCopy::Never,
+        retry_within: [None, None, Some(RetryScope::Zone), Some(RetryScope::Any)][random.usize(0..4)],
+        hedge: match random.u8(0..4) {
+            0 => HedgePolicy::After(Micros(random.u64(5..400) * 1000)),
+            _ => HedgePolicy::Never,
         },
-        ..RouteSpec::default()
+        ..RouteConfig::default()
     }
 }
 
@@ -103,11 +103,11 @@
 }
 
 /// Plays one route for a while; the breaches that the observer saw, and how long after the first its latest repeat came.
-fn play(spec: &RouteSpec, class: usize, seed: u64, without: Without) -> (Vec<String>, Micros) {
+fn play(spec: &RouteConfig, class: usize, seed: u64, without: Without) -> (Vec<String>, Micros) {
     let mut random = fastrand::Rng::with_seed(seed);
-    let mut ids = Ids::default();
-    let spec = Spec { routes: vec![spec.clone()], pools: Vec::new() };
-    let table = Table::unchecked(&spec, &mut ids);
+    let mut ids = BudgetIds::default();
+    let spec = RoutesConfig { routes: vec![spec.clone()], pools: Vec::new() };
+    let table = RouteTable::unchecked(&spec, &mut ids);
     let route = table.lookup(&names()[class], None, "/").cloned().expect("it matches");
     let connect = route.connect_timeout.unwrap_or(Micros::from_ms(CONNECT));
     let mut balancer = Balancer::new(settings(), seed).expect("settings");
@@ -126,13 +126,13 @@
         let mut events = Vec::new();
         if step % 40 == 0 && step < ASKING {
             let time_left = Micros::from_ms(DEADLINE);
-            let second_copy_after = match route.second_copy_after {
-                SecondCopy::After(after) => Some(after),
+            let hedge = match route.hedge {
+                HedgePolicy::After(after) => Some(after),
                 _ => None,
             };
             let limits = Some(route.limits.clone());
             let request = Request::new(RequestId(next), ClassId(class), time_left);
-            events.push(Event::Request(Request { limits, hedge_after: second_copy_after, ..request }));
+            events.push(Event::Request(Request { limits, hedge_after: hedge, ..request }));
             let story = Story { class, flights: Vec::new(), closed: false, deadline: now + time_left };
             stories.insert(next, story);
             next += 1;
@@ -292,8 +292,8 @@
     (breaches, latest)
 }
 
-fn accepted(route: &RouteSpec, checks: Checks) -> bool {
-    let spec = Spec { routes: vec![route.clone()], pools: Vec::new() };
+fn accepted(route: &RouteConfig, checks: EnabledChecks) -> bool {
+    let spec = RoutesConfig { routes: vec![route.clone()], pools: Vec::new() };
     with_platform(|platform| check_only(&spec, platform, checks).is_empty())
 }
 
@@ -304,7 +304,7 @@
         let mut random = fastrand::Rng::with_seed(seed);
         let class = random.usize(0..4);
         let route = random_route(class, &mut random);
-        if !accepted(&route, Checks::ALL) || played >= 1000 {
+        if !accepted(&route, EnabledChecks::ALL) || played >= 1000 {
             continue;
         }
         played += 1;
@@ -320,15 +320,15 @@
 fn each_check_has_teeth() {
     let late_agent = Without { write_by: true };
     for (rule, checks) in [
-        ("rule 2: a repeat after", Checks { window: false, ..Checks::ALL }),
-        ("rule 3", Checks { drain: false, ..Checks::ALL }),
+        ("rule 2: a repeat after", EnabledChecks { window: false, ..EnabledChecks::ALL }),
+        ("rule 3", EnabledChecks { drain: false, ..EnabledChecks::ALL }),
     ] {
         let (mut found, mut tried) = (0, 0);
         for seed in 0..20_000 {
             let mut random = fastrand::Rng::with_seed(seed);
             let class = 1 + random.usize(0..2);
             let route = random_route(class, &mut random);
-            if accepted(&route, checks) && !accepted(&route, Checks::ALL) {
+            if accepted(&route, checks) && !accepted(&route, EnabledChecks::ALL) {
                 tried += 1;
                 found +=
                     usize::from(play(&route, class, seed, late_agent).0.iter().any(|b| b.contains(rule)));
@@ -344,13 +344,13 @@
 /// The same routes with the agent's care: nothing is written too late, whatever the file says.
 #[test]
 fn the_agent_s_care_alone_keeps_the_rules_too() {
-    let none = Checks { window: false, group: false, effect: false, drain: false };
+    let none = EnabledChecks { window: false, group: false, effect: false, drain: false };
     let mut played = 0;
     for seed in 0..4000 {
         let mut random = fastrand::Rng::with_seed(seed);
         let class = random.usize(0..4);
         let route = random_route(class, &mut random);
-        if played < 60 && accepted(&route, none) && !accepted(&route, Checks::ALL) {
+        if played < 60 && accepted(&route, none) && !accepted(&route, EnabledChecks::ALL) {
             played += 1;
             let (breaches, _) = play(&route, class, seed, Without::default());
             assert!(breaches.is_empty(), "{route:#?}\n{breaches:#?}");
@@ -365,17 +365,18 @@
 fn the_computed_latest_repeat_is_a_bound_and_a_close_one() {
     let mut closest = f64::INFINITY;
     for (attempts, attempt, queue) in [(2, 400.0, 1.0), (3, 300.0, 1.0), (4, 250.0, 1.0)] {
-        let route = RouteSpec {
+        let route = RouteConfig {
             name: "r".into(),
-            matches: Match { class: Some("read".into()), ..Match::default() },
+            matches: RouteMatch { class: Some("read".into()), ..RouteMatch::default() },
             attempts: Some(attempts),
             attempt_timeout: Some(Micros::from_ms(attempt)),
             connect_timeout: Some(Micros::from_ms(100.0)),
             queue_timeout: Some(Micros::from_ms(queue)),
-            ..RouteSpec::default()
+            ..RouteConfig::default()
         };
-        assert!(accepted(&route, Checks::ALL));
-        let life = with_platform(|platform| Life::of(&route, &platform.settings.classes[0], platform));
+        assert!(accepted(&route, EnabledChecks::ALL));
+        let life =
+            with_platform(|platform| AttemptTimeline::of(&route, &platform.settings.classes[0], platform));
         let bound = life.last_repeat().expect("there are repeats");
         let played = (0..30).map(|seed| play(&route, 0, seed, Without::default()).1).max().expect("some");
         assert!(played <= bound, "{attempts}: {played:?} played, {bound:?} computed");
@@ -392,7 +393,7 @@
     for seed in 0..4000 {
         let mut random = fastrand::Rng::with_seed(seed);
         let route = random_route(1, &mut random);
-        let spec = Spec { routes: vec![route.clone()], pools: Vec::new() };
+        let spec = RoutesConfig { routes: vec![route.clone()], pools: Vec::new() };
         let refusals = with_platform(|platform| check(&spec, platform));
         let [one] = refusals.as_slice() else { continue };
         let Some((_, right)) = one.what.split_once("(rule 2). At most ") else { continue };
@@ -408,7 +409,7 @@
                 "attempt_timeout" => mended.attempt_timeout = Some(time(value)),
                 _ => mended.timeout = Some(time(value)),
             }
-            let spec = Spec { routes: vec![mended], pools: Vec::new() };
+            let spec = RoutesConfig { routes: vec![mended], pools: Vec::new() };
             let left = with_platform(|platform| check(&spec, platform));
             // A shorter time may make another key meaningless; it must not break the rule any more.
             assert!(left.iter().all(|r| !r.what.contains("rule 2")), "{part}: {left:?}\n{route:#?}");
--- a/crates/testbed/src/measure_routes.rs
+++ b/crates/testbed/src/measure_routes.rs
@@ -1,7 +1,7 @@
 //! `testbed measure routes`: troubles with today's defaults and with the example files beside them, and the cost of a
 //! look-up.
 
-use bellcroft_routes::{Ids, Match, RouteSpec, Spec, Table};
+use bellcroft_routes::{BudgetIds, RouteConfig, RouteMatch, RouteTable, RoutesConfig};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
@@ -113,17 +113,17 @@
 
 /// Nanoseconds of a look-up among so many routes, the last of which matches.
 fn lookup(routes: usize) -> f64 {
-    let route = |n: usize| RouteSpec {
+    let route = |n: usize| RouteConfig {
         name: n.to_string(),
-        matches: Match {
+        matches: RouteMatch {
             class: Some("read-schedule".into()),
             path: Some(format!("/read-schedule/{n:06}")),
-            ..Match::default()
+            ..RouteMatch::default()
         },
-        ..RouteSpec::default()
+        ..RouteConfig::default()
     };
-    let spec = Spec { routes: (0..routes).map(route).collect(), pools: Vec::new() };
-    let table = Table::unchecked(&spec, &mut Ids::default());
+    let spec = RoutesConfig { routes: (0..routes).map(route).collect(), pools: Vec::new() };
+    let table = RouteTable::unchecked(&spec, &mut BudgetIds::default());
     let path = format!("/read-schedule/{:06}/today", routes - 1);
     let find =
         || std::hint::black_box(table.lookup("read-schedule", Some("acme"), std::hint::black_box(&path)));
