--- a/crates/routes/src/config.rs
+++ b/crates/routes/src/config.rs
@@ -1,19 +1,19 @@
-//! What an operator wrote, as it stands in the file.
+//! Route configuration as parsed from the operator's file, before any check.
 
 use bellcroft_balancer::{Micros, RetryOn};
 use std::collections::BTreeMap;
 
-/// The lines of a section's keys, counted from 1.
+/// Line numbers of a section and its keys, counted from 1.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct SourceLines {
-    /// The line of the section.
+    /// Line of the section's header.
     pub section: usize,
-    /// Those of its keys.
+    /// Line of each key that is set.
     pub keys: BTreeMap<&'static str, usize>,
 }
 
 impl SourceLines {
-    /// The line of a key, or of the section if the key is not there.
+    /// The line of `key`, or of the section if the key is not set.
     pub fn of(&self, key: &str) -> usize {
         self.keys.get(key).copied().unwrap_or(self.section)
     }
@@ -22,95 +22,95 @@
 /// All routes and pools of a file.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct RoutesConfig {
-    /// In the file's order: the first that matches a request is its route.
+    /// Routes in the file's order; the first match applies.
     pub routes: Vec<RouteConfig>,
-    /// `[pool.NAME]`.
+    /// Pools (`[pool.NAME]`).
     pub pools: Vec<PoolConfig>,
 }
 
-/// What a route matches. What is not named matches anything.
+/// Match conditions of a route; `None` matches anything.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RouteMatch {
-    /// The class's name.
+    /// Class name.
     pub class: Option<String>,
-    /// The tenant's name.
+    /// Tenant name.
     pub tenant: Option<String>,
-    /// What the request's path begins with.
+    /// Path prefix.
     pub path: Option<String>,
 }
 
-/// Where further attempts may go.
+/// Servers that retries and hedges may be sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryScope {
-    /// To any server.
+    /// Any server.
     Any,
-    /// To servers in the zone of the first attempt.
+    /// Servers in the zone of the first attempt.
     Zone,
 }
 
-/// When a second copy goes out.
+/// When a hedged request is sent (key `second_copy_after`).
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub enum HedgePolicy {
-    /// Never.
+    /// No hedging.
     #[default]
     Never,
-    /// This long after a send.
+    /// After this delay from the send.
     After(Micros),
-    /// After this percentile (0 to 100) of the class's recent answer times.
+    /// After this percentile (0 to 100) of the class's recent response times.
     Percentile(f64),
 }
 
-/// `{ ratio = 0.1, burst = 5 }`.
+/// Retry budget: `{ ratio = 0.1, burst = 5 }`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudgetConfig {
-    /// Further attempts that a request earns.
+    /// Retries that each request adds to the budget.
     pub ratio: f64,
-    /// How many are saved up at most.
+    /// Maximum balance, in retries.
     pub burst: f64,
 }
 
-/// A `[[route]]`. What is not set is as it is for requests without a route.
+/// A `[[route]]` section. `None` keeps the behaviour of requests without a route.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct RouteConfig {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// What it matches.
+    /// Match conditions.
     pub matches: RouteMatch,
-    /// The client's time-out, as a cap.
+    /// Upper bound of the client's deadline.
     pub timeout: Option<Micros>,
-    /// From the decision to send an attempt to its end.
+    /// From the send decision to the end of the attempt.
     pub attempt_timeout: Option<Micros>,
-    /// From the decision to send an attempt to an open connection.
+    /// From the send decision to an established connection.
     pub connect_timeout: Option<Micros>,
-    /// From the request's hand-over to an open connection to the end of the answer's head.
+    /// From the request's write to an established connection to the end of the response head.
     pub first_byte_timeout: Option<Micros>,
-    /// How long a request may be held back at a time.
+    /// Maximum time in the queue before each attempt.
     pub queue_timeout: Option<Micros>,
-    /// Attempts in all.
+    /// Maximum number of attempts, the first one included.
     pub attempts: Option<u32>,
-    /// What another attempt may follow.
+    /// Outcomes after which a retry is allowed.
     pub retry_on: Option<RetryOn>,
-    /// Where it may go.
+    /// Servers that retries may be sent to.
     pub retry_within: Option<RetryScope>,
-    /// When a second copy goes out.
+    /// When a hedged request is sent (key `second_copy_after`).
     pub hedge: HedgePolicy,
-    /// The share of the route's requests that may have one.
+    /// Maximum share of the route's requests that are hedged (key `second_copies_most`).
     pub max_hedge_ratio: Option<f64>,
-    /// What further attempts are paid with.
+    /// Budget of the route's retries.
     pub retry_budget: Option<RetryBudgetConfig>,
-    /// Attempts out at a time.
+    /// Maximum number of concurrent attempts.
     pub max_in_flight: Option<u32>,
-    /// Requests held back at a time.
+    /// Maximum number of queued requests (key `max_held`).
     pub max_queued: Option<u32>,
-    /// The pool that it shares limits with.
+    /// Pool whose limits the route shares.
     pub pool: Option<String>,
-    /// Where it stands.
+    /// Line numbers, for diagnostics.
     pub lines: SourceLines,
 }
 
 impl RouteConfig {
-    /// Nothing in it bears on whether and when a request is repeated.
-    pub fn leaves_repeats_alone(&self) -> bool {
+    /// Whether no setting affects if or when a request is retried.
+    pub fn has_default_retries(&self) -> bool {
         let times = [self.timeout, self.attempt_timeout, self.connect_timeout, self.queue_timeout];
         times.iter().all(Option::is_none)
             && self.attempts.is_none()
@@ -119,19 +119,19 @@
     }
 }
 
-/// A `[pool.NAME]`: what its routes share.
+/// A `[pool.NAME]` section: limits shared by its routes.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct PoolConfig {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// What further attempts of all its routes are paid with.
+    /// Budget of the retries of all its routes.
     pub retry_budget: Option<RetryBudgetConfig>,
-    /// The share of their requests that may have a second copy.
+    /// Maximum share of their requests that are hedged (key `second_copies_most`).
     pub max_hedge_ratio: Option<f64>,
-    /// Attempts out at a time.
+    /// Maximum number of concurrent attempts.
     pub max_in_flight: Option<u32>,
-    /// Requests held back at a time.
+    /// Maximum number of queued requests (key `max_held`).
     pub max_queued: Option<u32>,
-    /// Where it stands.
+    /// Line numbers, for diagnostics.
     pub lines: SourceLines,
 }
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -1,37 +1,45 @@
-//! Routes: which requests get which time-outs, attempts, second copies and budgets, without I/O.
+//! Routes: timeouts, attempts, hedging and retry budgets per class, tenant and path prefix, without I/O.
 //!
-//! A [`RoutesConfig`] is what an operator wrote. [`check`] proves that it keeps the four rules with the platform's settings,
-//! or says line by line what could break one; [`RouteTable::compile`] makes of a good one what the agent looks up for each
-//! request. [`LatencyWindow`] knows the percentiles of a class's last answers.
+//! The crate owns the parsed route configuration ([`RoutesConfig`]), its static check ([`check`]), the compiled
+//! [`RouteTable`] that the agent consults for each request, and the [`LatencyWindow`] from which percentile hedge
+//! delays are resolved. It does not parse files (`bellcroft-operator-config`), decide on attempts
+//! (`bellcroft-balancer`) or write bytes (the agent).
 //!
-//! The proof is of times. For each route it computes the latest moment at which a byte of the last attempt could reach
-//! a server ([`AttemptTimeline`]), and holds it against the window in which servers drop repeats, the grace of a drain and the
-//! client's deadline. The same limits are obeyed at run time by `bellcroft-balancer` (which decides) and by the agent (which
-//! writes nothing after `write_by`); the proof does not rest on that, nor that on the proof.
+//! # Check
+//!
+//! For each route and class the check computes the latest moment at which a byte of the last attempt can reach a
+//! server ([`AttemptTimeline`]) and compares it with the deduplication window, the drain grace period and the client's
+//! deadline. The balancer and the agent enforce the same limits at run time (no byte leaves after `write_by`); neither
+//! the check nor the enforcement relies on the other.
+//!
+//! # States
+//!
+//! A [`RouteTable`] is immutable; a reload compiles a new one, and open requests keep their `Arc` of the old limits.
+//! [`BudgetIds`] are kept until the process exits, so that budgets keep their balance over reloads. [`LatencyWindow`] is
+//! single-threaded (interior mutability through cells).
+//!
+//! # Errors and units
+//!
+//! A rejected configuration is a list of [`Diagnostic`]s, each with a line number counted from 1. Durations are
+//! `Micros` (microseconds); percentiles run from 0 to 100; hedge ratios are shares of a route's requests.
 
 mod check;
 mod config;
+mod duration;
 mod explain;
+mod index;
 mod latency_window;
+mod platform;
 mod table;
 mod timeline;
 
-pub use check::{check, check_only, Diagnostic, EnabledChecks, Platform};
+pub use check::{check, check_only, Diagnostic, EnabledChecks};
 pub use config::{
     HedgePolicy, PoolConfig, RetryBudgetConfig, RetryScope, RouteConfig, RouteMatch, RoutesConfig,
     SourceLines,
 };
 pub use explain::explain;
 pub use latency_window::LatencyWindow;
+pub use platform::Platform;
 pub use table::{BudgetIds, Route, RouteTable};
 pub use timeline::{AttemptTimeline, AttemptTiming, NETWORK_DELAY, SCHEDULING_DELAY};
-
-/// A time in the words of the files: `7.5s`, `250ms`.
-pub(crate) fn words(span: bellcroft_balancer::Micros) -> String {
-    let ms = span.ms();
-    if ms >= 1000.0 {
-        format!("{}s", (ms / 10.0).round() / 100.0)
-    } else {
-        format!("{}ms", ms.round())
-    }
-}
--- a/crates/routes/src/timeline.rs
+++ b/crates/routes/src/timeline.rs
@@ -1,102 +1,92 @@
-//! The life of a route's request in the worst case: when each attempt can be decided, and when its bytes can arrive.
+//! Worst-case timing of a request's attempts: the latest send decision and the latest arrival of each one.
 
-use crate::check::Platform;
 use crate::config::RouteConfig;
+use crate::duration::{round_down, saturating_add};
+use crate::platform::Platform;
 use bellcroft_balancer::{Class, Micros};
 
-/// What a timer and the tasks behind it may come late by, at each step of a request. The platform itself allows 50 ms
-/// in all.
+/// Lateness of a timer and the tasks behind it, at each step of a request. The platform allows each time limit 50 ms.
 pub const SCHEDULING_DELAY: Micros = Micros(20_000);
-/// What a request may take from the agent's socket to the server's, which judges repeats when they have come.
+/// Time from the agent's socket to the server's. The server decides about duplicates on arrival.
 pub const NETWORK_DELAY: Micros = Micros(50_000);
 
-/// A life. All times count from the decision to send the first attempt.
+/// Worst-case timeline of one request. All times count from the decision to send the first attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AttemptTimeline {
-    /// After this the client waits no more, and no byte leaves.
+    /// The client's deadline; no byte leaves after it.
     pub deadline: Micros,
-    /// One attempt's time.
-    pub attempt: Micros,
-    /// How long a connection may take within it.
-    pub connect: Micros,
-    /// How long a further attempt may be held back before it goes out; none where nothing but the deadline bounds it.
-    pub queue: Option<Micros>,
-    /// The attempts.
-    pub steps: Vec<AttemptTiming>,
+    /// Timeout of one attempt.
+    pub attempt_timeout: Micros,
+    /// Connect timeout within an attempt.
+    pub connect_timeout: Micros,
+    /// Maximum queueing time before a retry; `None` if only the deadline bounds it.
+    pub queue_timeout: Option<Micros>,
+    /// Timing of each attempt, the first one included.
+    pub attempts: Vec<AttemptTiming>,
 }
 
-/// An attempt's moments.
+/// Worst-case timing of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptTiming {
-    /// The latest decision to send it; the earliest is at once, for an outcome that is no success may come at once.
-    pub latest: Micros,
-    /// The latest arrival of its first byte at the server.
-    pub arrives: Micros,
+    /// Latest send decision. The earliest is time zero, as the previous attempt can fail immediately.
+    pub latest_send: Micros,
+    /// Latest arrival of the first byte at the server.
+    pub latest_arrival: Micros,
 }
 
 impl AttemptTimeline {
-    /// A route's request of this class.
-    pub fn of(route: &RouteConfig, class: &Class, platform: &Platform) -> Self {
+    /// Computes the timeline of a route's requests of one class.
+    pub fn new(route: &RouteConfig, class: &Class, platform: &Platform) -> Self {
         let deadline = route.timeout.unwrap_or(class.deadline).min(class.deadline);
-        let attempt = route.attempt_timeout.unwrap_or(deadline).min(deadline);
-        let connect = route.connect_timeout.unwrap_or(platform.connect_timeout).min(attempt);
-        let queue = route.queue_timeout;
-        let most = platform.settings.max_attempts;
-        let attempts = route.attempts.unwrap_or(most).min(most).max(1);
-        let mut timeline = AttemptTimeline { deadline, attempt, connect, queue, steps: Vec::new() };
-        for n in 1..=attempts {
-            let (latest, arrives) = timeline.latest(n);
-            timeline.steps.push(AttemptTiming { latest, arrives });
-        }
+        let attempt_timeout = route.attempt_timeout.unwrap_or(deadline).min(deadline);
+        let connect_timeout = route.connect_timeout.unwrap_or(platform.connect_timeout).min(attempt_timeout);
+        let queue_timeout = route.queue_timeout;
+        let platform_max = platform.settings.max_attempts;
+        let max_attempts = route.attempts.unwrap_or(platform_max).min(platform_max).max(1);
+        let mut timeline =
+            Self { deadline, attempt_timeout, connect_timeout, queue_timeout, attempts: Vec::new() };
+        timeline.attempts = (1..=max_attempts).map(|n| timeline.timing(n)).collect();
         timeline
     }
 
-    /// The latest decision of the `n`th attempt, and the latest arrival of its first byte: each one before it takes its
-    /// whole time, ends late, and the next is held back as long as may be. Nothing leaves after the deadline.
-    pub fn latest(&self, n: u32) -> (Micros, Micros) {
-        let before = f64::from(n.saturating_sub(1));
-        let one = match self.queue {
-            Some(queue) => add(add(self.attempt, SCHEDULING_DELAY), queue),
-            None => add(self.deadline, SCHEDULING_DELAY),
+    /// Timing of the `n`th attempt (from 1): each attempt before it takes its full timeout and ends late, and each
+    /// retry is queued for the full queue timeout. No byte leaves after the deadline.
+    pub fn timing(&self, n: u32) -> AttemptTiming {
+        let previous_attempts = f64::from(n.saturating_sub(1));
+        let interval = match self.queue_timeout {
+            Some(queue) => saturating_add(saturating_add(self.attempt_timeout, SCHEDULING_DELAY), queue),
+            None => saturating_add(self.deadline, SCHEDULING_DELAY),
         };
-        let latest = (one * before).min(self.deadline);
-        let leaves =
-            add(add(latest, self.connect), SCHEDULING_DELAY).min(add(self.deadline, SCHEDULING_DELAY));
-        (latest, add(leaves, NETWORK_DELAY))
+        let latest_send = (interval * previous_attempts).min(self.deadline);
+        let latest_write =
+            saturating_add(saturating_add(latest_send, self.connect_timeout), SCHEDULING_DELAY)
+                .min(saturating_add(self.deadline, SCHEDULING_DELAY));
+        AttemptTiming { latest_send, latest_arrival: saturating_add(latest_write, NETWORK_DELAY) }
     }
 
-    /// The latest arrival of a repeat's first byte; none if there is no repeat.
-    pub fn last_repeat(&self) -> Option<Micros> {
-        self.steps.iter().skip(1).map(|step| step.arrives).max()
+    /// Latest arrival of a retry's first byte; `None` if the route has a single attempt.
+    pub fn latest_retry_arrival(&self) -> Option<Micros> {
+        self.attempts.iter().skip(1).map(|attempt| attempt.latest_arrival).max()
     }
 
-    /// The most attempts whose bytes all arrive within `window`; 1 at least, for the first is no repeat.
-    pub fn attempts_within(&self, window: Micros) -> u32 {
-        let most = self.steps.len() as u32;
-        (1..=most).rev().find(|n| *n == 1 || self.latest(*n).1 <= window).unwrap_or(1)
+    /// Maximum number of attempts that all arrive within `window`; at least 1, as the first is not a retry.
+    pub fn max_attempts_within(&self, window: Micros) -> u32 {
+        let max = self.attempts.len() as u32;
+        (1..=max).rev().find(|n| *n == 1 || self.timing(*n).latest_arrival <= window).unwrap_or(1)
     }
 
-    /// The longest attempt time-out, that can be written, with which all attempts' bytes arrive within `window`;
-    /// none if there is no such.
-    pub fn attempt_within(&self, window: Micros) -> Option<Micros> {
-        let repeats = self.steps.len().saturating_sub(1).max(1) as f64;
-        let queue = self.queue?;
-        let room = window
+    /// Longest attempt timeout, in the file's precision, with which all attempts arrive within `window`; `None` if no
+    /// such timeout exists.
+    pub fn max_attempt_timeout_within(&self, window: Micros) -> Option<Micros> {
+        let retries = self.attempts.len().saturating_sub(1).max(1) as f64;
+        let queue_timeout = self.queue_timeout?;
+        let available = window
             .saturating_sub(NETWORK_DELAY)
             .saturating_sub(SCHEDULING_DELAY)
-            .saturating_sub(self.connect);
-        let one = (room * (1.0 / repeats)).saturating_sub(SCHEDULING_DELAY).saturating_sub(queue);
-        let whole = round_down(one);
-        (whole >= self.connect && whole > Micros::ZERO).then_some(whole)
+            .saturating_sub(self.connect_timeout);
+        let per_attempt =
+            (available * (1.0 / retries)).saturating_sub(SCHEDULING_DELAY).saturating_sub(queue_timeout);
+        let rounded = round_down(per_attempt);
+        (rounded >= self.connect_timeout && rounded > Micros::ZERO).then_some(rounded)
     }
 }
-
-/// A time that the files' words tell exactly, not above this one.
-pub(crate) fn round_down(span: Micros) -> Micros {
-    let grain = if span.0 >= 1_000_000 { 10_000 } else { 1000 };
-    Micros(span.0 / grain * grain)
-}
-
-pub(crate) fn add(a: Micros, b: Micros) -> Micros {
-    Micros(a.0.saturating_add(b.0))
-}
