--- a/crates/agent/src/peers/change_log.rs
+++ b/crates/agent/src/peers/change_log.rs
@@ -12,10 +12,10 @@
             instance, member = id.0, to = to.as_str(), restarted, from = from.as_str(), by = reported_by.0,
             "member state changed"
         ),
-        Change::Quorum { from, to, here, roster } => info!(
+        Change::Quorum { from, to, reachable, expected } => info!(
             target: "bellcroft::membership",
-            instance, to = to.as_str(), from = from.as_str(), here, roster,
-            reason = quorum_reason(*to, *here, *roster),
+            instance, to = to.as_str(), from = from.as_str(), here = reachable, roster = expected,
+            reason = quorum_reason(*to, *reachable, *expected),
             "quorum state changed"
         ),
         Change::ResumedAfterStall(stall) => warn!(
--- a/crates/agent/src/peers/mod.rs
+++ b/crates/agent/src/peers/mod.rs
@@ -119,7 +119,7 @@
     async fn run(self: Rc<Self>) {
         let mut buffer = [0; RECEIVE_BUFFER_BYTES];
         loop {
-            let deadline = self.clock.instant(self.membership.borrow().next());
+            let deadline = self.clock.instant(self.membership.borrow().next_deadline());
             tokio::select! {
                 received = self.socket.receive(&mut buffer) => match received {
                     Ok((length, from)) => {
@@ -133,7 +133,7 @@
                 () = self.deadline_changed.notified() => {}
             }
             // Checked after a datagram too: a flood of datagrams must not delay probes and suspicions.
-            if self.clock.now() >= self.membership.borrow().next() {
+            if self.clock.now() >= self.membership.borrow().next_deadline() {
                 self.process(Membership::tick);
             }
             self.update_effective_size();
--- a/crates/agent/src/peers/status.rs
+++ b/crates/agent/src/peers/status.rs
@@ -116,7 +116,7 @@
     pub(super) fn new(membership: &Membership, now: Time, listen: String) -> Self {
         let config = membership.config();
         let (size, size_error) = membership.size();
-        let (reachable, expected_size) = (size.round() as u32, membership.roster());
+        let (reachable, expected_size) = (size.round() as u32, membership.expected_size());
         let quorum_state = membership.quorum_state();
         MembershipStatus {
             cluster: config.cluster.clone(),
--- a/crates/agent/tests/peers.rs
+++ b/crates/agent/tests/peers.rs
@@ -2,7 +2,7 @@
 
 mod membership_support;
 
-use bellcroft_membership::{encode, Datagram, Id, Incarnation, Message, Part, Role, State, Update};
+use bellcroft_membership::{encode, Datagram, DigestPart, Id, Incarnation, Message, Role, State, Update};
 use bellcroft_simulation::What;
 use membership_support::*;
 use std::collections::HashMap;
@@ -100,7 +100,7 @@
     let server = bellcroft_platform_settings::fnv1a(&format!("s{}", round % 4));
     let messages = [
         Message::Hint { payload: server.to_be_bytes().to_vec() },
-        Message::Digest { parts: Part::encode(&[FALSE_PART]) },
+        Message::Digest { parts: DigestPart::encode(&[FALSE_PART]) },
         Message::Gossip,
     ];
     let datagram = |message| Datagram {
@@ -117,8 +117,15 @@
 }
 
 /// A million slow responses and rejected requests.
-const FALSE_PART: Part =
-    Part { site: 0, weight: 1e6, square: 1.0, latency: 1.2e6, load: 1.2e6, requests: 1e6, rejections: 1e6 };
+const FALSE_PART: DigestPart = DigestPart {
+    site: 0,
+    weight: 1e6,
+    square: 1.0,
+    latency: 1.2e6,
+    load: 1.2e6,
+    requests: 1e6,
+    rejections: 1e6,
+};
 
 /// The test takes the place of member 9 and sends false hints about healthy servers, false digests, false deaths and false
 /// epochs, also of its own.
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -47,7 +47,7 @@
 
 /// The sums of one site in an exchange; each may come from many instances.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
-pub struct Part {
+pub struct DigestPart {
     /// The site.
     pub site: u8,
     /// The weight of all responses.
@@ -64,14 +64,14 @@
     pub rejections: f32,
 }
 
-impl Part {
+impl DigestPart {
     /// The encoding of some parts.
-    pub fn encode(parts: &[Part]) -> Vec<u8> {
+    pub fn encode(parts: &[DigestPart]) -> Vec<u8> {
         serialize(&parts)
     }
 
     /// Decodes parts; none if the bytes are malformed.
-    pub fn decode(bytes: &[u8]) -> Option<Vec<Part>> {
+    pub fn decode(bytes: &[u8]) -> Option<Vec<DigestPart>> {
         postcard::from_bytes(bytes).ok()
     }
 
@@ -83,7 +83,7 @@
     }
 }
 
-/// The decaying sums of one site; the fields are those of [`Part`].
+/// The decaying sums of one site; the fields are those of [`DigestPart`].
 #[derive(Debug, Clone, Copy, Default)]
 struct Sums {
     weight: f64,
@@ -140,8 +140,8 @@
         }
     }
 
-    fn to_part(self, site: u8) -> Part {
-        Part {
+    fn to_part(self, site: u8) -> DigestPart {
+        DigestPart {
             site,
             weight: self.weight as f32,
             square: self.square as f32,
@@ -154,7 +154,7 @@
 
     /// The sums of a received part. `square` is bounded so that it counts for at least one response and at most
     /// [`MAX_EFFECTIVE_RESPONSES`].
-    fn from_part(part: &Part) -> Self {
+    fn from_part(part: &DigestPart) -> Self {
         let weight = f64::from(part.weight);
         let min_square = weight.powi(2) / MAX_EFFECTIVE_RESPONSES;
         Sums {
@@ -247,7 +247,7 @@
     }
 
     /// Half of the sums of the heaviest sites, to be sent to one peer. This instance keeps the other half.
-    pub fn split_half(&mut self, now: Time) -> Vec<Part> {
+    pub fn split_half(&mut self, now: Time) -> Vec<DigestPart> {
         self.decay(now);
         let mut heaviest: Vec<(u8, f64)> =
             self.sites.iter().map(|(site, sums)| (*site, sums.max_weight())).collect();
@@ -264,11 +264,11 @@
     }
 
     /// Merges a half that a peer sent; `members` is the fleet's size, for the peer's rate.
-    pub fn merge(&mut self, now: Time, from: Id, parts: &[Part], members: usize) -> MergeOutcome {
+    pub fn merge(&mut self, now: Time, from: Id, parts: &[DigestPart], members: usize) -> MergeOutcome {
         if !self.take_exchange(now, from, members) || parts.len() > MAX_SITES {
             return MergeOutcome::Rejected;
         }
-        if !parts.iter().all(Part::is_valid) {
+        if !parts.iter().all(DigestPart::is_valid) {
             return MergeOutcome::Rejected;
         }
         self.decay(now);
@@ -286,7 +286,7 @@
     }
 
     /// The share of received parts that is merged: no more weight than this instance has itself.
-    fn merged_share(&self, parts: &[Part]) -> f64 {
+    fn merged_share(&self, parts: &[DigestPart]) -> f64 {
         let (mut own, mut received) = (Sums::default(), Sums::default());
         self.sites.values().for_each(|sums| own.add(sums));
         for part in parts {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -44,7 +44,7 @@
 mod wire;
 
 pub use config::Config;
-pub use digest::{Digest, MergeOutcome, Part, MAX_SITES};
+pub use digest::{Digest, DigestPart, MergeOutcome, MAX_SITES};
 pub use member::{Id, Incarnation, Member, Role, State};
 pub use merge::{compare, refute, Claim, Known, Precedence};
 pub use peer_reports::{PeerReports, ReportVerdict};
@@ -53,5 +53,5 @@
 pub use swim::{Change, Membership, Output};
 pub use view::View;
 pub use wire::{
-    decode, encode, Datagram, Message, Update, WireError, MAX_DATAGRAM_BYTES, MAX_HINT_BYTES, VERSION,
+    decode, encode, Datagram, Message, Update, WireError, MAX_DATAGRAM_BYTES, MAX_HINT_BYTES, WIRE_VERSION,
 };
--- a/crates/membership/src/quorum.rs
+++ b/crates/membership/src/quorum.rs
@@ -69,7 +69,7 @@
 /// only when fewer instances were observed for the whole retention time; never past one over the roster.
 #[derive(Debug, Clone)]
 pub struct FleetSize {
-    roster: u32,
+    expected: u32,
     retention: Micros,
     /// Candidates for the maximum: sizes in falling order, the oldest first.
     observed: VecDeque<ObservedSize>,
@@ -83,8 +83,8 @@
 
 impl FleetSize {
     /// For a roster of this many instances.
-    pub fn new(roster: u32, retention: Micros) -> Self {
-        FleetSize { roster: roster.max(1), retention, observed: VecDeque::new() }
+    pub fn new(expected: u32, retention: Micros) -> Self {
+        FleetSize { expected: expected.max(1), retention, observed: VecDeque::new() }
     }
 
     /// Records an observed size.
@@ -103,22 +103,22 @@
     }
 
     /// Sets the roster's size, as a reload may. A smaller one takes effect after the retention time.
-    pub fn set_roster(&mut self, now: Time, roster: u32) {
-        if roster < self.roster {
-            let former = self.roster;
+    pub fn set_expected(&mut self, now: Time, expected: u32) {
+        if expected < self.expected {
+            let former = self.expected;
             self.observe(now, former);
         }
-        self.roster = roster.max(1);
+        self.expected = expected.max(1);
     }
 
     /// The expected number of instances.
-    pub fn roster(&self) -> u32 {
-        self.roster
+    pub fn expected(&self) -> u32 {
+        self.expected
     }
 
     /// The number of instances that share a fleet-wide limit.
     pub fn effective(&self, now: Time) -> u32 {
         let recent = self.observed.iter().filter(|observed| now.since(observed.at) <= self.retention);
-        recent.map(|observed| observed.size).max().unwrap_or(1).max(self.roster)
+        recent.map(|observed| observed.size).max().unwrap_or(1).max(self.expected)
     }
 }
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -19,7 +19,7 @@
 mod suspicion;
 
 use crate::config::Config;
-use crate::digest::{Digest, MergeOutcome, Part};
+use crate::digest::{Digest, DigestPart, MergeOutcome};
 use crate::member::{Id, Incarnation, Member, Role, State, MAX_EPOCH};
 use crate::quorum::{FleetSize, QuorumState};
 use crate::stats::Stats;
@@ -60,9 +60,9 @@
         /// The new state.
         to: QuorumState,
         /// Reachable members, this instance included.
-        here: u32,
+        reachable: u32,
         /// Expected number of instances.
-        roster: u32,
+        expected: u32,
     },
     /// This process resumed after a stall of this duration.
     ResumedAfterStall(Micros),
@@ -184,13 +184,13 @@
     }
 
     /// The expected number of instances.
-    pub fn roster(&self) -> u32 {
-        self.fleet_size.roster()
+    pub fn expected_size(&self) -> u32 {
+        self.fleet_size.expected()
     }
 
     /// Sets the expected number of instances; at least as many as the roster lists.
     pub fn set_expected_size(&mut self, now: Time, instances: u32) {
-        self.fleet_size.set_roster(now, instances.max(self.config.roster.len() as u32));
+        self.fleet_size.set_expected(now, instances.max(self.config.roster.len() as u32));
     }
 
     /// Lifeguard's local health score: 0 (healthy) to 3.
@@ -204,7 +204,7 @@
     }
 
     /// When [`Membership::tick`] is due.
-    pub fn next(&self) -> Time {
+    pub fn next_deadline(&self) -> Time {
         let digest_exchange = (!self.digest.is_empty()).then_some(self.next_digest_exchange);
         // A tick each interval, even when a poor local health score stretches the protocol period: longer gaps between
         // events mean a stall.
@@ -296,7 +296,7 @@
             .find_map(|_| self.view.draw(self.rng.usize(..)).filter(accepts_digest))
             .map(Destination::of);
         if let Some(target) = target {
-            let parts = Part::encode(&self.digest.split_half(now));
+            let parts = DigestPart::encode(&self.digest.split_half(now));
             let piggyback = Piggyback { updates: Vec::new(), samples: 0 };
             self.send_with(now, target, Message::Digest { parts }, piggyback, out);
         }
@@ -306,7 +306,7 @@
     /// Merges a half of a member's digest.
     fn on_digest(&mut self, now: Time, from: Id, parts: &[u8], out: &mut Vec<Output>) {
         let reachable = self.view.get(from).is_some_and(|m| m.state.is_reachable());
-        let outcome = match Part::decode(parts).filter(|_| reachable) {
+        let outcome = match DigestPart::decode(parts).filter(|_| reachable) {
             Some(parts) => self.digest.merge(now, from, &parts, self.view.size().0 as usize),
             None => MergeOutcome::Rejected,
         };
@@ -343,15 +343,15 @@
         let recovery_time = self.config.recovery_time();
         // Without any datagram for this long the instance is isolated, before each suspicion has timed out.
         let isolated = self.health.is_isolated(now, recovery_time);
-        let here = if isolated { 1 } else { self.view.size().0.round() as u32 };
-        let roster = self.fleet_size.roster();
-        let measured = QuorumState::of(here, roster);
+        let reachable = if isolated { 1 } else { self.view.size().0.round() as u32 };
+        let expected = self.fleet_size.expected();
+        let measured = QuorumState::of(reachable, expected);
         let recovering = self.health.is_recovering(now)
             && (self.health.resumed_after_stall() || measured != QuorumState::Complete);
         let to = if recovering { QuorumState::Recovering } else { measured };
         let from = std::mem::replace(&mut self.quorum_state, to);
         if from != to {
-            out.push(Output::Change(Change::Quorum { from, to, here, roster }));
+            out.push(Output::Change(Change::Quorum { from, to, reachable, expected }));
         }
     }
 
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -18,7 +18,7 @@
 /// The longest payload of a hint.
 pub const MAX_HINT_BYTES: usize = 64;
 /// The version of the format.
-pub const VERSION: u8 = 1;
+pub const WIRE_VERSION: u8 = 1;
 /// The longest authentication tag.
 const MAX_TAG_BYTES: u8 = 16;
 /// The hash of the cluster's name.
@@ -90,7 +90,7 @@
     },
     /// Half of the sender's sums of the digest.
     Digest {
-        /// Encoded by [`crate::Part::encode`].
+        /// Encoded by [`crate::DigestPart::encode`].
         #[serde(with = "serde_bytes")]
         parts: Vec<u8>,
     },
@@ -136,7 +136,7 @@
             WireError::Length => {
                 write!(f, "of a length that no datagram has (at most {MAX_DATAGRAM_BYTES} bytes)")
             }
-            WireError::Version(v) => write!(f, "of form {v}; this program speaks form {VERSION}"),
+            WireError::Version(v) => write!(f, "of form {v}; this program speaks form {WIRE_VERSION}"),
             WireError::Cluster => f.write_str("of another cluster"),
             WireError::Checksum => f.write_str("spoilt on its way"),
             WireError::Malformed => f.write_str("without a meaning"),
@@ -163,7 +163,7 @@
 /// Every message fits without updates.
 pub fn encode(cluster: u64, datagram: &Datagram) -> (Vec<u8>, usize) {
     let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
-    bytes.extend([VERSION, 0]);
+    bytes.extend([WIRE_VERSION, 0]);
     bytes.extend(cluster.to_le_bytes());
     let Datagram { from, incarnation, site, role, ref message, new_updates, ref updates } = *datagram;
     bytes.extend(serialize(&(from, incarnation, site, role, message, new_updates)));
@@ -195,7 +195,7 @@
         return Err(WireError::Length);
     }
     // Before all others: other versions may place the other fields differently.
-    if bytes[0] != VERSION {
+    if bytes[0] != WIRE_VERSION {
         return Err(WireError::Version(bytes[0]));
     }
     let (content, checksum) = bytes.split_at(bytes.len() - CHECKSUM_BYTES);
--- a/crates/membership/tests/digest.rs
+++ b/crates/membership/tests/digest.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use bellcroft_balancer::{FleetState, Micros, Time};
-use bellcroft_membership::{Digest, Id, Membership, MergeOutcome, Part, MAX_DATAGRAM_BYTES, MAX_SITES};
+use bellcroft_membership::{Digest, DigestPart, Id, Membership, MergeOutcome, MAX_DATAGRAM_BYTES, MAX_SITES};
 use bellcroft_simulation::fleet::Link;
 use common::*;
 
@@ -89,7 +89,7 @@
 #[test]
 fn false_sums_shift_average_within_stated_bound() {
     let members = 100;
-    let false_part = [Part {
+    let false_part = [DigestPart {
         site: 0,
         weight: 1e6,
         square: 1.0,
@@ -127,16 +127,23 @@
 
 #[test]
 fn impossible_sums_are_rejected_completely() {
-    let valid =
-        Part { site: 1, weight: 1.0, square: 1.0, latency: 0.5, load: 0.5, requests: 1.0, rejections: 0.0 };
+    let valid = DigestPart {
+        site: 1,
+        weight: 1.0,
+        square: 1.0,
+        latency: 0.5,
+        load: 0.5,
+        requests: 1.0,
+        rejections: 0.0,
+    };
     let invalid = [
-        Part { weight: f32::NAN, ..valid },
-        Part { latency: f32::INFINITY, ..valid },
-        Part { weight: -1.0, ..valid },
-        Part { square: -1.0, ..valid },
-        Part { latency: 2.5, ..valid },
-        Part { load: 2.5, ..valid },
-        Part { rejections: -0.5, ..valid },
+        DigestPart { weight: f32::NAN, ..valid },
+        DigestPart { latency: f32::INFINITY, ..valid },
+        DigestPart { weight: -1.0, ..valid },
+        DigestPart { square: -1.0, ..valid },
+        DigestPart { latency: 2.5, ..valid },
+        DigestPart { load: 2.5, ..valid },
+        DigestPart { rejections: -0.5, ..valid },
     ];
     let now = Time(1_000_000);
     for part in invalid {
@@ -148,7 +155,7 @@
     assert_eq!(digest.merge(now, Id(1), &[valid; MAX_SITES + 1], 10), MergeOutcome::Rejected);
     assert_eq!(digest.merge(now, Id(2), &[valid], 10), MergeOutcome::Complete);
     assert_eq!(digest.sites().map(|(site, state)| (site, state.latency)).collect::<Vec<_>>(), [(1, 0.5)]);
-    assert_eq!(Part::decode(&[0xff; 40]), None);
+    assert_eq!(DigestPart::decode(&[0xff; 40]), None);
 }
 
 #[test]
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -19,9 +19,9 @@
     (3..63).for_each(|s| size.observe(at(s), 20));
     assert_eq!(size.effective(at(62)), 40);
     assert_eq!(size.effective(at(63)), 20, "a minute after they were last observed");
-    size.set_roster(at(64), 30);
-    assert_eq!((size.effective(at(64)), size.roster()), (30, 30));
-    size.set_roster(at(70), 5);
+    size.set_expected(at(64), 30);
+    assert_eq!((size.effective(at(64)), size.expected()), (30, 30));
+    size.set_expected(at(70), 5);
     assert_eq!(size.effective(at(70)), 30, "a smaller roster too");
     assert_eq!(size.effective(at(131)), 5);
 }
--- a/crates/simulation/src/engine/peers.rs
+++ b/crates/simulation/src/engine/peers.rs
@@ -4,7 +4,7 @@
 //! delay as the scenario says.
 
 use super::*;
-use bellcroft_membership::{Id, Part, PeerReports, ReportVerdict};
+use bellcroft_membership::{DigestPart, Id, PeerReports, ReportVerdict};
 
 /// One instance's part of it.
 pub(super) struct Talk {
@@ -101,7 +101,7 @@
             let parts = own.talk.digest.split_half(now);
             self.outcome.digests += 1;
             if let Some(way) = self.way_over(instance, to) {
-                let bytes = Part::encode(&parts);
+                let bytes = DigestPart::encode(&parts);
                 self.at(now + way, Happening::Handed(to, instance, bytes));
             }
         }
@@ -112,7 +112,7 @@
     pub(super) fn handed(&mut self, instance: usize, from: usize, parts: &[u8]) {
         let (now, members) = (self.now, self.instances.len());
         let digest = &mut self.instances[instance].talk.digest;
-        digest.merge(now, Id(from as u32), &Part::decode(parts).unwrap_or_default(), members);
+        digest.merge(now, Id(from as u32), &DigestPart::decode(parts).unwrap_or_default(), members);
         let state = digest.fleet(now);
         self.tell(instance, Event::Fleet(state));
     }
--- a/crates/simulation/src/fleet.rs
+++ b/crates/simulation/src/fleet.rs
@@ -45,7 +45,7 @@
 
 impl Peer for Membership {
     fn next(&self) -> Time {
-        Membership::next(self)
+        Membership::next_deadline(self)
     }
     fn tick(&mut self, now: Time, out: &mut Vec<Output>) {
         Membership::tick(self, now, out);
