--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -5,44 +5,44 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The configuration of an instance's membership. Durations, factors and limits must be equal at all members: the bounds on
-/// the operators' page rest on them.
+/// The configuration of an instance's membership. Durations, factors and limits must be equal at all members:
+/// [`Config::detection_bound`] assumes so.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// The cluster's name; datagrams of other clusters are rejected.
+    /// Name of the cluster; datagrams of other clusters are rejected.
     pub cluster: String,
-    /// This instance's own number.
+    /// Member number of this instance.
     pub number: Id,
-    /// The addresses of all members by number; empty where only seeds are configured.
+    /// Addresses of all members by number; empty if only seeds are configured.
     pub roster: Arc<[SocketAddr]>,
-    /// Addresses to contact first, without a roster.
+    /// Addresses that an instance without a roster contacts to join.
     pub seeds: Vec<SocketAddr>,
-    /// Expected number of instances; the roster's length is its lower bound.
+    /// Expected number of instances; at least the roster's length.
     pub instances: u32,
-    /// This instance's site.
+    /// Site of this instance.
     pub site: u8,
-    /// This instance's role.
+    /// Role of this instance.
     pub role: Role,
-    /// The protocol period: time from one probe to the next.
+    /// Protocol period: the time from one probe to the next.
     pub probe_interval: Micros,
     /// Timeout of a probe, in protocol periods.
     pub probe_timeout_periods: f64,
-    /// Minimum timeout of a suspicion, in protocol periods for each power of ten of the fleet's size ...
+    /// Minimum timeout of a suspicion, in protocol periods for each power of ten of the fleet's size.
     pub min_suspicion_periods: f64,
-    /// ... and its maximum, for an unconfirmed suspicion, as a multiple of the minimum.
+    /// Maximum timeout of a suspicion, for an unconfirmed one, as a multiple of the minimum.
     pub max_suspicion_factor: f64,
     /// Capacity of the view; in a larger fleet the view is a sample.
     pub max_members: usize,
-    /// How long an observed fleet size counts after the last time it was observed.
+    /// Time for which an observed fleet size counts after its last observation.
     pub size_retention: Micros,
-    /// How long an unreachable member outside of the roster is kept.
+    /// Time after which an unreachable member that the roster does not list is removed from the view.
     pub member_retention: Micros,
-    /// Lifeguard's local health awareness; only comparisons switch it off.
+    /// Whether Lifeguard's local health awareness is on; off only in experiments that compare protocols.
     pub local_health_awareness: bool,
 }
 
 impl Config {
-    /// The defaults, for a member of a cluster.
+    /// The default configuration of a member.
     pub fn new(cluster: &str, number: u32, roster: impl Into<Arc<[SocketAddr]>>) -> Self {
         let roster = roster.into();
         Config {
@@ -64,12 +64,12 @@
         }
     }
 
-    /// A gap of this length between two events means a stall of the process.
+    /// The shortest gap between two events that counts as a stall of the process.
     pub fn stall_threshold(&self) -> Micros {
         (self.probe_interval * 2.0).max(Micros::from_ms(1000.0))
     }
 
-    /// How long an instance suspects no member after a start or a stall.
+    /// The time after a start or a stall in which an instance suspects no member.
     pub fn recovery_time(&self) -> Micros {
         self.probe_interval * 6.0
     }
@@ -79,9 +79,9 @@
         self.instances.max(self.roster.len() as u32).max(1)
     }
 
-    /// An upper bound of the time from a member's crash until all others in a fleet of this size hold it for dead, on healthy
-    /// links: two periods until it is probed, the probe's timeout, the longest suspicion, gossip to all (one period for each
-    /// doubling), and a failed probe of each receiver.
+    /// An upper bound of the time from a member's crash until all others in a fleet of this size have declared it dead, on
+    /// healthy links: two periods until it is probed, the probe's timeout, the longest suspicion, gossip to all members (one
+    /// period for each doubling), and a failed probe by each receiver.
     pub fn detection_bound(&self, members: u32) -> Micros {
         let size = f64::from(members.max(2));
         let suspicion = self.min_suspicion_periods * size.log10().max(1.0) * self.max_suspicion_factor;
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,10 +1,10 @@
-//! The digest: a decaying average of what all instances together observe of the fleet's servers, by site.
+//! The digest: decaying averages of the latency, load and rejections that all instances observe, by site.
 //!
 //! Push-sum (Kempe, Dobra, Gehrke: "Gossip-based computation of aggregate information", FOCS 2003) over decaying sums. An
-//! observed response is one unit of weight at its server's site. In each period an instance hands half of its sums to a
+//! observed response is one unit of weight at its server's site. In each period an instance sends half of its sums to a
 //! member drawn at random and keeps the other half. Weight is moved and never copied, so repeated exchanges do not amplify
-//! an observation, and a lost datagram takes weight and value alike and leaves the mean as it was. After a few periods each
-//! instance holds a little of what very many have observed.
+//! an observation; a lost datagram removes the same share of weight and value, and the mean does not change. After a few
+//! periods the sums of each instance contain observations of very many instances.
 
 use crate::member::Id;
 use crate::wire::serialize;
@@ -12,60 +12,61 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Time between exchanges while responses are slow or requests are rejected ...
+/// Time between exchanges while the fleet is busy: responses are slow or requests are rejected.
 const BUSY_EXCHANGE_INTERVAL: Micros = Micros(50_000);
-/// ... and while neither is so.
+/// Time between exchanges while the fleet is not busy.
 const QUIET_EXCHANGE_INTERVAL: Micros = Micros(200_000);
-/// Responses are slow from this share of their latency target.
+/// Share of the latency target above which responses are slow.
 const BUSY_LATENCY: f64 = 0.35;
-/// Rejections count from this share of requests: more than single ones.
+/// Share of rejected requests above which the fleet is busy; a few single rejections stay below it.
 const BUSY_REJECTION_RATIO: f64 = 0.01;
-/// Sums decay by 1/e in this time.
+/// Time in which sums decay by 1/e.
 const DECAY_MS: f64 = 250.0;
-/// Sites in an exchange at most, the heaviest first: bounds the datagram.
+/// Maximum number of sites in an exchange, the heaviest first: bounds the length of the datagram.
 pub const MAX_SITES: usize = 6;
-/// A site with less weight is not handed over.
+/// Minimum weight of a site that is sent in an exchange.
 const MIN_EXCHANGED_WEIGHT: f64 = 0.02;
-/// A site with less weight is dropped.
+/// Minimum weight of a site that is kept.
 const MIN_KEPT_WEIGHT: f64 = MIN_EXCHANGED_WEIGHT / 100.0;
-/// The number of responses that a digest counts for at most: an average of more is no surer.
+/// Maximum effective number of responses of a digest: the average over more of them is not more reliable.
 const MAX_EFFECTIVE_RESPONSES: f64 = 32.0;
-/// Bound of one response's latency and load, as shares of its target: single outliers and false parts stay small.
+/// Maximum latency and load of one response, as shares of the latency target: limits the effect of single outliers and of
+/// false parts.
 const MAX_TARGET_SHARE: f64 = 1.2;
-/// Tolerance for `f32` rounding where a part's sums are checked against [`MAX_TARGET_SHARE`].
+/// Tolerance for `f32` rounding when a part's sums are checked against [`MAX_TARGET_SHARE`].
 const ROUNDING_TOLERANCE: f32 = 1.001;
-/// A received half counts for at most this share of the receiver's own weight, or one response if that is more.
+/// Maximum weight of a received half, as a share of the receiver's own weight; at least one response is merged.
 const MAX_MERGED_WEIGHT_SHARE: f64 = 1.0;
 /// Avoids a division by zero for parts without weight.
 const MIN_RECEIVED_WEIGHT: f64 = 1e-9;
-/// Exchanges that a peer may save up ...
+/// Maximum number of exchanges that a peer may save up.
 const MAX_SAVED_EXCHANGES: f64 = 3.0;
-/// ... and its rate, as a multiple of the rate at which a random draw of the receiver gives it one.
+/// Maximum rate of a peer's exchanges with this instance, as a multiple of the mean rate at which random draws select it.
 const MAX_EXCHANGE_RATE: f64 = 2.0;
-/// Peers whose exchanges are counted; past it those without a recent one are dropped.
+/// Maximum number of peers whose exchanges are counted; beyond it, peers without a recent exchange are discarded.
 const MAX_PEERS: usize = 4096;
 
-/// The sums of one site in an exchange; each may come from many instances.
+/// The sums of one site in an exchange; each sum may contain observations of many instances.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct DigestPart {
-    /// The site.
+    /// Number of the site.
     pub site: u8,
-    /// The weight of all responses.
+    /// Sum of the weights of all responses.
     pub weight: f32,
-    /// The squares of the single weights: `weight`² / `square` is the effective number of responses.
+    /// Sum of the squared weights of all responses: `weight`² / `square` is the effective number of responses.
     pub square: f32,
-    /// Weighted latency, as a share of the latency target.
+    /// Weighted sum of latencies, as shares of the latency target.
     pub latency: f32,
-    /// Weighted latency that the servers' load predicts, likewise.
+    /// Weighted sum of the latencies that the servers' load predicts, as shares of the latency target.
     pub load: f32,
-    /// Requests that instances of the site received.
+    /// Weighted number of requests that instances of the site received.
     pub requests: f32,
-    /// Requests that instances of the site rejected.
+    /// Weighted number of requests that instances of the site rejected.
     pub rejections: f32,
 }
 
 impl DigestPart {
-    /// The encoding of some parts.
+    /// Encodes parts for a datagram.
     pub fn encode(parts: &[DigestPart]) -> Vec<u8> {
         serialize(&parts)
     }
@@ -75,7 +76,7 @@
         postcard::from_bytes(bytes).ok()
     }
 
-    /// Whether responses can have added up to these sums.
+    /// Whether these sums can result from valid observations.
     fn is_valid(&self) -> bool {
         let max = self.weight * MAX_TARGET_SHARE as f32 * ROUNDING_TOLERANCE;
         let sums = [self.weight, self.square, self.latency, self.load, self.requests, self.rejections];
@@ -95,7 +96,7 @@
 }
 
 impl Sums {
-    /// The share of these sums that a split or a bounded merge takes: weights scale, their squares scale twice.
+    /// Scales these sums, for a split or a limited merge: each single weight is scaled, so its square is scaled twice.
     fn scale(&mut self, factor: f64) {
         for sum in
             [&mut self.weight, &mut self.latency, &mut self.load, &mut self.requests, &mut self.rejections]
@@ -105,7 +106,8 @@
         self.square *= factor * factor;
     }
 
-    /// Decay. All sums alike, the squares too: an old observation counts for fewer responses, whoever made it.
+    /// Scales all sums by the same factor, the squares too, so that an old observation counts for fewer responses, whichever
+    /// instance made it.
     fn decay(&mut self, factor: f64) {
         self.weight *= factor;
         self.square *= factor;
@@ -124,18 +126,18 @@
         self.rejections += other.rejections;
     }
 
-    /// The greater of the weights of responses and of requests.
+    /// The larger of the weight of responses and the number of requests.
     fn max_weight(&self) -> f64 {
         self.weight.max(self.requests)
     }
 
     fn state(&self) -> FleetState {
-        let ratio = |sum: f64, of: f64| if of > 0.0 { sum / of } else { 0.0 };
+        let ratio = |sum: f64, total: f64| if total > 0.0 { sum / total } else { 0.0 };
         FleetState {
             weight: ratio(self.weight * self.weight, self.square).min(MAX_EFFECTIVE_RESPONSES),
             latency: ratio(self.latency, self.weight),
             load: ratio(self.load, self.weight),
-            // A rejection may be recorded after its request has decayed a little.
+            // Above 1 if a rejection is recorded after its request has decayed a little.
             shed: ratio(self.rejections, self.requests).min(1.0),
         }
     }
@@ -168,39 +170,39 @@
     }
 }
 
-/// The exchanges that a peer may still make.
+/// A token bucket: the number of exchanges that a peer may still make.
 #[derive(Debug, Clone, Copy)]
 struct ExchangeAllowance {
     updated: Time,
     exchanges: f64,
 }
 
-/// What became of a received half.
+/// The outcome of merging a received half.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// All of it was merged.
+    /// The complete half was merged.
     Complete,
-    /// It was heavier than the receiver's own weight, and a share of it was merged.
+    /// The half had more weight than the receiver's own sums, and only a share of it was merged.
     Partial,
-    /// The peer exchanges too often, or no responses can have added up to the sums.
+    /// The peer exchanges too often, or the half is malformed or contains impossible sums.
     Rejected,
 }
 
 /// One instance's part of the digest.
 ///
-/// A peer that sends false sums has no more weight at a receiver than the receiver itself, and exchanges at most twice as
-/// often as a random draw among n members would give it. A fifth of all weight decays in a period of 50 ms, so the peer holds
-/// at most 2 parts in 2 + n/5 of the digest, and shifts the averages by that share of 1.2 targets.
+/// A peer that sends false sums has no more weight at a receiver than the receiver itself, and its rate of exchanges is at
+/// most twice the rate of random draws among n members. A fifth of all weight decays in a period of 50 ms, so the peer
+/// contributes at most 2 parts in 2 + n/5 of the digest, and shifts the averages by that share of 1.2 latency targets.
 #[derive(Debug, Clone, Default)]
 pub struct Digest {
     sites: BTreeMap<u8, Sums>,
-    /// When the sums were last decayed.
+    /// Time up to which the sums have decayed.
     decayed_at: Time,
     allowances: BTreeMap<Id, ExchangeAllowance>,
 }
 
 impl Digest {
-    /// The share of the sums that is left after the decay until now.
+    /// The share of the sums that remains after the decay up to now.
     fn decay_factor(&self, now: Time) -> f64 {
         (-now.since(self.decayed_at).ms() / DECAY_MS).exp()
     }
@@ -230,23 +232,23 @@
         self.record(now, site, Sums { requests: 1.0, ..Sums::default() });
     }
 
-    /// Records that one of those was rejected.
+    /// Records that this instance, at this site, rejected one of its recorded requests.
     pub fn record_rejection(&mut self, now: Time, site: u8) {
         self.record(now, site, Sums { rejections: 1.0, ..Sums::default() });
     }
 
-    /// Whether no sums are kept at all.
+    /// Whether there are no sums of any site.
     pub fn is_empty(&self) -> bool {
         self.sites.is_empty()
     }
 
-    /// Whether there is anything to hand over.
+    /// Whether any site has enough weight for an exchange.
     pub fn has_data(&self, now: Time) -> bool {
         let factor = self.decay_factor(now);
         self.sites.values().any(|sums| sums.max_weight() * factor > MIN_EXCHANGED_WEIGHT)
     }
 
-    /// Half of the sums of the heaviest sites, to be sent to one peer. This instance keeps the other half.
+    /// Removes and returns half of the sums of the heaviest sites, to be sent to one peer.
     pub fn split_half(&mut self, now: Time) -> Vec<DigestPart> {
         self.decay(now);
         let mut heaviest: Vec<(u8, f64)> =
@@ -263,9 +265,9 @@
         parts
     }
 
-    /// Merges a half that a peer sent; `members` is the fleet's size, for the peer's rate.
+    /// Merges a half that a peer sent; `members` is the fleet's size, which limits the peer's rate.
     pub fn merge(&mut self, now: Time, from: Id, parts: &[DigestPart], members: usize) -> MergeOutcome {
-        if !self.take_exchange(now, from, members) || parts.len() > MAX_SITES {
+        if !self.try_consume_exchange(now, from, members) || parts.len() > MAX_SITES {
             return MergeOutcome::Rejected;
         }
         if !parts.iter().all(DigestPart::is_valid) {
@@ -285,7 +287,7 @@
         }
     }
 
-    /// The share of received parts that is merged: no more weight than this instance has itself.
+    /// The share of received parts that is merged, so that they add no more weight than this instance's own sums have.
     fn merged_share(&self, parts: &[DigestPart]) -> f64 {
         let (mut own, mut received) = (Sums::default(), Sums::default());
         self.sites.values().for_each(|sums| own.add(sums));
@@ -299,9 +301,10 @@
         share(received.weight, own.weight).min(share(received.requests, own.requests))
     }
 
-    /// Takes one of a peer's exchanges; false if it has none left. A random draw picks this instance once in `members`
-    /// periods on average. An honest peer that is rejected loses weight and value alike, as with a lost datagram.
-    fn take_exchange(&mut self, now: Time, from: Id, members: usize) -> bool {
+    /// Consumes one exchange of a peer's allowance; false if none is left. A random draw selects this instance once in
+    /// `members` periods on average. If the exchange of a correct peer is rejected, the same share of weight and value is
+    /// lost, as with a lost datagram.
+    fn try_consume_exchange(&mut self, now: Time, from: Id, members: usize) -> bool {
         let interval = BUSY_EXCHANGE_INTERVAL * (members as f64 / MAX_EXCHANGE_RATE).max(1.0);
         if self.allowances.len() >= MAX_PEERS {
             let full_after = interval * MAX_SAVED_EXCHANGES;
@@ -317,7 +320,7 @@
         allowed
     }
 
-    /// The state of the whole fleet, as known here.
+    /// The average state of all sites, as known to this instance.
     pub fn fleet(&self, now: Time) -> FleetState {
         let mut total = Sums::default();
         self.sites.values().for_each(|sums| total.add(sums));
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -6,31 +6,39 @@
 //!
 //! # States
 //!
-//! A member goes from [`State::Absent`] (listed, never seen) to `Alive`, by failed probes to `Suspect` and `Dead`, by its own
-//! report to `Left`, and back to `Alive` by a later [`Incarnation`] or an ack. [`QuorumState`] sums up how many of the
-//! expected instances are reachable.
+//! A member's state changes from [`State::Absent`] (listed, never seen) to `Alive`, by failed probes to `Suspect` and `Dead`,
+//! by its own report to `Left`, and back to `Alive` by a later [`Incarnation`] or an ack. [`QuorumState`] states how many of
+//! the expected instances are reachable.
 //!
 //! # Differences from SWIM
 //!
-//! - Another member's accusation is advice: it begins a suspicion and a probe. Only a failed probe of this instance makes a
-//!   member dead here. Updates keep the name of the member that observed the state.
+//! - An accusation by another member only starts a suspicion and a probe. An instance declares a member dead only after its
+//!   own probe of that member has failed. Updates carry the number of the member that observed the state.
 //! - After a stall of its process an instance suspects no member until its recovery time has passed.
-//! - Limits of the whole fleet are shared by the roster's size or the largest size observed recently
-//!   ([`Membership::effective_size`]), never by the members that answer now.
+//! - Fleet-wide limits are divided by the expected size or the largest size observed recently
+//!   ([`Membership::effective_size`]), not by the number of members that are reachable now.
 //!
-//! Nothing is stored on disk. An [`Incarnation`] begins with the wall clock of the process's start, so a restarted member
-//! supersedes updates about its former process; where its clock was set back, it learns of the former epoch from the others
-//! and goes past it.
+//! Nothing is stored on disk. An [`Incarnation`] starts with the wall-clock time of the process's start, so a restarted member
+//! supersedes updates about its former process. If its clock was set back, the member learns of the former epoch from the
+//! other members and chooses a later one.
 //!
 //! # Units and errors
 //!
-//! Time is [`bellcroft_balancer::Time`] in microseconds of a monotonic clock; epochs are Unix milliseconds. Malformed or
-//! foreign datagrams are counted by [`RejectReason`] and otherwise ignored; only [`decode`] returns an error.
+//! Time is [`bellcroft_balancer::Time`] in microseconds of a monotonic clock; epochs are Unix milliseconds. Malformed
+//! datagrams and those of other clusters are counted by [`RejectReason`] and otherwise ignored; only [`decode`] returns an
+//! error.
 //!
 //! # Modules
 //!
-//! `swim` is the protocol, `view` the members, `merge` the precedence of updates, `wire` the datagrams, `quorum` the quorum
-//! state and the fleet's size, `digest` the averages over the fleet's servers, `peer_reports` the bounds on hints.
+//! | module | content |
+//! | --- | --- |
+//! | `swim` | the protocol's state machine |
+//! | `view` | the members that an instance knows |
+//! | `merge` | the precedence of updates |
+//! | `wire` | the encoding of datagrams |
+//! | `quorum` | the quorum state and the fleet's size |
+//! | `digest` | averages over the fleet's servers |
+//! | `peer_reports` | limits on hints about servers |
 
 mod config;
 mod digest;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -8,16 +8,18 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Id(pub u32);
 
-/// Orders updates about a member: by its epoch first, then by its counter.
+/// A member's incarnation: orders updates about the member, by epoch first and then by counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// The start of its process in Unix milliseconds by its own clock, or later if it had to go past a former epoch.
+    /// Start of the member's process in Unix milliseconds by its own clock, or a later time that exceeds the epoch of a former
+    /// process.
     pub epoch: u64,
-    /// Raised by each refutation.
+    /// Number of refutations in this epoch; incremented by each.
     pub counter: u32,
 }
 
-/// Epochs from here on are rejected: no clock shows them, and no member could go past them. 2^47 ms is the year 6429.
+/// Epochs from this one on are rejected: no real clock shows them (2^47 ms is the year 6429), and a member could not choose a
+/// later one.
 pub(crate) const MAX_EPOCH: u64 = 1 << 47;
 
 /// The role of a member.
@@ -25,22 +27,22 @@
 pub enum Role {
     /// Serves an application's requests.
     Agent,
-    /// Takes part in membership only; receives no digests.
+    /// Takes part in membership only, and receives no digests.
     Observer,
 }
 
-/// The state of a member, as one instance holds it.
+/// The state of a member, as known to one instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum State {
-    /// Listed in the roster, and never seen.
+    /// The roster lists the member, and this instance has never seen it.
     Absent,
-    /// Answers, or was reported so without evidence against it.
+    /// The member acks probes, or was reported alive without evidence against it.
     Alive,
-    /// Accused, and still able to refute.
+    /// The member was accused, and can still refute the accusation.
     Suspect,
-    /// The suspicion timed out, and a probe of this instance failed.
+    /// The suspicion timed out, and a probe by this instance failed.
     Dead,
-    /// Reported its own leave.
+    /// The member has reported that it leaves.
     Left,
 }
 
@@ -56,31 +58,31 @@
         }
     }
 
-    /// Alive or suspect: a suspect counts as reachable until it is dead.
+    /// Whether the member is alive or suspect: a suspect counts as reachable until it is declared dead.
     pub fn is_reachable(self) -> bool {
         matches!(self, State::Alive | State::Suspect)
     }
 }
 
-/// A member, as one instance holds it.
+/// A member, as known to one instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// The member's number.
+    /// Number of the member.
     pub id: Id,
-    /// Its latest known incarnation.
+    /// Latest known incarnation.
     pub incarnation: Incarnation,
-    /// What is held of it.
+    /// Current state.
     pub state: State,
-    /// Since when it has the state.
+    /// Time of the last change of `state`.
     pub since: Time,
-    /// The member whose observation led to the state; the member itself for its own reports.
+    /// Member whose observation led to the state; the member itself for its own reports.
     pub reported_by: Id,
-    /// Its address.
+    /// Address of the member.
     pub address: SocketAddr,
-    /// Its site, as the platform's settings number sites.
+    /// Number of the member's site in the platform's settings.
     pub site: u8,
-    /// What it is for.
+    /// Role of the member.
     pub role: Role,
-    /// When it last acked a probe of this instance, in its current epoch.
+    /// Time of the last ack of a ping by this instance, in the member's current epoch.
     pub last_ack: Option<Time>,
 }
--- a/crates/membership/src/merge.rs
+++ b/crates/membership/src/merge.rs
@@ -1,42 +1,42 @@
-//! The precedence of updates, and refutation. Pure functions, so that `tests/explore.rs` can play them in every order.
+//! The precedence of updates, and refutation. Pure functions, so that `tests/explore.rs` can check them in every order.
 
 use crate::member::{Incarnation, State};
 use crate::wire::Update;
 
-/// How far ahead (milliseconds) a false epoch of this instance may be for the instance to go past it. 400 days: clocks that
-/// are set back stay within it, and false claims cannot drive epochs to their maximum.
+/// The maximum lead in milliseconds of a claimed epoch of this instance over its own for which the instance chooses a later
+/// epoch. 400 days exceed the amount by which a clock is set back, and false claims cannot drive epochs to their maximum.
 const MAX_EPOCH_LEAD_MS: u64 = 400 * 24 * 3_600_000;
 
-/// What an update means to its receiver.
+/// The effect of an update on its receiver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Precedence {
-    /// Nothing: it is old, or known.
+    /// No effect: the update is outdated or already known.
     Ignored,
     /// The receiver has to probe the member: an accusation, or the claim that a reachable member has restarted.
     Suspect,
-    /// The member is alive in that incarnation.
+    /// The member is alive in the claimed incarnation.
     Alive,
     /// The member itself reports that it leaves.
     Left,
 }
 
-/// What a receiver knows of a member.
+/// The receiver's knowledge of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Known {
-    /// The member's latest incarnation.
+    /// Latest known incarnation of the member.
     pub incarnation: Incarnation,
-    /// The member's state.
+    /// Known state of the member.
     pub state: State,
-    /// The member has acked a ping of the receiver in this epoch.
+    /// Whether the member has acked a ping of the receiver in this epoch.
     pub acked: bool,
 }
 
-/// What an update claims of a member.
+/// The claim that an update makes about a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Claim {
-    /// The incarnation that the claim is about.
+    /// Incarnation that the claim is about.
     pub incarnation: Incarnation,
-    /// The claimed state.
+    /// Claimed state.
     pub state: State,
 }
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// Compares a claim with what is known. `from_member`: the member itself sent it.
+/// Compares a claim with the receiver's knowledge. `from_member` is true if the member itself sent the claim.
 pub fn compare(known: Known, claim: Claim, from_member: bool) -> Precedence {
     if claim.incarnation < known.incarnation {
         return Precedence::Ignored;
@@ -54,8 +54,8 @@
     let new_epoch = claim.incarnation.epoch > known.incarnation.epoch;
     match claim.state {
         State::Absent => Precedence::Ignored,
-        // The member has answered here, so its own answer decides. Otherwise a false epoch would stand where the member
-        // cannot go past it.
+        // The member has acked a ping of the receiver, so another probe decides. Otherwise a false epoch would persist that
+        // is too far ahead for the member to choose a later one.
         State::Alive if new_epoch && known.acked && known.state.is_reachable() => Precedence::Suspect,
         State::Alive if claim.incarnation > known.incarnation || known.state == State::Absent => {
             Precedence::Alive
@@ -66,16 +66,17 @@
     }
 }
 
-/// The incarnation that refutes a claim about this instance; none if the claim is true, old, or too far ahead.
+/// The incarnation that refutes a claim about this instance; none if the claim is true or outdated, or if its epoch is too far
+/// ahead.
 pub fn refute(own: Incarnation, claim: Claim) -> Option<Incarnation> {
     let claimed = claim.incarnation;
     if claimed < own || (claimed == own && claim.state == State::Alive) {
         return None;
     }
     if claimed.epoch > own.epoch {
-        // A former process of this number, before its clock was set back; or a false claim.
-        let reachable = claimed.epoch - own.epoch <= MAX_EPOCH_LEAD_MS;
-        return reachable.then_some(Incarnation { epoch: claimed.epoch + 1, counter: 0 });
+        // The claim is about a former process with this number, from before the clock was set back; or it is false.
+        let within_lead = claimed.epoch - own.epoch <= MAX_EPOCH_LEAD_MS;
+        return within_lead.then_some(Incarnation { epoch: claimed.epoch + 1, counter: 0 });
     }
     Some(match claimed.counter.checked_add(1) {
         Some(counter) => Incarnation { counter, ..own },
--- a/crates/membership/src/quorum.rs
+++ b/crates/membership/src/quorum.rs
@@ -1,4 +1,5 @@
-//! The quorum state: how many of the expected instances are reachable; and the size that fleet-wide limits are shared by.
+//! The quorum state, which states how many of the expected instances are reachable, and the size by which fleet-wide limits
+//! are divided.
 
 use bellcroft_balancer::{Micros, Time};
 use std::collections::VecDeque;
@@ -7,22 +8,22 @@
 /// does in each state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuorumState {
-    /// After a start or a stall: the view is not reliable yet.
+    /// The process has started or resumed after a stall, and its view is not reliable yet.
     Recovering,
     /// No other instance is reachable.
     Isolated,
     /// Half of the expected instances or fewer are reachable.
     Minority,
-    /// More than half are reachable, and a quarter or more is missing.
+    /// More than half of the expected instances are reachable, and a quarter or more is missing.
     Majority,
-    /// Less than a quarter is missing.
+    /// Less than a quarter of the expected instances is missing.
     Degraded,
-    /// All are reachable.
+    /// All expected instances are reachable.
     Complete,
 }
 
 impl QuorumState {
-    /// All states, in the order of their numbers in metrics.
+    /// All states, in the order of their values in metrics.
     pub const ALL: [QuorumState; 6] = [
         QuorumState::Recovering,
         QuorumState::Isolated,
@@ -44,8 +45,8 @@
         }
     }
 
-    /// The state by reachable and expected instances. Always against the expected number: two halves of a partition that
-    /// count only themselves would both be complete.
+    /// The state for these numbers of reachable and expected instances. The expected number is fixed: if each half of a
+    /// partition counted only itself, both would be complete.
     pub(crate) fn of(reachable: u32, expected: u32) -> Self {
         let missing = u64::from(expected.saturating_sub(reachable));
         let expected = u64::from(expected);
@@ -66,12 +67,12 @@
 /// The largest fleet size observed within the retention time.
 ///
 /// An instance's share of a fleet-wide limit is one over this size. The share shrinks at once when the fleet grows, and grows
-/// only when fewer instances were observed for the whole retention time; never past one over the roster.
+/// only after fewer instances were observed for the complete retention time. It never exceeds one over the expected size.
 #[derive(Debug, Clone)]
 pub struct FleetSize {
     expected: u32,
     retention: Micros,
-    /// Candidates for the maximum: sizes in falling order, the oldest first.
+    /// Candidates for the maximum, from the oldest and largest to the latest and smallest.
     observed: VecDeque<ObservedSize>,
 }
 
@@ -82,7 +83,7 @@
 }
 
 impl FleetSize {
-    /// For a roster of this many instances.
+    /// A fleet of this expected number of instances.
     pub fn new(expected: u32, retention: Micros) -> Self {
         FleetSize { expected: expected.max(1), retention, observed: VecDeque::new() }
     }
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Sets the roster's size, as a reload may. A smaller one takes effect after the retention time.
+    /// Sets the expected number of instances, for a reload. A smaller number takes effect after the retention time.
     pub fn set_expected(&mut self, now: Time, expected: u32) {
         if expected < self.expected {
             let former = self.expected;
--- a/crates/membership/src/stats.rs
+++ b/crates/membership/src/stats.rs
@@ -2,21 +2,21 @@
 
 use crate::wire::WireError;
 
-/// Why a datagram was rejected.
+/// The reason for which a datagram was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectReason {
-    /// It is malformed, or of another cluster.
+    /// The datagram is malformed or of another cluster.
     Wire(WireError),
-    /// Its source is not its sender's address.
+    /// The datagram's source is not its sender's address.
     AddressMismatch,
-    /// Its sender has restarted since.
+    /// The datagram is of a former process of its sender.
     StaleIncarnation,
-    /// It claims to be from this instance itself.
+    /// The datagram carries this instance's own number.
     OwnIdentity,
 }
 
 impl RejectReason {
-    /// The reasons' labels in metrics, by their indices in [`Stats::rejected`].
+    /// The labels of the reasons in metrics, by index in [`Stats::rejected`].
     pub const LABELS: [&'static str; 8] =
         ["length", "version", "cluster", "spoilt", "meaning", "stranger", "former", "own"];
 
@@ -37,26 +37,26 @@
 /// Counters since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Datagrams sent.
+    /// Number of datagrams sent.
     pub sent_datagrams: u64,
-    /// Bytes of those.
+    /// Total size of the datagrams sent.
     pub sent_bytes: u64,
-    /// Datagrams received and accepted.
+    /// Number of datagrams received and accepted.
     pub accepted_datagrams: u64,
-    /// Bytes of those.
+    /// Total size of the datagrams accepted.
     pub accepted_bytes: u64,
-    /// Datagrams rejected, by [`RejectReason::LABELS`].
+    /// Number of datagrams rejected, by [`RejectReason::LABELS`].
     pub rejected: [u64; 8],
-    /// Probes begun.
+    /// Number of probes started.
     pub probes_sent: u64,
-    /// Probes that timed out.
+    /// Number of probes that timed out.
     pub probes_failed: u64,
-    /// Members that were declared dead here and were alive in the same epoch afterwards.
+    /// Number of times that a member declared dead by this instance was alive in the same epoch afterwards.
     pub false_deaths: u64,
-    /// Accusations of this member that it has refuted.
+    /// Number of accusations of this instance that it has refuted.
     pub refutations: u64,
-    /// Stalls of this process.
+    /// Number of stalls of this process.
     pub stalls: u64,
-    /// Received halves of the digest, by [`MergeOutcome`](crate::MergeOutcome).
+    /// Number of received digest halves, by [`MergeOutcome`](crate::MergeOutcome).
     pub digests: [u64; 3],
 }
--- a/crates/membership/src/swim/incoming.rs
+++ b/crates/membership/src/swim/incoming.rs
@@ -117,8 +117,10 @@
     /// Whether the sender answers a pending ping in an earlier epoch than the known one, and that one is taken back.
     fn disproves_known_epoch(&mut self, datagram: &Datagram) -> bool {
         match datagram.message {
-            Message::Ack { seq, of, incarnation } if of == datagram.from && self.is_ping_pending(seq, of) => {
-                self.lower_unproven_epoch(of, incarnation)
+            Message::Ack { seq, target, incarnation }
+                if target == datagram.from && self.is_ping_pending(seq, target) =>
+            {
+                self.lower_unproven_epoch(target, incarnation)
             }
             _ => false,
         }
@@ -184,8 +186,8 @@
             Message::PingRequest { seq, target, address } => {
                 self.relay_ping(now, sender, PingRequest { seq, target, address }, out);
             }
-            Message::Ack { seq, of, incarnation } => {
-                self.on_ack(now, datagram.from, Ack { seq, of, incarnation }, out);
+            Message::Ack { seq, target, incarnation } => {
+                self.on_ack(now, datagram.from, Ack { seq, target, incarnation }, out);
             }
             Message::Nack { seq } => self.detector.on_nack(seq),
             Message::Gossip => {}
@@ -201,19 +203,19 @@
     /// Acks a ping, unless it is for another member or this instance leaves.
     fn on_ping(&mut self, now: Time, sender: Destination, seq: u32, to: Id, out: &mut Vec<Output>) {
         if to == self.config.number && !self.join.leaving {
-            let ack = Message::Ack { seq, of: to, incarnation: self.incarnation };
+            let ack = Message::Ack { seq, target: to, incarnation: self.incarnation };
             self.send(now, sender, ack, out);
         }
     }
 
     fn on_ack(&mut self, now: Time, from: Id, ack: Ack, out: &mut Vec<Output>) {
-        if self.relay_ack(now, ack, out) || !self.is_ping_pending(ack.seq, ack.of) {
+        if self.relay_ack(now, ack, out) || !self.is_ping_pending(ack.seq, ack.target) {
             return;
         }
-        self.detector.on_ack(ack.seq, ack.of, from, self.config.max_members);
+        self.detector.on_ack(ack.seq, ack.target, from, self.config.max_members);
         self.join.on_ack(ack.seq);
         self.health.improve();
-        self.on_direct_evidence(now, ack.of, ack.incarnation, out);
+        self.on_direct_evidence(now, ack.target, ack.incarnation, out);
     }
 
     /// A member has acked a ping of this instance, directly or by a helper: it is alive, whatever others report.
--- a/crates/membership/src/swim/join.rs
+++ b/crates/membership/src/swim/join.rs
@@ -165,7 +165,7 @@
         self.join.stale_replies_left -= 1;
         let message = match datagram.message {
             Message::Ping { seq, to } if to == self.config.number => {
-                Message::Ack { seq, of: to, incarnation: self.incarnation }
+                Message::Ack { seq, target: to, incarnation: self.incarnation }
             }
             _ => Message::Gossip,
         };
--- a/crates/membership/src/swim/relay.rs
+++ b/crates/membership/src/swim/relay.rs
@@ -47,7 +47,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Ack {
     pub seq: u32,
-    pub of: Id,
+    pub target: Id,
     pub incarnation: Incarnation,
 }
 
@@ -76,7 +76,7 @@
     /// Passes an ack on to the member that requested the ping; false if the ack answers no relayed ping.
     pub(super) fn relay_ack(&mut self, now: Time, ack: Ack, out: &mut Vec<Output>) -> bool {
         let Some(relay) = self.relays.0.remove(&ack.seq) else { return false };
-        let message = Message::Ack { seq: relay.seq, of: ack.of, incarnation: ack.incarnation };
+        let message = Message::Ack { seq: relay.seq, target: ack.target, incarnation: ack.incarnation };
         self.send(now, relay.requester, message, out);
         true
     }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,37 +1,37 @@
-//! The members that an instance holds: all of a small fleet, a sample of a large one.
+//! The members that an instance knows: all of a small fleet, a sample of a large one.
 
 use crate::member::{Id, Member, State};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The capacity of a view at least.
+/// Minimum capacity of a view.
 const MIN_CAPACITY: usize = 4;
-/// Reachable members from which a sample's size estimate is used; with fewer its error is too large.
+/// Minimum number of reachable members for a size estimate from a sample; with fewer its error is too large.
 const MIN_ESTIMATE_SAMPLE: usize = 8;
 
-/// The members that an instance holds, without itself.
+/// The members that an instance knows, without itself.
 ///
-/// Past its capacity a view keeps the members of the lowest ranks; a rank is a hash of the holder's and the member's numbers.
-/// So a view is a uniform sample of all members that were ever reported, however often one of them is ("min-wise" sampling,
-/// Bortnikov et al., "Brahms", 2008), and no member can get itself into all views. The ranks also estimate the number of
-/// members: where the k-th lowest of n uniform ranks is at u, n is about (k - 1) / u, with a relative standard error of
-/// 1 / sqrt(k - 2) (Bar-Yossef et al., "Counting distinct elements in a data stream", 2002).
+/// A full view keeps the members with the lowest ranks; a rank is a hash of the numbers of the view's owner and the member.
+/// So a view is a uniform sample of all members that were ever reported, however often each of them was reported ("min-wise"
+/// sampling, Bortnikov et al., "Brahms", 2008), and no member can place itself in all views. The ranks also give an estimate
+/// of the number of members: if the k-th lowest of n uniform ranks is u, n is about (k - 1) / u, with a relative standard
+/// error of 1 / sqrt(k - 2) (Bar-Yossef et al., "Counting distinct elements in a data stream", 2002).
 #[derive(Debug, Clone)]
 pub struct View {
     own_id: Id,
     capacity: usize,
     members: BTreeMap<Id, Member>,
-    /// The members' numbers in no order, for random draws.
+    /// Numbers of all members in no particular order, for random draws.
     ids: Vec<Id>,
-    /// Reachable members by rank. Kept, as each datagram asks for the size.
+    /// Reachable members by rank. An index of its own, as each datagram needs the fleet's size.
     reachable: BTreeSet<(u64, Id)>,
-    /// All members in the order of eviction: the last one goes first.
+    /// All members in reverse order of eviction: the last one is evicted first.
     eviction_order: BTreeSet<EvictionKey>,
-    /// Some member had no room.
+    /// Whether some member was left out for lack of room.
     is_sample: bool,
 }
 
-/// Dead and left members are evicted first, then by rank. Members that were never reached count as the reachable ones:
-/// otherwise the first members to send a datagram would be the sample.
+/// The order of eviction: dead and left members first, then the highest ranks. Absent members rank like reachable ones;
+/// otherwise the sample would consist of the first members to send a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionKey {
     terminated: bool,
@@ -53,7 +53,8 @@
         }
     }
 
-    /// A member's rank, uniform over all numbers: SplitMix64's finisher (Steele et al., 2014) over both members' numbers.
+    /// The rank of a member, uniform over all 64-bit numbers: the finalizer of SplitMix64 (Steele et al., 2014) over the
+    /// numbers of the owner and the member.
     fn rank(&self, id: Id) -> u64 {
         let mut x = (u64::from(self.own_id.0) << 32 | u64::from(id.0)).wrapping_add(0x9e37_79b9_7f4a_7c15);
         x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -65,7 +66,7 @@
         EvictionKey { terminated: matches!(state, State::Dead | State::Left), rank: self.rank(id), id }
     }
 
-    /// Adds the members of a roster, or those of the lowest ranks where the roster exceeds the capacity.
+    /// Adds the members of a roster, or those with the lowest ranks if the roster exceeds the capacity.
     pub fn add_roster(&mut self, roster: impl Iterator<Item = Member>) {
         let others = roster.filter(|member| member.id != self.own_id);
         let mut ranked: Vec<(u64, Member)> = others.map(|member| (self.rank(member.id), member)).collect();
@@ -93,7 +94,7 @@
         self.ids.retain(|other| *other != id);
     }
 
-    /// Adds a member in this state to the ordered sets.
+    /// Adds a member with this state to the ordered sets.
     fn index(&mut self, id: Id, state: State) {
         let key = self.eviction_key(id, state);
         self.eviction_order.insert(key);
@@ -102,14 +103,14 @@
         }
     }
 
-    /// Removes a member in this state from the ordered sets.
+    /// Removes a member with this state from the ordered sets.
     fn unindex(&mut self, id: Id, state: State) {
         let key = self.eviction_key(id, state);
         self.eviction_order.remove(&key);
         self.reachable.remove(&(key.rank, id));
     }
 
-    /// Adds a member if there is room, or if it ranks before a member that is then evicted; false otherwise.
+    /// Adds a member if there is room or if another member is to be evicted before it; false otherwise.
     pub fn offer(&mut self, member: Member) -> bool {
         if member.id == self.own_id {
             return false;
@@ -128,12 +129,12 @@
         true
     }
 
-    /// A member.
+    /// The entry of a member, if the view contains it.
     pub fn get(&self, id: Id) -> Option<&Member> {
         self.members.get(&id)
     }
 
-    /// Changes a member's entry; false if the view does not hold it.
+    /// Changes the entry of a member; false if the view does not contain it.
     pub fn update(&mut self, id: Id, change: impl FnOnce(&mut Member)) -> bool {
         let Some(member) = self.members.get_mut(&id) else { return false };
         let former = member.state;
@@ -146,7 +147,7 @@
         true
     }
 
-    /// The member at a random number, modulo the number of members.
+    /// The member at the index `random` modulo the number of members.
     pub fn draw(&self, random: usize) -> Option<&Member> {
         self.members.get(self.ids.get(random % self.ids.len().max(1))?)
     }
@@ -161,26 +162,26 @@
         self.members.values().filter(|m| m.state.is_reachable())
     }
 
-    /// Members that are neither reachable nor have left, by number.
+    /// Absent and dead members, by number.
     pub fn missing(&self) -> impl Iterator<Item = &Member> {
         self.members.values().filter(|m| matches!(m.state, State::Absent | State::Dead))
     }
 
-    /// Removes members that match, and returns their numbers.
+    /// Removes the members that match, and returns their numbers.
     pub fn forget(&mut self, matches: impl Fn(&Member) -> bool) -> Vec<Id> {
         let forgotten: Vec<Id> = self.members.values().filter(|m| matches(m)).map(|m| m.id).collect();
         forgotten.iter().for_each(|id| self.remove(*id));
         forgotten
     }
 
-    /// The number of reachable members with this instance, and its relative standard error; none where all are held.
+    /// The number of reachable members with this instance, and its relative standard error; no error if the number is exact.
     pub fn size(&self) -> (f64, Option<f64>) {
         let reachable = self.reachable.len();
         if !self.is_sample || reachable < MIN_ESTIMATE_SAMPLE {
             return ((reachable + 1) as f64, None);
         }
-        let highest = self.reachable.last().map_or(1.0, |(rank, _)| *rank as f64 / 2f64.powi(64));
+        let highest_rank = self.reachable.last().map_or(1.0, |(rank, _)| *rank as f64 / 2f64.powi(64));
         let k = reachable as f64;
-        (((k - 1.0) / highest + 1.0).max(k + 1.0), Some(1.0 / (k - 2.0).sqrt()))
+        (((k - 1.0) / highest_rank + 1.0).max(k + 1.0), Some(1.0 / (k - 2.0).sqrt()))
     }
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,4 +1,4 @@
-//! The wire format: datagrams of at most 256 bytes, as the platform's protocol bounds them between agents.
+//! The wire format: datagrams of at most 256 bytes, the limit of the platform's protocol between agents.
 //!
 //! | bytes | field |
 //! | --- | --- |
@@ -13,84 +13,84 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The longest datagram.
+/// Maximum length of a datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// The longest payload of a hint.
+/// Maximum length of a hint's payload.
 pub const MAX_HINT_BYTES: usize = 64;
 /// The version of the format.
 pub const WIRE_VERSION: u8 = 1;
-/// The longest authentication tag.
+/// Maximum length of the authentication tag.
 const MAX_TAG_BYTES: u8 = 16;
-/// The hash of the cluster's name.
+/// Length of the hash of the cluster's name.
 const CLUSTER_BYTES: usize = 8;
-/// Version, tag length and cluster.
+/// Length of the version, the tag length and the cluster.
 const HEADER_BYTES: usize = 2 + CLUSTER_BYTES;
-/// The CRC-32C.
+/// Length of the CRC-32C.
 const CHECKSUM_BYTES: usize = 4;
 
 /// One member's report on another, or on itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// The member that the report is about.
+    /// Member that the report is about.
     pub id: Id,
-    /// The incarnation that the report is about.
+    /// Incarnation that the report is about.
     pub incarnation: Incarnation,
-    /// The reported state.
+    /// Reported state.
     pub state: State,
-    /// The member that observed the state; unchanged when the update is forwarded.
+    /// Member that observed the state; unchanged when the update is forwarded.
     pub reported_by: Id,
-    /// Its site.
+    /// Site of the member.
     pub site: u8,
-    /// What it is for.
+    /// Role of the member.
     pub role: Role,
-    /// Its address, where rosters do not list it.
+    /// Address of the member, if the roster does not list it.
     pub address: Option<SocketAddr>,
 }
 
 /// The message of a datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A probe.
+    /// A ping, direct or by a helper.
     Ping {
-        /// Returned by the ack.
+        /// Sequence number that the ack returns.
         seq: u32,
-        /// The target; other members do not ack.
+        /// Target of the ping; other members do not ack it.
         to: Id,
     },
     /// A request to ping another member (an indirect probe).
     PingRequest {
-        /// Returned by the ack.
+        /// Sequence number that the ack or nack returns.
         seq: u32,
-        /// The member to ping.
+        /// Member to ping.
         target: Id,
-        /// Its address, where rosters do not list it.
+        /// Address of the target, if the roster does not list it.
         address: Option<SocketAddr>,
     },
-    /// The answer to a ping, from the target or forwarded by a helper.
+    /// The ack of a ping, from the target or forwarded by a helper.
     Ack {
-        /// The sequence number of the ping.
+        /// Sequence number of the ping.
         seq: u32,
-        /// The target of the ping.
-        of: Id,
-        /// The target's own incarnation.
+        /// Target of the ping.
+        target: Id,
+        /// Incarnation of the target.
         incarnation: Incarnation,
     },
-    /// The target of an indirect probe has not answered the helper; shows that the helper is alive.
+    /// The target of an indirect probe has not acked the helper's ping. Shows that the helper is alive.
     Nack {
-        /// The sequence number of the ping.
+        /// Sequence number of the ping request.
         seq: u32,
     },
-    /// Only the updates.
+    /// No message: the datagram carries only updates.
     Gossip,
-    /// A hint of the sender's decisions for the receiver's.
+    /// A hint about a server, from the sender's balancer to the receiver's.
     Hint {
-        /// In the decisions' own encoding.
+        /// Payload in the encoding of the sender's caller; this crate does not read it.
         #[serde(with = "serde_bytes")]
         payload: Vec<u8>,
     },
-    /// Half of the sender's sums of the digest.
+    /// Half of the sender's digest sums.
     Digest {
-        /// Encoded by [`crate::DigestPart::encode`].
+        /// Parts encoded by [`crate::DigestPart::encode`].
         #[serde(with = "serde_bytes")]
         parts: Vec<u8>,
     },
@@ -99,30 +99,30 @@
 /// A datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// The sender.
+    /// Number of the sender.
     pub from: Id,
-    /// The sender's own incarnation.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
-    /// Its site.
+    /// Site of the sender.
     pub site: u8,
-    /// The sender's role.
+    /// Role of the sender.
     pub role: Role,
-    /// What it is for.
+    /// Message to the receiver.
     pub message: Message,
-    /// The first so many updates are new and to be forwarded; the others are samples of the sender's view.
+    /// Number of leading entries of `updates` that are to be forwarded; the others are samples of the sender's view.
     pub new_updates: u8,
     /// Piggybacked updates.
     pub updates: Vec<Update>,
 }
 
-/// Why bytes are not a datagram of this cluster.
+/// The reason for which bytes are not a datagram of this cluster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WireError {
-    /// Too long or too short.
+    /// The datagram is too long or too short.
     Length,
-    /// Another version of the format.
+    /// The datagram has this other version of the format.
     Version(u8),
-    /// Another cluster.
+    /// The datagram is of another cluster.
     Cluster,
     /// The checksum does not match.
     Checksum,
@@ -134,12 +134,14 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             WireError::Length => {
-                write!(f, "of a length that no datagram has (at most {MAX_DATAGRAM_BYTES} bytes)")
+                write!(f, "invalid datagram length (at most {MAX_DATAGRAM_BYTES} bytes)")
+            }
+            WireError::Version(v) => {
+                write!(f, "unsupported wire format version {v} (expected {WIRE_VERSION})")
             }
-            WireError::Version(v) => write!(f, "of form {v}; this program speaks form {WIRE_VERSION}"),
-            WireError::Cluster => f.write_str("of another cluster"),
-            WireError::Checksum => f.write_str("spoilt on its way"),
-            WireError::Malformed => f.write_str("without a meaning"),
+            WireError::Cluster => f.write_str("datagram of another cluster"),
+            WireError::Checksum => f.write_str("checksum mismatch"),
+            WireError::Malformed => f.write_str("malformed datagram"),
         }
     }
 }
@@ -147,27 +149,27 @@
 impl std::error::Error for WireError {}
 
 /// Serializes into a growing buffer. Postcard fails there only for sequences of unknown length, which no type of this crate
-/// contains. Should one come to, the result is empty and its receivers reject the datagram.
+/// contains. If serialization fails nevertheless, the result is empty and receivers reject the datagram.
 pub(crate) fn serialize(value: &impl Serialize) -> Vec<u8> {
     match postcard::to_stdvec(value) {
         Ok(bytes) => bytes,
         Err(error) => {
-            debug_assert!(false, "a wire type does not serialize: {error}");
+            debug_assert!(false, "failed to serialize a wire type: {error}");
             Vec::new()
         }
     }
 }
 
-/// Encodes a datagram with as many of its updates as fit, the first ones first. Returns the bytes and the number of updates.
+/// Encodes a datagram with as many leading updates as fit. Returns the bytes and the number of encoded updates.
 ///
-/// Every message fits without updates.
+/// Every message fits into a datagram without updates.
 pub fn encode(cluster: u64, datagram: &Datagram) -> (Vec<u8>, usize) {
     let mut bytes = Vec::with_capacity(MAX_DATAGRAM_BYTES);
     bytes.extend([WIRE_VERSION, 0]);
     bytes.extend(cluster.to_le_bytes());
     let Datagram { from, incarnation, site, role, ref message, new_updates, ref updates } = *datagram;
     bytes.extend(serialize(&(from, incarnation, site, role, message, new_updates)));
-    // Postcard's length of the updates takes one byte: fewer than 128 fit into a datagram.
+    // Postcard encodes the number of updates in one byte, as fewer than 128 fit into a datagram.
     let length_index = bytes.len();
     bytes.push(0);
     let (mut encoded_updates, mut buffer) = (0, [0; MAX_DATAGRAM_BYTES]);
@@ -189,12 +191,12 @@
 ///
 /// # Errors
 ///
-/// The bytes are not one; see [`WireError`].
+/// Returns a [`WireError`] if the bytes are not a valid datagram of this cluster.
 pub fn decode(cluster: u64, bytes: &[u8]) -> Result<Datagram, WireError> {
     if bytes.len() > MAX_DATAGRAM_BYTES || bytes.len() < HEADER_BYTES + CHECKSUM_BYTES {
         return Err(WireError::Length);
     }
-    // Before all others: other versions may place the other fields differently.
+    // The version is checked before all other fields, as other versions may place those differently.
     if bytes[0] != WIRE_VERSION {
         return Err(WireError::Version(bytes[0]));
     }
@@ -218,7 +220,7 @@
     Ok(datagram)
 }
 
-/// Whether epochs, payload and states are such as a member sends.
+/// Whether epochs, payload and states are within the bounds of what members send.
 fn is_within_bounds(datagram: &Datagram) -> bool {
     let valid = |incarnation: Incarnation| incarnation.epoch < MAX_EPOCH;
     let valid_message = match &datagram.message {
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -92,7 +92,7 @@
         prop_assert_eq!(read, Ok(expected));
         for message in [
             Message::PingRequest { seq: u32::MAX, target: Id(u32::MAX), address: Some(six) },
-            Message::Ack { seq: u32::MAX, of: Id(u32::MAX), incarnation: far },
+            Message::Ack { seq: u32::MAX, target: Id(u32::MAX), incarnation: far },
         ] {
             let without_updates = Datagram { message, updates: Vec::new(), ..datagram.clone() };
             prop_assert_eq!(decode(cluster_hash(), &encode(cluster_hash(), &without_updates).0), Ok(without_updates));
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -15,7 +15,7 @@
         Message::Ping { seq: 7, to: Id(300) },
         Message::PingRequest { seq: 8, target: Id(2), address },
         Message::PingRequest { seq: 9, target: Id(2), address: None },
-        Message::Ack { seq: 10, of: Id(2), incarnation },
+        Message::Ack { seq: 10, target: Id(2), incarnation },
         Message::Nack { seq: 11 },
         Message::Gossip,
         Message::Hint { payload: vec![1, 2, 3] },
