--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -79,9 +79,9 @@
         self.instances.max(self.roster.len() as u32).max(1)
     }
 
-    /// An upper bound of the time from a member's crash until all others in a fleet of this size have declared it dead, on
-    /// healthy links: two periods until it is probed, the probe's timeout, the longest suspicion, gossip to all members (one
-    /// period for each doubling), and a failed probe by each receiver.
+    /// An upper bound of the time from a member's crash until all others in a fleet of this size have declared it dead,
+    /// on healthy links: two periods until it is probed, the probe's timeout, the longest suspicion, gossip to all
+    /// members (one period for each doubling), and a failed probe by each receiver.
     pub fn detection_bound(&self, members: u32) -> Micros {
         let size = f64::from(members.max(2));
         let suspicion = self.min_suspicion_periods * size.log10().max(1.0) * self.max_suspicion_factor;
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,10 +1,10 @@
 //! The digest: decaying averages of the latency, load and rejections that all instances observe, by site.
 //!
-//! Push-sum (Kempe, Dobra, Gehrke: "Gossip-based computation of aggregate information", FOCS 2003) over decaying sums. An
-//! observed response is one unit of weight at its server's site. In each period an instance sends half of its sums to a
-//! member drawn at random and keeps the other half. Weight is moved and never copied, so repeated exchanges do not amplify
-//! an observation; a lost datagram removes the same share of weight and value, and the mean does not change. After a few
-//! periods the sums of each instance contain observations of very many instances.
+//! Push-sum (Kempe, Dobra, Gehrke: "Gossip-based computation of aggregate information", FOCS 2003) over decaying sums.
+//! An observed response is one unit of weight at its server's site. In each period an instance sends half of its sums
+//! to a member drawn at random and keeps the other half. Weight is moved and never copied, so repeated exchanges do not
+//! amplify an observation; a lost datagram removes the same share of weight and value, and the mean does not change.
+//! After a few periods the sums of each instance contain observations of very many instances.
 
 use crate::member::Id;
 use crate::wire::serialize;
@@ -30,8 +30,8 @@
 const MIN_KEPT_WEIGHT: f64 = MIN_EXCHANGED_WEIGHT / 100.0;
 /// Maximum effective number of responses of a digest: the average over more of them is not more reliable.
 const MAX_EFFECTIVE_RESPONSES: f64 = 32.0;
-/// Maximum latency and load of one response, as shares of the latency target: limits the effect of single outliers and of
-/// false parts.
+/// Maximum latency and load of one response, as shares of the latency target: limits the effect of single outliers and
+/// of false parts.
 const MAX_TARGET_SHARE: f64 = 1.2;
 /// Tolerance for `f32` rounding when a part's sums are checked against [`MAX_TARGET_SHARE`].
 const ROUNDING_TOLERANCE: f32 = 1.001;
@@ -41,7 +41,7 @@
 const MIN_RECEIVED_WEIGHT: f64 = 1e-9;
 /// Maximum number of exchanges that a peer may save up.
 const MAX_SAVED_EXCHANGES: f64 = 3.0;
-/// Maximum rate of a peer's exchanges with this instance, as a multiple of the mean rate at which random draws select it.
+/// Maximum rate of a peer's exchanges, as a multiple of the mean rate at which random draws select this instance.
 const MAX_EXCHANGE_RATE: f64 = 2.0;
 /// Maximum number of peers whose exchanges are counted; beyond it, peers without a recent exchange are discarded.
 const MAX_PEERS: usize = 4096;
@@ -106,8 +106,8 @@
         self.square *= factor * factor;
     }
 
-    /// Scales all sums by the same factor, the squares too, so that an old observation counts for fewer responses, whichever
-    /// instance made it.
+    /// Scales all sums by the same factor, the squares too, so that an old observation counts for fewer responses,
+    /// whichever instance made it.
     fn decay(&mut self, factor: f64) {
         self.weight *= factor;
         self.square *= factor;
@@ -190,9 +190,10 @@
 
 /// One instance's part of the digest.
 ///
-/// A peer that sends false sums has no more weight at a receiver than the receiver itself, and its rate of exchanges is at
-/// most twice the rate of random draws among n members. A fifth of all weight decays in a period of 50 ms, so the peer
-/// contributes at most 2 parts in 2 + n/5 of the digest, and shifts the averages by that share of 1.2 latency targets.
+/// A peer that sends false sums has no more weight at a receiver than the receiver itself, and its rate of exchanges is
+/// at most twice the rate of random draws among n members. A fifth of all weight decays in a period of 50 ms, so the
+/// peer contributes at most 2 parts in 2 + n/5 of the digest, and shifts the averages by that share of 1.2 latency
+/// targets.
 #[derive(Debug, Clone, Default)]
 pub struct Digest {
     sites: BTreeMap<u8, Sums>,
@@ -219,8 +220,8 @@
         self.sites.entry(site).or_default().add(&observed);
     }
 
-    /// Records a response of a server of this site: its latency, and the latency that the server's load predicts, both as
-    /// shares of the latency target.
+    /// Records a response of a server of this site: its latency, and the latency that the server's load predicts, both
+    /// as shares of the latency target.
     pub fn record_response(&mut self, now: Time, site: u8, latency: f64, load: f64) {
         let latency = latency.clamp(0.0, MAX_TARGET_SHARE);
         let load = load.clamp(0.0, MAX_TARGET_SHARE);
@@ -302,8 +303,8 @@
     }
 
     /// Consumes one exchange of a peer's allowance; false if none is left. A random draw selects this instance once in
-    /// `members` periods on average. If the exchange of a correct peer is rejected, the same share of weight and value is
-    /// lost, as with a lost datagram.
+    /// `members` periods on average. If the exchange of a correct peer is rejected, the same share of weight and value
+    /// is lost, as with a lost datagram.
     fn try_consume_exchange(&mut self, now: Time, from: Id, members: usize) -> bool {
         let interval = BUSY_EXCHANGE_INTERVAL * (members as f64 / MAX_EXCHANGE_RATE).max(1.0);
         if self.allowances.len() >= MAX_PEERS {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -6,27 +6,27 @@
 //!
 //! # States
 //!
-//! A member's state changes from [`State::Absent`] (listed, never seen) to `Alive`, by failed probes to `Suspect` and `Dead`,
-//! by its own report to `Left`, and back to `Alive` by a later [`Incarnation`] or an ack. [`QuorumState`] states how many of
-//! the expected instances are reachable.
+//! A member's state changes from [`State::Absent`] (listed, never seen) to `Alive`, by failed probes to `Suspect` and
+//! `Dead`, by its own report to `Left`, and back to `Alive` by a later [`Incarnation`] or an ack. [`QuorumState`]
+//! states how many of the expected instances are reachable.
 //!
 //! # Differences from SWIM
 //!
-//! - An accusation by another member only starts a suspicion and a probe. An instance declares a member dead only after its
-//!   own probe of that member has failed. Updates carry the number of the member that observed the state.
+//! - An accusation by another member only starts a suspicion and a probe. An instance declares a member dead only after
+//!   its own probe of that member has failed. Updates carry the number of the member that observed the state.
 //! - After a stall of its process an instance suspects no member until its recovery time has passed.
 //! - Fleet-wide limits are divided by the expected size or the largest size observed recently
 //!   ([`Membership::effective_size`]), not by the number of members that are reachable now.
 //!
-//! Nothing is stored on disk. An [`Incarnation`] starts with the wall-clock time of the process's start, so a restarted member
-//! supersedes updates about its former process. If its clock was set back, the member learns of the former epoch from the
-//! other members and chooses a later one.
+//! Nothing is stored on disk. An [`Incarnation`] starts with the wall-clock time of the process's start, so a restarted
+//! member supersedes updates about its former process. If its clock was set back, the member learns of the former epoch
+//! from the other members and chooses a later one.
 //!
 //! # Units and errors
 //!
 //! Time is [`bellcroft_balancer::Time`] in microseconds of a monotonic clock; epochs are Unix milliseconds. Malformed
-//! datagrams and those of other clusters are counted by [`RejectReason`] and otherwise ignored; only [`decode`] returns an
-//! error.
+//! datagrams and those of other clusters are counted by [`RejectReason`] and otherwise ignored; only [`decode`] returns
+//! an error.
 //!
 //! # Modules
 //!
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -11,15 +11,15 @@
 /// A member's incarnation: orders updates about the member, by epoch first and then by counter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Incarnation {
-    /// Start of the member's process in Unix milliseconds by its own clock, or a later time that exceeds the epoch of a former
-    /// process.
+    /// Start of the member's process in Unix milliseconds by its own clock, or a later time that exceeds the epoch of a
+    /// former process.
     pub epoch: u64,
     /// Number of refutations in this epoch; incremented by each.
     pub counter: u32,
 }
 
-/// Epochs from this one on are rejected: no real clock shows them (2^47 ms is the year 6429), and a member could not choose a
-/// later one.
+/// Epochs from this one on are rejected: no real clock shows them (2^47 ms is the year 6429), and a member could not
+/// choose a later one.
 pub(crate) const MAX_EPOCH: u64 = 1 << 47;
 
 /// The role of a member.
--- a/crates/membership/src/merge.rs
+++ b/crates/membership/src/merge.rs
@@ -3,8 +3,8 @@
 use crate::member::{Incarnation, State};
 use crate::wire::Update;
 
-/// The maximum lead in milliseconds of a claimed epoch of this instance over its own for which the instance chooses a later
-/// epoch. 400 days exceed the amount by which a clock is set back, and false claims cannot drive epochs to their maximum.
+/// The maximum lead in milliseconds of a claimed epoch of this instance over its own for which the instance chooses a
+/// later epoch. Clocks are set back by less than 400 days, and false claims cannot drive epochs to their maximum.
 const MAX_EPOCH_LEAD_MS: u64 = 400 * 24 * 3_600_000;
 
 /// The effect of an update on its receiver.
@@ -54,8 +54,8 @@
     let new_epoch = claim.incarnation.epoch > known.incarnation.epoch;
     match claim.state {
         State::Absent => Precedence::Ignored,
-        // The member has acked a ping of the receiver, so another probe decides. Otherwise a false epoch would persist that
-        // is too far ahead for the member to choose a later one.
+        // The member has acked a ping of the receiver, so another probe decides. Otherwise a false epoch would persist
+        // that is too far ahead for the member to choose a later one.
         State::Alive if new_epoch && known.acked && known.state.is_reachable() => Precedence::Suspect,
         State::Alive if claim.incarnation > known.incarnation || known.state == State::Absent => {
             Precedence::Alive
@@ -66,8 +66,8 @@
     }
 }
 
-/// The incarnation that refutes a claim about this instance; none if the claim is true or outdated, or if its epoch is too far
-/// ahead.
+/// The incarnation that refutes a claim about this instance; none if the claim is true or outdated, or if its epoch is
+/// too far ahead.
 pub fn refute(own: Incarnation, claim: Claim) -> Option<Incarnation> {
     let claimed = claim.incarnation;
     if claimed < own || (claimed == own && claim.state == State::Alive) {
--- a/crates/membership/src/quorum.rs
+++ b/crates/membership/src/quorum.rs
@@ -1,11 +1,11 @@
-//! The quorum state, which states how many of the expected instances are reachable, and the size by which fleet-wide limits
-//! are divided.
+//! The quorum state, which states how many of the expected instances are reachable, and the size by which fleet-wide
+//! limits are divided.
 
 use bellcroft_balancer::{Micros, Time};
 use std::collections::VecDeque;
 
-/// How many of the expected instances are reachable, this one included. `docs/design/membership.md` lists what each subsystem
-/// does in each state.
+/// How many of the expected instances are reachable, this one included. `docs/design/membership.md` lists what each
+/// subsystem does in each state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuorumState {
     /// The process has started or resumed after a stall, and its view is not reliable yet.
@@ -66,8 +66,9 @@
 
 /// The largest fleet size observed within the retention time.
 ///
-/// An instance's share of a fleet-wide limit is one over this size. The share shrinks at once when the fleet grows, and grows
-/// only after fewer instances were observed for the complete retention time. It never exceeds one over the expected size.
+/// An instance's share of a fleet-wide limit is one over this size. The share shrinks at once when the fleet grows, and
+/// grows only after fewer instances were observed for the complete retention time. It never exceeds one over the
+/// expected size.
 #[derive(Debug, Clone)]
 pub struct FleetSize {
     expected: u32,
--- a/crates/membership/src/swim/dissemination.rs
+++ b/crates/membership/src/swim/dissemination.rs
@@ -1,7 +1,8 @@
 //! Dissemination: the queue of updates to gossip, and the datagrams that carry them.
 //!
-//! Every datagram is filled up with updates: an accusation of its receiver first, so that the receiver can refute it, then
-//! queued updates, then samples of the view. Samples repair views after lost datagrams; their receivers do not forward them.
+//! The free space of a datagram is filled with updates: first an accusation of the receiver, so that the receiver can
+//! refute it, then queued updates, then samples of the view. Samples repair views after lost datagrams; receivers do
+//! not forward them.
 
 use super::{Membership, Output};
 use crate::config::Config;
@@ -11,19 +12,21 @@
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Members that receive a gossip datagram in a period, while updates are queued.
+/// Number of members that receive a gossip datagram in a period while updates are queued.
 const GOSSIP_FANOUT: usize = 2;
-/// Updates that fit into a datagram at most, by their shortest encoding.
+/// Maximum number of updates that fit into a datagram, by their shortest encoding.
 pub(super) const MAX_PIGGYBACKED_UPDATES: usize = 24;
-/// Samples of the view in a datagram: no more than half of what fits.
+/// Number of view samples in a datagram: at most half of the updates that fit.
 pub(super) const VIEW_SAMPLES: usize = 6;
-/// Draws from the view for each sample, as a drawn member may be in the datagram already or have no known state.
+/// Number of draws from the view for each sample, as the datagram may already contain a drawn member, or its state may
+/// be unknown.
 const DRAWS_PER_SAMPLE: usize = 2;
-/// Queued updates; past it the one that was sent most often is dropped.
+/// Maximum number of queued updates; beyond it, the most transmitted one is discarded.
 const MAX_QUEUED_UPDATES: usize = 512;
-/// Members whose latest gossiped update is remembered, so that a late copy does not count as new.
+/// Maximum number of members whose latest queued update is remembered, so that a late copy does not count as new.
 const MAX_REMEMBERED_MEMBERS: usize = 16_384;
-/// An accusation is not gossiped for longer: after a partition heals it would meet members with later evidence.
+/// Maximum time for which an accusation is gossiped: after a partition heals, an older one would reach members that have
+/// later evidence.
 const MAX_ACCUSATION_AGE: Micros = Micros(10_000_000);
 
 /// An update in the queue.
@@ -34,18 +37,18 @@
     queued_at: Time,
 }
 
-/// The queue of updates to gossip: the latest one of each member.
+/// The queue of updates to gossip: the latest one about each member.
 #[derive(Debug)]
 pub(super) struct Dissemination {
     queued: HashMap<Id, QueuedUpdate>,
-    /// The same by the number of transmissions: the least transmitted first.
+    /// Members with a queued update by its number of transmissions, from the least transmitted to the most.
     by_transmissions: BTreeSet<(u32, Id)>,
-    /// What was queued last of each member.
+    /// Incarnation and state of the last update that was queued about each member.
     latest: HashMap<Id, (Incarnation, State)>,
-    /// The members of `latest`, the oldest first.
+    /// Members in `latest`, from the one added first to the one added last.
     latest_order: VecDeque<Id>,
-    /// Whether updates that are processed now are to be gossiped. False for samples of other members' views: they would
-    /// circulate without end.
+    /// Whether the updates that are being processed are to be gossiped. False for samples of other members' views, which
+    /// would otherwise circulate indefinitely.
     pub forward_received: bool,
 }
 
@@ -62,7 +65,7 @@
 }
 
 impl Dissemination {
-    /// Queues an update; false if the same or a later one of that member was queued before.
+    /// Queues an update; false if the same or a later one about that member was queued before.
     pub fn enqueue(&mut self, now: Time, update: Update) -> bool {
         let (id, version) = (update.id, (update.incarnation, update.state));
         if self.latest.get(&id).is_some_and(|latest| *latest >= version) {
@@ -92,21 +95,21 @@
         }
     }
 
-    /// Takes a member's update out of the queue.
+    /// Removes a member's update from the queue.
     pub fn cancel(&mut self, id: Id) {
         if let Some(queued) = self.queued.remove(&id) {
             self.by_transmissions.remove(&(queued.transmissions, id));
         }
     }
 
-    /// Takes a member's update out of the queue, and lets the same update be queued again.
+    /// Removes a member's update from the queue, and allows the same update to be queued again.
     pub fn reset(&mut self, id: Id) {
         self.cancel(id);
-        // Overwritten by a version before all others, not removed: a removal would have to search `latest_order`.
+        // The entry is set to the earliest version instead of removed, as a removal would have to search `latest_order`.
         self.latest.entry(id).and_modify(|version| *version = (Incarnation::default(), State::Absent));
     }
 
-    /// Up to `limit` updates, the least transmitted first. Drops accusations that are too old.
+    /// Returns up to `limit` updates, the least transmitted first. Discards accusations that are too old.
     pub fn next_updates(&mut self, now: Time, limit: usize) -> Vec<Update> {
         let (mut updates, mut expired) = (Vec::with_capacity(limit), Vec::new());
         for (_, id) in &self.by_transmissions {
@@ -123,7 +126,7 @@
         updates
     }
 
-    /// Counts a transmission of these updates, and drops those that have reached the limit.
+    /// Counts a transmission of these updates, and discards those that have reached the limit.
     pub fn on_sent(&mut self, updates: &[Update], max_transmissions: u32) {
         for update in updates {
             let Some(queued) = self.queued.get_mut(&update.id) else { continue };
@@ -137,7 +140,7 @@
         }
     }
 
-    /// Drops all accusations: they stem from before a stall of this process.
+    /// Discards all accusations after a stall of this process, as they were queued before it.
     pub fn cancel_accusations(&mut self) {
         let queued = self.queued.iter();
         let accusations: Vec<Id> =
@@ -154,9 +157,10 @@
     matches!(update.state, State::Suspect | State::Dead)
 }
 
-/// Where a datagram goes. The id is unknown for the address of a seed.
+/// The destination of a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Destination {
+    /// Number of the receiver; unknown for the address of a seed.
     pub id: Option<Id>,
     pub address: SocketAddr,
 }
@@ -167,12 +171,12 @@
     }
 }
 
-/// What fills a datagram besides queued updates.
+/// The updates in a datagram besides the queued ones.
 #[derive(Debug)]
 pub(super) struct Piggyback {
-    /// Sent before all others, and forwarded by the receiver.
+    /// Updates that are sent before all others, and that the receiver forwards.
     pub updates: Vec<Update>,
-    /// The number of view samples.
+    /// Number of view samples.
     pub samples: usize,
 }
 
@@ -194,17 +198,17 @@
         }
     }
 
-    /// Queues an update to gossip, unless it stems from a sample; true if it was new.
+    /// Queues an update to gossip, unless it is from a view sample; true if it was new.
     pub(super) fn disseminate(&mut self, now: Time, update: Update) -> bool {
         self.dissemination.forward_received && self.dissemination.enqueue(now, update)
     }
 
-    /// Sends a datagram with the standard piggyback.
+    /// Sends a datagram with the default piggyback.
     pub(super) fn send(&mut self, now: Time, to: Destination, message: Message, out: &mut Vec<Output>) {
         self.send_with(now, to, message, Piggyback::default(), out);
     }
 
-    /// Sends a datagram, filled up with updates.
+    /// Sends a datagram that is filled with updates.
     pub(super) fn send_with(
         &mut self,
         now: Time,
@@ -214,7 +218,7 @@
         out: &mut Vec<Output>,
     ) {
         let Piggyback { mut updates, samples } = piggyback;
-        // The receiver must learn of an accusation to refute it.
+        // The receiver must receive an accusation of itself to refute it.
         let about_receiver = to.id.and_then(|id| self.update_about(id));
         updates.extend(about_receiver.filter(|update| update.state != State::Alive));
         let first_queued = updates.len();
@@ -240,27 +244,27 @@
         out.push(Output::Send(to.address, bytes));
     }
 
-    /// Adds updates about members drawn from the view. Suspicions are left out: they are gossiped by their reporters.
+    /// Adds updates about members drawn from the view. Suspected members are left out, as their reporters gossip them.
     fn add_samples(&mut self, receiver: Option<Id>, samples: usize, updates: &mut Vec<Update>) {
-        let full = updates.len() + samples;
+        let max_updates = updates.len() + samples;
         for _ in 0..DRAWS_PER_SAMPLE * samples {
             let drawn = self.view.draw(self.rng.usize(..)).map(|member| member.id);
             let is_new = |id: &Id| Some(*id) != receiver && updates.iter().all(|update| update.id != *id);
             let sample = drawn.filter(is_new).and_then(|id| self.update_about(id));
             updates.extend(sample.filter(|update| update.state != State::Suspect));
-            if updates.len() >= full {
+            if updates.len() >= max_updates {
                 break;
             }
         }
     }
 
-    /// The state of a member as an update; none for one that is not in the view or was never seen.
+    /// An update about a member; none if the view does not contain the member or its state is absent.
     pub(super) fn update_about(&self, id: Id) -> Option<Update> {
         let member = self.view.get(id).filter(|member| member.state != State::Absent)?;
         Some(self.update_of(member))
     }
 
-    /// A member's entry as an update. The address is included where rosters do not list it.
+    /// An update from a member's entry. It includes the address if the roster does not list it.
     pub(super) fn update_of(&self, member: &Member) -> Update {
         Update {
             id: member.id,
--- a/crates/membership/src/swim/failure_detector.rs
+++ b/crates/membership/src/swim/failure_detector.rs
@@ -1,7 +1,7 @@
 //! Failure detection: direct probes, indirect probes by helpers, and suspicions.
 //!
-//! A member goes from `Alive` to `Suspect` by a failed probe of this instance or by another member's accusation, and from
-//! `Suspect` to `Dead` only after the suspicion's timeout *and* a failed probe of this instance.
+//! A member's state changes from `Alive` to `Suspect` by a failed probe of this instance or by another member's
+//! accusation, and from `Suspect` to `Dead` only after the suspicion's timeout *and* a failed probe by this instance.
 
 use super::dissemination::Destination;
 use super::suspicion::{Suspicion, SuspicionTimeouts};
@@ -12,18 +12,18 @@
 use bellcroft_balancer::{Micros, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Members that are asked to ping a member which has not answered a direct ping (SWIM's k).
+/// Number of helpers that are requested to ping a member which has not acked a direct ping (SWIM's k).
 const INDIRECT_PROBES: usize = 3;
-/// Probes of suspected members in a period, beyond the one of each period: bounds what accusations cost.
+/// Maximum number of probes of suspected members in a period, beyond the regular one: bounds the cost of accusations.
 const MAX_EXTRA_PROBES: u32 = 4;
-/// Retries of a probe: the first with indirect probes, the second direct alone.
+/// Number of retries of a probe: the first with indirect probes, the second with a direct ping alone.
 const MAX_PROBE_RETRIES: u32 = 2;
-/// A probe's first retry, in (stretched) probe intervals after its first ping.
+/// Time from a probe's first ping to its first retry, in probe intervals stretched by the local health score.
 const FIRST_RETRY_INTERVALS: f64 = 0.8;
-/// An accusation by others is ignored if the member answered here within this many probe intervals.
-const VOUCHED_INTERVALS: f64 = 2.0;
+/// Number of probe intervals after an ack of a member in which accusations of it by other members are ignored.
+const RECENT_ACK_INTERVALS: f64 = 2.0;
 
-/// A probe of this instance that is not answered yet.
+/// A pending probe of this instance.
 #[derive(Debug, Clone)]
 struct Probe {
     target: Id,
@@ -35,7 +35,7 @@
 }
 
 impl Probe {
-    /// The retry or the timeout, whichever is first.
+    /// The time of the next retry or of the timeout, whichever is first.
     fn next_timer(&self) -> Time {
         if self.retries < MAX_PROBE_RETRIES {
             self.next_retry.min(self.deadline)
@@ -48,15 +48,15 @@
 /// Probes and suspicions. All maps iterate in the order of their keys, so that runs with equal seeds are equal.
 #[derive(Debug)]
 pub(super) struct FailureDetector {
-    /// Probes by the sequence number of their pings.
+    /// Pending probes, by the sequence number of their pings.
     probes: BTreeMap<u32, Probe>,
-    /// For members that did not answer directly: the helper whose indirect probe was answered last.
+    /// Helper whose indirect probe was acked last, for each member whose last ack was not direct.
     last_helpers: BTreeMap<Id, Id>,
     pub suspicions: BTreeMap<Id, Suspicion>,
-    /// The rest of the current round-robin round, shuffled for each round; the next target is the last one. Bounds the time
-    /// to a member's probe to twice the number of members, in periods.
+    /// Remaining targets of the current round-robin round, shuffled for each round; the next target is the last one. The
+    /// time between two probes of a member is at most twice the number of members, in periods.
     round: Vec<Id>,
-    /// Suspected members that wait for a probe, as this period's extra probes are used up.
+    /// Suspected members that are probed in a later period, as the extra probes of a period were used up.
     queued_suspects: VecDeque<Id>,
     extra_probes_left: u32,
     next_period: Time,
@@ -79,7 +79,7 @@
         self.next_period
     }
 
-    /// When the next timer is due. Suspicions do not time out before the end of a recovery.
+    /// The time at which the next timer is due. Suspicions do not time out before the end of a recovery.
     pub fn next_deadline(&self, recovering_until: Time) -> Time {
         let probes = self.probes.values().map(Probe::next_timer);
         let confirmed = self.suspicions.values().filter(|suspicion| suspicion.probe_failed);
@@ -92,12 +92,12 @@
         self.extra_probes_left = MAX_EXTRA_PROBES;
     }
 
-    /// Whether a ping with this number is pending to this member.
+    /// Whether a ping of this member with this sequence number is pending.
     pub fn is_pending(&self, seq: u32, id: Id) -> bool {
         self.probes.get(&seq).is_some_and(|probe| probe.target == id)
     }
 
-    /// A probe of this member was answered, by the member itself or by way of a helper.
+    /// Ends a probe that the target has acked, directly or by a helper.
     pub fn on_ack(&mut self, seq: u32, target: Id, received_from: Id, max_members: usize) {
         if received_from == target {
             self.last_helpers.remove(&target);
@@ -107,25 +107,25 @@
         self.probes.remove(&seq);
     }
 
-    /// A helper answers that the target has not answered it.
+    /// Counts the nack of a helper whose ping the target has not acked.
     pub fn on_nack(&mut self, seq: u32) {
         if let Some(probe) = self.probes.get_mut(&seq) {
             probe.nacks += 1;
         }
     }
 
-    /// Drops probes of a member's former process.
+    /// Discards probes of a member's former process.
     pub fn cancel_probes(&mut self, id: Id) {
         self.probes.retain(|_, probe| probe.target != id);
     }
 
-    /// Drops what is kept of members that the view no longer holds.
+    /// Discards the state of members that the view no longer contains.
     pub fn forget(&mut self, forgotten: &[Id], view: &View) {
         self.suspicions.retain(|id, _| !forgotten.contains(id));
         self.last_helpers.retain(|id, _| view.get(*id).is_some());
     }
 
-    /// Resets timers after a stall: answers that arrived meanwhile could not be processed.
+    /// Resets timers after a stall, in which received acks could not be processed.
     fn reset_after_stall(&mut self, now: Time, stall: Micros) {
         self.probes.clear();
         self.suspicions.values_mut().for_each(|suspicion| suspicion.postpone(stall));
@@ -144,7 +144,7 @@
         out.push(Output::Change(Change::ResumedAfterStall(stall)));
     }
 
-    /// Retries probes and ends those that timed out.
+    /// Retries probes whose retry is due, and ends those that timed out.
     pub(super) fn run_probe_timers(&mut self, now: Time, out: &mut Vec<Output>) {
         let probes = self.detector.probes.iter();
         let due: Vec<u32> = probes.filter(|(_, p)| p.next_timer() <= now).map(|(seq, _)| *seq).collect();
@@ -162,7 +162,7 @@
     fn retry_probe(&mut self, now: Time, seq: u32, probe: &Probe, out: &mut Vec<Output>) {
         let target = probe.target;
         let Some(destination) = self.view.get(target).map(Destination::of) else {
-            // The view has replaced the member by another one. Without its address the probe would stay due.
+            // The view has evicted the member. Without an address to ping, the probe would remain due forever.
             self.detector.probes.remove(&seq);
             self.detector.suspicions.remove(&target);
             return;
@@ -175,15 +175,15 @@
             probe.expected_nacks += helpers.len() as u32;
         }
         self.send(now, destination, Message::Ping { seq, to: target }, out);
-        // The helper knows the address of a member that the roster lists.
+        // The address is omitted for a member that the roster lists, as the helper knows it.
         let address = self.roster_address(target).is_none().then_some(destination.address);
         for helper in helpers {
             self.send(now, helper, Message::PingRequest { seq, target, address }, out);
         }
     }
 
-    /// Alive members to send indirect probes by. The one whose indirect probe was answered last is always among them: it may
-    /// be the only path around a partition.
+    /// Chooses alive members as helpers for indirect probes. The helper whose indirect probe was acked last is always
+    /// among them: it may be the only path around a partition.
     fn choose_helpers(&mut self, target: Id) -> Vec<Destination> {
         let eligible = |member: &&Member| member.state == State::Alive && member.id != target;
         let candidates: Vec<Destination> = self.view.iter().filter(eligible).map(Destination::of).collect();
@@ -197,7 +197,7 @@
         helpers
     }
 
-    /// The next reachable member of the round; a new round begins where it is used up.
+    /// The next reachable member of the round; a new round starts when no targets remain.
     pub(super) fn next_probe_target(&mut self) -> Option<Id> {
         loop {
             match self.detector.round.pop() {
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Sends a member a ping and starts its probe.
+    /// Starts a probe of a member, with a ping.
     pub(super) fn probe(&mut self, now: Time, id: Id, out: &mut Vec<Output>) {
         let Some(destination) = self.view.get(id).map(Destination::of) else { return };
         let seq = self.rng.u32(..);
@@ -232,7 +232,7 @@
         self.send(now, destination, Message::Ping { seq, to: id }, out);
     }
 
-    /// Probes suspected members that the last periods had no extra probe left for.
+    /// Probes suspected members for which earlier periods had no extra probe left.
     pub(super) fn probe_queued_suspects(&mut self, now: Time, out: &mut Vec<Output>) {
         for _ in 0..MAX_EXTRA_PROBES {
             let Some(id) = self.detector.queued_suspects.pop_front() else { break };
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Probes a suspected member at once while the period has extra probes left, else queues it for the next period.
+    /// Probes a suspected member at once if the period has extra probes left, otherwise queues it for the next period.
     fn request_suspect_probe(&mut self, now: Time, id: Id, out: &mut Vec<Output>) {
         if self.detector.extra_probes_left > 0 {
             self.detector.extra_probes_left -= 1;
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Probes a member unless a probe of it is pending already or it is no longer suspected.
+    /// Probes a member unless a probe of it is already pending or it is no longer suspected.
     fn probe_suspect(&mut self, now: Time, id: Id, out: &mut Vec<Output>) {
         let pending = self.detector.probes.values().any(|probe| probe.target == id);
         if !pending && self.detector.suspicions.contains_key(&id) {
@@ -260,8 +260,8 @@
 
     fn on_probe_timeout(&mut self, now: Time, probe: &Probe, out: &mut Vec<Output>) {
         self.stats.probes_failed += 1;
-        // Missing nacks point at this instance's own links (Lifeguard). Only where most are missing: when many members die
-        // at once, some of the helpers are among them.
+        // Missing nacks are evidence against this instance's own links (Lifeguard), but only if most of them are
+        // missing: if many members crash at once, some of the helpers are among them.
         let nacks_missing = probe.nacks * 2 < probe.expected_nacks.max(1);
         self.health.worsen(u32::from(nacks_missing));
         if self.health.is_recovering(now) {
@@ -278,13 +278,13 @@
         }
     }
 
-    /// A probe of this instance failed for a suspected member.
+    /// Records that a probe by this instance has failed for a suspected member.
     fn confirm_suspicion(&mut self, now: Time, id: Id, out: &mut Vec<Output>) {
         let own_id = self.config.number;
         let Some(suspicion) = self.detector.suspicions.get_mut(&id) else { return };
         suspicion.probe_failed = true;
         if suspicion.add_reporter(own_id) {
-            // Gossiped in this instance's name, as it shortens the others' suspicions.
+            // Gossiped with this instance's number, as the report shortens other members' suspicions.
             if let Some(update) = self.update_about(id) {
                 self.dissemination.reset(id);
                 self.dissemination.enqueue(now, Update { reported_by: own_id, ..update });
@@ -293,7 +293,8 @@
         self.request_suspect_probe(now, id, out);
     }
 
-    /// Grows with the logarithm of the fleet's size, as gossip takes longer to reach all.
+    /// The timeouts of a new suspicion. They grow with the logarithm of the fleet's size, as does the time in which
+    /// gossip reaches all members.
     fn suspicion_timeouts(&self) -> SuspicionTimeouts {
         let scale = self.view.size().0.max(2.0).log10().max(1.0);
         let periods = self.config.min_suspicion_periods * scale * self.health.multiplier();
@@ -301,7 +302,7 @@
         SuspicionTimeouts { min, max: min * self.config.max_suspicion_factor }
     }
 
-    /// Begins the suspicion of a member that is alive here.
+    /// Starts the suspicion of a member whose state is alive.
     fn suspect(&mut self, now: Time, id: Id, reported_by: Id, out: &mut Vec<Output>) {
         let suspicion = Suspicion::new(now, self.suspicion_timeouts(), reported_by);
         self.detector.suspicions.insert(id, suspicion);
@@ -312,7 +313,8 @@
         self.request_suspect_probe(now, id, out);
     }
 
-    /// Begins a suspicion by another member's accusation, unless the member has answered here just now.
+    /// Starts a suspicion on another member's accusation, unless the accused member has acked a ping of this instance
+    /// recently.
     pub(super) fn suspect_by_report(
         &mut self,
         now: Time,
@@ -320,14 +322,14 @@
         reported_by: Id,
         out: &mut Vec<Output>,
     ) {
-        let vouched_for = self.config.probe_interval * VOUCHED_INTERVALS;
-        let vouched = member.last_ack.is_some_and(|at| now.since(at) < vouched_for);
-        if member.state == State::Alive && !vouched {
+        let recent = self.config.probe_interval * RECENT_ACK_INTERVALS;
+        let acked_recently = member.last_ack.is_some_and(|at| now.since(at) < recent);
+        if member.state == State::Alive && !acked_recently {
             self.suspect(now, member.id, reported_by, out);
         }
     }
 
-    /// Ends suspicions that timed out and that a failed probe of this instance confirmed.
+    /// Ends suspicions that timed out and that a failed probe by this instance has confirmed.
     pub(super) fn expire_suspicions(&mut self, now: Time, out: &mut Vec<Output>) {
         if self.health.is_recovering(now) {
             return;
@@ -340,7 +342,7 @@
         }
     }
 
-    /// Declares a member dead here, or left where other members report that.
+    /// Declares a member dead, or left if another member reported that.
     fn mark_dead(&mut self, now: Time, id: Id, out: &mut Vec<Output>) {
         let Some(suspicion) = self.detector.suspicions.remove(&id) else { return };
         let state = if suspicion.reported_left { State::Left } else { State::Dead };
--- a/crates/membership/src/swim/incoming.rs
+++ b/crates/membership/src/swim/incoming.rs
@@ -1,4 +1,4 @@
-//! Received datagrams: the sender's checks, then the updates, then the message.
+//! Received datagrams: checks of the sender, then the updates, then the message.
 
 use super::dissemination::Destination;
 use super::relay::{Ack, PingRequest};
@@ -11,10 +11,10 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Address mismatches that are reported, once each; bounds the memory for them.
+/// Maximum number of address mismatches that are reported, once each; bounds the memory for them.
 const MAX_REPORTED_MISMATCHES: usize = 64;
 
-/// Conflicts that were reported already: each is reported once, not for each datagram.
+/// Conflicts that were already reported, as each is reported once and not for each datagram.
 #[derive(Debug, Default)]
 pub(super) struct IdentityConflicts {
     duplicate_reported: bool,
@@ -22,7 +22,7 @@
 }
 
 impl IdentityConflicts {
-    /// Another process uses this instance's number.
+    /// Reports that another process uses this instance's number.
     fn on_duplicate(&mut self, out: &mut Vec<Output>) {
         if !self.duplicate_reported {
             self.duplicate_reported = true;
@@ -30,7 +30,7 @@
         }
     }
 
-    /// A member's datagram came from an address that is not its own.
+    /// Reports that a member's datagram was received from an address that is not the member's.
     fn on_address_mismatch(&mut self, id: Id, source: SocketAddr, out: &mut Vec<Output>) {
         if self.mismatches.len() < MAX_REPORTED_MISMATCHES && self.mismatches.insert((id, source)) {
             out.push(Output::Change(Change::AddressMismatch(id, source)));
@@ -68,7 +68,7 @@
         Ok(datagram)
     }
 
-    /// Rejects datagrams with this instance's own number, and those from an address that is not the sender's.
+    /// Rejects datagrams with this instance's own number, and datagrams from an address that is not the sender's.
     fn check_identity(
         &mut self,
         source: SocketAddr,
@@ -82,7 +82,7 @@
         }
         let mismatch = match (self.roster_address(from), self.view.get(from)) {
             (Some(listed), _) => listed != source,
-            // Without a roster a restarted member may have a new address.
+            // A member that the roster does not list may have a new address after a restart.
             (None, Some(member)) => {
                 member.address != source
                     && member.state.is_reachable()
@@ -108,13 +108,14 @@
         let known = self.view.get(datagram.from).map(|member| member.incarnation.epoch);
         let is_stale = known.is_some_and(|epoch| datagram.incarnation.epoch < epoch);
         if is_stale && !self.disproves_known_epoch(datagram) {
-            self.reply_to_stale(now, source, datagram, out);
+            self.respond_to_stale(now, source, datagram, out);
             return Err(RejectReason::StaleIncarnation);
         }
         Ok(())
     }
 
-    /// Whether the sender answers a pending ping in an earlier epoch than the known one, and that one is taken back.
+    /// Whether the datagram acks a pending ping in an earlier epoch than the known one, and the known one was replaced
+    /// by it.
     fn disproves_known_epoch(&mut self, datagram: &Datagram) -> bool {
         match datagram.message {
             Message::Ack { seq, target, incarnation }
@@ -126,8 +127,9 @@
         }
     }
 
-    /// A member has acked in an earlier epoch than the known one. True if that one is taken back, as no ack was received in
-    /// it: another member claimed it falsely, perhaps too far ahead for the member itself to go past it.
+    /// Replaces a member's known incarnation by an acked one of an earlier epoch, if no ack was received in the known
+    /// epoch or the member is not reachable in it; true if replaced. Another member claimed the known epoch falsely,
+    /// perhaps too far ahead for the member itself to choose a later one.
     fn lower_unproven_epoch(&mut self, id: Id, acked: Incarnation) -> bool {
         let known = self.view.get(id).filter(|member| acked.epoch < member.incarnation.epoch);
         let unproven = known.is_some_and(|member| member.last_ack.is_none() || !member.state.is_reachable());
@@ -138,8 +140,8 @@
         self.detector.is_pending(seq, id) || self.join.is_pending(seq, id)
     }
 
-    /// Takes in the sender's own incarnation, site, role and address. Only a later incarnation than the known one shows that
-    /// the member is alive: with the same one the datagram may be old, and only an ack is evidence.
+    /// Records the sender's incarnation, site, role and address. Only a later incarnation than the known one shows that
+    /// the member is alive: with the known incarnation the datagram may be old, and only an ack is evidence.
     fn on_sender(&mut self, now: Time, source: SocketAddr, datagram: &Datagram, out: &mut Vec<Output>) {
         let (id, incarnation) = (datagram.from, datagram.incarnation);
         let known = self.view.get(id).map(|member| (member.incarnation, member.state));
@@ -170,7 +172,7 @@
     }
 
     fn on_datagram(&mut self, now: Time, source: SocketAddr, datagram: Datagram, out: &mut Vec<Output>) {
-        // Updates before the message, so that an ack carries the incarnation that refutes them.
+        // Updates are processed before the message, so that an ack carries the incarnation that refutes them.
         for (index, update) in datagram.updates.iter().enumerate() {
             self.dissemination.forward_received = index < usize::from(datagram.new_updates);
             self.on_update(now, datagram.from, update, out);
@@ -218,7 +220,8 @@
         self.on_direct_evidence(now, ack.target, ack.incarnation, out);
     }
 
-    /// A member has acked a ping of this instance, directly or by a helper: it is alive, whatever others report.
+    /// Marks a member alive that has acked a ping of this instance, directly or by a helper, regardless of other
+    /// members' reports.
     fn on_direct_evidence(&mut self, now: Time, id: Id, incarnation: Incarnation, out: &mut Vec<Output>) {
         self.lower_unproven_epoch(id, incarnation);
         self.view.update(id, |member| member.last_ack = Some(now));
@@ -235,12 +238,12 @@
         }
     }
 
-    /// A member is alive in a new incarnation, or again. True if that is new to gossip.
+    /// Marks a member alive, in a new incarnation or again. True if the update was queued for gossip.
     fn mark_alive(&mut self, now: Time, latest: Member, reported_by: Id, out: &mut Vec<Output>) -> bool {
         let (id, incarnation) = (latest.id, latest.incarnation);
         let known = self.view.get(id).map(|member| (member.incarnation, member.state));
         match known {
-            // Gossiped below even where the view has no room for it: other views may have.
+            // The update is gossiped below even if this view has no room for the member, as other views may have room.
             None => {
                 self.view.offer(latest.clone());
             }
@@ -288,7 +291,7 @@
         }
     }
 
-    /// A member reports that it leaves.
+    /// Processes a member's own report that it leaves.
     fn on_left(&mut self, now: Time, member: &Member, update: &Update, out: &mut Vec<Output>) {
         if member.state == State::Left {
             return;
@@ -300,7 +303,8 @@
         self.disseminate(now, update.clone());
     }
 
-    /// Another member reports a failure, or a claim that only a probe of this instance can decide.
+    /// Processes a report by another member of a failure, or of a restart that only a probe by this instance can
+    /// confirm.
     fn on_accusation(&mut self, now: Time, member: &Member, update: &Update, out: &mut Vec<Output>) {
         let id = member.id;
         self.suspect_by_report(now, member, update.reported_by, out);
@@ -311,14 +315,14 @@
         suspicion.reported_dead |= matches!(update.state, State::Dead | State::Left);
         suspicion.reported_left |= update.state == State::Left;
         if suspicion.add_reporter(update.reported_by) && self.dissemination.forward_received {
-            // Forwarded in the reporter's name: it shortens the suspicions at others as it does here.
+            // Forwarded with the reporter's number, so that it shortens the suspicions at other members too.
             self.dissemination.reset(id);
             let confirmation = Update { incarnation: member.incarnation, ..update.clone() };
             self.dissemination.enqueue(now, confirmation);
         }
     }
 
-    /// An update about a member that the view does not hold.
+    /// Processes an update about a member that the view does not contain.
     fn on_update_about_unknown(&mut self, now: Time, update: &Update, out: &mut Vec<Output>) {
         let address = self.roster_address(update.id).or(update.address);
         match (update.state, address) {
@@ -336,14 +340,14 @@
                 };
                 self.mark_alive(now, member, update.reported_by, out);
             }
-            // Other views may hold the member.
+            // Other views may contain the member.
             _ => {
                 self.disseminate(now, update.clone());
             }
         }
     }
 
-    /// Refutes a false update about this instance by a later incarnation of its own.
+    /// Refutes a false update about this instance by a later incarnation.
     fn on_update_about_self(&mut self, now: Time, update: &Update) {
         if self.join.leaving {
             return;
--- a/crates/membership/src/swim/join.rs
+++ b/crates/membership/src/swim/join.rs
@@ -1,4 +1,4 @@
-//! Joining, reconnecting and leaving: how members that miss each other meet, and how a member says that it leaves.
+//! Joining, reconnecting to missing members, and leaving.
 
 use super::dissemination::{Destination, Piggyback, MAX_PIGGYBACKED_UPDATES, VIEW_SAMPLES};
 use super::{Membership, Output};
@@ -8,40 +8,41 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// Missing members that are pinged in a period ...
+/// Number of missing members that are pinged in a period.
 const RECONNECT_FANOUT: usize = 1;
-/// ... and in a period of the recovery after a start or a stall.
+/// Number of missing members that are pinged in a period during the recovery after a start or a stall.
 const RECONNECT_FANOUT_RECOVERING: usize = 4;
-/// Pings of missing members whose acks are still accepted.
+/// Maximum number of pending pings of missing members; the oldest is discarded first.
 const MAX_RECONNECT_PINGS: usize = 16;
-/// While other members are reachable, seeds are contacted in one of so many periods: their addresses may belong to others by now.
+/// Seeds are contacted in one of this number of periods while other members are reachable, as a seed's address may be
+/// in use by another process by now.
 const SEED_CONTACT_PERIODS: u32 = 16;
-/// Datagrams full of view samples for a member that joins.
+/// Number of datagrams with view samples that a joining member receives.
 const JOIN_PUSH_DATAGRAMS: usize = 3;
-/// Joining members that get those in a period.
+/// Maximum number of joining members that receive view samples in a period.
 const MAX_JOIN_PUSHES: u32 = 4;
-/// Datagrams of former incarnations that are answered in a period.
-const MAX_STALE_REPLIES: u32 = 4;
-/// Members that a leaving one notifies.
+/// Maximum number of datagrams of former incarnations that get a response in a period.
+const MAX_STALE_RESPONSES: u32 = 4;
+/// Maximum number of members that a leaving member notifies.
 const LEAVE_FANOUT: usize = 32;
-/// Datagrams for each of those: a member that leaves cannot retry later.
+/// Number of datagrams to each notified member, as a member that leaves cannot retry later.
 const LEAVE_DATAGRAMS: usize = 2;
 
-/// A ping of a missing member.
+/// A pending ping of a missing member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct ReconnectPing {
     seq: u32,
     target: Id,
 }
 
-/// Pings of missing members, and what is left of the period's limits.
+/// Pending pings of missing members, and the remaining limits of the current period.
 #[derive(Debug)]
 pub(super) struct JoinState {
-    /// The latest last.
+    /// Pending pings, from the oldest to the latest.
     reconnect_pings: VecDeque<ReconnectPing>,
     join_pushes_left: u32,
-    stale_replies_left: u32,
-    /// This instance leaves: it answers no pings and refutes nothing.
+    stale_responses_left: u32,
+    /// Whether this instance leaves; it then acks no pings and refutes nothing.
     pub leaving: bool,
 }
 
@@ -50,7 +51,7 @@
         JoinState {
             reconnect_pings: VecDeque::new(),
             join_pushes_left: MAX_JOIN_PUSHES,
-            stale_replies_left: MAX_STALE_REPLIES,
+            stale_responses_left: MAX_STALE_RESPONSES,
             leaving: false,
         }
     }
@@ -59,10 +60,10 @@
 impl JoinState {
     pub fn begin_period(&mut self) {
         self.join_pushes_left = MAX_JOIN_PUSHES;
-        self.stale_replies_left = MAX_STALE_REPLIES;
+        self.stale_responses_left = MAX_STALE_RESPONSES;
     }
 
-    /// Whether a ping with this number is pending to this member.
+    /// Whether a ping of this member with this sequence number is pending.
     pub fn is_pending(&self, seq: u32, target: Id) -> bool {
         self.reconnect_pings.contains(&ReconnectPing { seq, target })
     }
@@ -78,8 +79,8 @@
         }
     }
 
-    /// Takes one of the period's join pushes; false if none is left or this instance leaves.
-    fn take_join_push(&mut self) -> bool {
+    /// Consumes one of the period's join pushes; false if none is left or this instance leaves.
+    fn try_consume_join_push(&mut self) -> bool {
         let available = !self.leaving && self.join_pushes_left > 0;
         self.join_pushes_left -= u32::from(available);
         available
@@ -87,7 +88,7 @@
 }
 
 impl Membership {
-    /// Notifies other members that this instance leaves, so that they need not detect it.
+    /// Notifies other members that this instance leaves, so that they need not detect its exit by failed probes.
     pub fn leave(&mut self, now: Time, out: &mut Vec<Output>) {
         self.join.leaving = true;
         self.incarnation.counter = self.incarnation.counter.saturating_add(1);
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Contacts missing members, so that a fleet reunites after a partition without an operator.
+    /// Contacts missing members, so that a fleet converges after a partition without an operator's intervention.
     pub(super) fn reconnect_missing(&mut self, now: Time, out: &mut Vec<Output>) {
         let recovering = self.health.is_recovering(now);
         let fanout = if recovering { RECONNECT_FANOUT_RECOVERING } else { RECONNECT_FANOUT };
@@ -134,10 +135,11 @@
         self.send(now, to, Message::Ping { seq, to: target }, out);
     }
 
-    /// Sends samples of the view to a member that has joined, within the period's limit. Two members whose views have no
-    /// room for each other join each other again and again; without the limit they would push state without end.
+    /// Sends samples of the view to a member that has joined, up to the period's limit. Two members whose views have no
+    /// room for each other detect each other as joined repeatedly; without the limit they would push state to each
+    /// other indefinitely.
     pub(super) fn push_state_to_joined(&mut self, now: Time, joined: Destination, out: &mut Vec<Output>) {
-        if !self.join.take_join_push() {
+        if !self.join.try_consume_join_push() {
             return;
         }
         for _ in 0..JOIN_PUSH_DATAGRAMS {
@@ -146,12 +148,13 @@
         }
     }
 
-    /// Answers a datagram of a former incarnation with the current one. The datagram is late, or its sender restarted with a
-    /// clock that was set back and has to go past that incarnation.
+    /// Sends the known incarnation in response to a datagram of a former one. Either the datagram is late, or its sender
+    /// restarted with a clock that was set back and has to choose a later incarnation.
     ///
-    /// A few in a period: two members that hold false incarnations of each other would answer without end. A ping gets its
-    /// ack: for those two it is the only way to find out.
-    pub(super) fn reply_to_stale(
+    /// The number of responses in a period is limited: two members that know each other by false incarnations would
+    /// send them indefinitely. A ping is still acked: the ack is the only way for such members to learn the true
+    /// incarnation.
+    pub(super) fn respond_to_stale(
         &mut self,
         now: Time,
         source: SocketAddr,
@@ -159,10 +162,10 @@
         out: &mut Vec<Output>,
     ) {
         let from = datagram.from;
-        let Some(current) = self.update_about(from).filter(|_| self.join.stale_replies_left > 0) else {
+        let Some(current) = self.update_about(from).filter(|_| self.join.stale_responses_left > 0) else {
             return;
         };
-        self.join.stale_replies_left -= 1;
+        self.join.stale_responses_left -= 1;
         let message = match datagram.message {
             Message::Ping { seq, to } if to == self.config.number => {
                 Message::Ack { seq, target: to, incarnation: self.incarnation }
--- a/crates/membership/src/swim/local_health.rs
+++ b/crates/membership/src/swim/local_health.rs
@@ -1,28 +1,29 @@
-//! Local health: how far this instance trusts its own failure detector (Lifeguard, "local health multiplier").
+//! Local health: the degree to which this instance trusts its own failure detector (Lifeguard, "local health
+//! multiplier").
 
 use crate::config::Config;
 use bellcroft_balancer::{Micros, Time};
 
-/// The worst local health score: protocol periods and timeouts take up to this many times longer, and one more.
+/// The worst local health score. A score of n multiplies protocol periods and timeouts by n + 1.
 const MAX_LOCAL_HEALTH: u32 = 3;
-/// What a stall of this process adds to the score.
+/// The increase of the score by a stall of this process.
 const STALL_PENALTY: u32 = 2;
 
 /// The local health score, and the recovery after a start or a stall.
 #[derive(Debug)]
 pub(super) struct LocalHealth {
-    /// Whether stalls are detected and the score stretches timeouts; only comparisons switch it off.
+    /// Whether stalls are detected and the score stretches timeouts; off only in experiments that compare protocols.
     enabled: bool,
-    /// 0 (healthy) to [`MAX_LOCAL_HEALTH`].
+    /// Score from 0 (healthy) to [`MAX_LOCAL_HEALTH`].
     score: u32,
-    /// The latest tick or datagram.
+    /// Time of the latest tick or datagram.
     last_event: Time,
-    /// The latest accepted datagram.
+    /// Time of the latest accepted datagram.
     last_datagram: Time,
-    /// Until then no member is suspected or declared dead here.
+    /// End of the recovery, in which this instance suspects no member and declares none dead.
     recovering_until: Time,
-    /// The recovery follows a stall. The view from before the stall is no evidence, so a complete view does not end the
-    /// recovery early.
+    /// Whether the last recovery follows a stall. The view from before the stall may be outdated, so a complete view
+    /// does not end that recovery early.
     resumed_after_stall: bool,
 }
 
@@ -42,7 +43,7 @@
         self.score
     }
 
-    /// By how much protocol periods and timeouts are stretched.
+    /// The factor that stretches protocol periods and timeouts.
     pub fn multiplier(&self) -> f64 {
         if self.enabled {
             1.0 + f64::from(self.score)
@@ -51,17 +52,18 @@
         }
     }
 
-    /// Evidence against this instance's own links or scheduling.
+    /// Increases the score, on evidence against this instance's own links or scheduling.
     pub fn worsen(&mut self, by: u32) {
         self.score = (self.score + by).min(MAX_LOCAL_HEALTH);
     }
 
-    /// A probe or a ping of this instance was answered.
+    /// Decreases the score, on an ack of a ping by this instance.
     pub fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// Records an event. Returns the time since the one before if the process stalled in between, and begins a recovery.
+    /// Records an event. If the process has stalled since the previous event, starts a recovery and returns the time
+    /// between the two events.
     pub fn on_event(&mut self, now: Time, config: &Config) -> Option<Micros> {
         let gap = now.since(self.last_event);
         self.last_event = self.last_event.max(now);
@@ -78,12 +80,12 @@
         self.last_event
     }
 
-    /// A datagram was accepted.
+    /// Records an accepted datagram.
     pub fn on_datagram(&mut self, now: Time) {
         self.last_datagram = now;
     }
 
-    /// No datagram was accepted for this long.
+    /// Whether no datagram was accepted for this time.
     pub fn is_isolated(&self, now: Time, timeout: Micros) -> bool {
         now.since(self.last_datagram) >= timeout
     }
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -1,14 +1,14 @@
 //! The protocol of one member: a state machine that takes datagrams and the time, and returns [`Output`]s.
 //!
-//! | module | what it owns |
+//! | module | content |
 //! | --- | --- |
-//! | [`failure_detector`] | probes, direct and indirect, the way from `Alive` over `Suspect` to `Dead` |
+//! | [`failure_detector`] | direct and indirect probes; the transitions from `Alive` to `Suspect` and `Dead` |
 //! | [`relay`] | pings sent for other members' indirect probes |
 //! | [`suspicion`] | the timeout of one suspicion |
-//! | [`local_health`] | Lifeguard's local health score, stalls of this process, the recovery that follows |
-//! | [`dissemination`] | the queue of updates to gossip, and piggybacking them on datagrams |
+//! | [`local_health`] | Lifeguard's local health score; stalls of this process and the recovery after them |
+//! | [`dissemination`] | the queue of updates to gossip, and their piggybacking on datagrams |
 //! | [`join`] | pings of missing members, state pushed to members that join, leaving |
-//! | [`incoming`] | received datagrams: the sender's checks, messages, updates |
+//! | [`incoming`] | received datagrams: checks of the sender, updates, messages |
 
 mod dissemination;
 mod failure_detector;
@@ -34,32 +34,33 @@
 use relay::Relays;
 use std::net::SocketAddr;
 
-/// Draws from the view for a member that takes a digest half; nearly every member does, so a few draws find one.
+/// Maximum number of draws from the view for a receiver of a digest half. Nearly every member is eligible, so a few
+/// suffice.
 const DIGEST_TARGET_DRAWS: usize = 4;
 
-/// A change of state, for logs and decisions. Emitted once for each change, not for each datagram.
+/// A change of state, to be logged or acted on. Emitted once for each change, not for each datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
     /// A member changed its state or restarted.
     Member {
-        /// The member.
+        /// Number of the member.
         id: Id,
-        /// Its former state.
+        /// Former state of the member.
         from: State,
-        /// Its new state.
+        /// New state of the member.
         to: State,
-        /// The member whose observation caused the change.
+        /// Member whose observation caused the change.
         reported_by: Id,
-        /// The member runs as a new process.
+        /// Whether the member runs as a new process.
         restarted: bool,
     },
     /// This instance's quorum state changed.
     Quorum {
-        /// The former state.
+        /// Former state.
         from: QuorumState,
-        /// The new state.
+        /// New state.
         to: QuorumState,
-        /// Reachable members, this instance included.
+        /// Number of reachable members, this instance included.
         reachable: u32,
         /// Expected number of instances.
         expected: u32,
@@ -68,30 +69,30 @@
     ResumedAfterStall(Micros),
     /// Another process sends datagrams with this instance's number.
     DuplicateIdentity,
-    /// Datagrams of this member arrive from an address that is not its own.
+    /// Datagrams with this member's number arrive from this address, which is not the member's.
     AddressMismatch(Id, SocketAddr),
 }
 
-/// What the caller has to do.
+/// An action for the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
     /// Send these bytes to this address.
     Send(SocketAddr, Vec<u8>),
-    /// Log a change, or act on it.
+    /// Log this change, or act on it.
     Change(Change),
-    /// Pass a member's hint to the decisions; [`crate::PeerReports`] bounds its effect.
+    /// Pass this hint of a member to the balancer; [`crate::PeerReports`] limits its effect.
     Hint(Id, Vec<u8>),
-    /// Pass the fleet's state, as known here now, to the decisions.
+    /// Pass the fleet's state, as known to this instance, to the balancer.
     Fleet(FleetState),
 }
 
-/// The protocol at one instance.
+/// The membership protocol of one instance.
 #[derive(Debug)]
 pub struct Membership {
     config: Config,
-    /// FNV-1a of the cluster's name, which each datagram carries.
+    /// FNV-1a hash of the cluster's name, which each datagram carries.
     cluster: u64,
-    /// This instance's own incarnation.
+    /// Incarnation of this instance.
     incarnation: Incarnation,
     rng: fastrand::Rng,
     view: View,
@@ -109,9 +110,9 @@
 }
 
 impl Membership {
-    /// A member that starts now.
+    /// Starts a member.
     ///
-    /// `epoch` is the wall clock in Unix milliseconds. Equal seeds and inputs give equal outputs.
+    /// `epoch` is the wall-clock time in Unix milliseconds. Equal seeds and inputs give equal outputs.
     pub fn new(config: Config, now: Time, epoch: u64, seed: u64) -> Self {
         let mut view = View::new(config.number, config.max_members);
         view.add_roster(config.roster.iter().enumerate().map(|(number, address)| {
@@ -148,7 +149,7 @@
         }
     }
 
-    /// The configuration it was started with.
+    /// The configuration that this instance was started with.
     pub fn config(&self) -> &Config {
         &self.config
     }
@@ -158,12 +159,12 @@
         self.incarnation
     }
 
-    /// The other members that the view holds.
+    /// The other members in the view.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.view.iter()
     }
 
-    /// One member, if the view holds it.
+    /// The entry of one member, if the view contains it.
     pub fn member(&self, id: Id) -> Option<&Member> {
         self.view.get(id)
     }
@@ -173,12 +174,12 @@
         self.quorum_state
     }
 
-    /// Reachable members with this one, and the relative standard error of that where the view is a sample.
+    /// The number of reachable members with this instance, and its relative standard error if the view is a sample.
     pub fn size(&self) -> (f64, Option<f64>) {
         self.view.size()
     }
 
-    /// The number of instances that share limits of the whole fleet.
+    /// The number of instances that share fleet-wide limits.
     pub fn effective_size(&self, now: Time) -> u32 {
         self.fleet_size.effective(now)
     }
@@ -188,7 +189,7 @@
         self.fleet_size.expected()
     }
 
-    /// Sets the expected number of instances; at least as many as the roster lists.
+    /// Sets the expected number of instances; the roster's length is its lower bound.
     pub fn set_expected_size(&mut self, now: Time, instances: u32) {
         self.fleet_size.set_expected(now, instances.max(self.config.roster.len() as u32));
     }
@@ -203,11 +204,11 @@
         self.stats
     }
 
-    /// When [`Membership::tick`] is due.
+    /// The time at which [`Membership::tick`] is due.
     pub fn next_deadline(&self) -> Time {
         let digest_exchange = (!self.digest.is_empty()).then_some(self.next_digest_exchange);
-        // A tick each interval, even when a poor local health score stretches the protocol period: longer gaps between
-        // events mean a stall.
+        // At least one tick in each probe interval, even if a poor local health score stretches the protocol period:
+        // longer gaps between events count as a stall.
         let stall_check = self.health.last_event() + self.config.probe_interval;
         let detector = self.detector.next_deadline(self.health.recovering_until());
         digest_exchange
@@ -231,7 +232,7 @@
         self.update_quorum_state(now, out);
     }
 
-    /// Sends a hint to one member's decisions; false if the member is not reachable or the payload is too long.
+    /// Sends a hint to one member; false if the member is not reachable or the payload is too long.
     pub fn send_hint(&mut self, now: Time, to: Id, payload: Vec<u8>, out: &mut Vec<Output>) -> bool {
         let Some(member) = self.view.get(to).filter(|m| m.state.is_reachable()) else { return false };
         if payload.len() > MAX_HINT_BYTES {
@@ -242,22 +243,22 @@
         true
     }
 
-    /// This instance's part of the digest, to record its own observations in.
+    /// This instance's part of the digest, in which it records its own observations.
     pub fn digest(&mut self) -> &mut Digest {
         &mut self.digest
     }
 
-    /// The state of the fleet's servers by site, as known here.
+    /// The average state of the fleet's servers by site, as known to this instance.
     pub fn sites(&self) -> impl Iterator<Item = (u8, FleetState)> + '_ {
         self.digest.sites()
     }
 
-    /// The state of the whole fleet's servers, as known here.
+    /// The average state of all servers of the fleet, as known to this instance.
     pub fn fleet(&self, now: Time) -> FleetState {
         self.digest.fleet(now)
     }
 
-    /// One protocol period: probes, gossip, pings of missing members, and cleanup.
+    /// Starts a protocol period: probes, gossip, pings of missing members, and cleanup.
     fn run_protocol_period(&mut self, now: Time, out: &mut Vec<Output>) {
         let interval = self.config.probe_interval * self.health.multiplier();
         self.detector.begin_period(now + interval);
@@ -273,7 +274,7 @@
         self.fleet_size.observe(now, size);
     }
 
-    /// Forgets members outside of the roster once they have been unreachable for the retention time.
+    /// Removes members that the roster does not list once they have been unreachable for the retention time.
     fn forget_unlisted_members(&mut self, now: Time) {
         let (retention, listed) = (self.config.member_retention, self.config.roster.len());
         let expired = |member: &Member| {
@@ -285,7 +286,7 @@
         self.detector.forget(&forgotten, &self.view);
     }
 
-    /// Hands half of the digest to one reachable agent, and reports the fleet's state as it is known then.
+    /// Sends half of the digest to one alive agent, and reports the fleet's state.
     fn exchange_digest(&mut self, now: Time, out: &mut Vec<Output>) {
         self.next_digest_exchange = now + self.digest.interval(now);
         if self.join.leaving || !self.digest.has_data(now) {
@@ -303,7 +304,7 @@
         out.push(Output::Fleet(self.digest.fleet(now)));
     }
 
-    /// Merges a half of a member's digest.
+    /// Merges half of a member's digest.
     fn on_digest(&mut self, now: Time, from: Id, parts: &[u8], out: &mut Vec<Output>) {
         let reachable = self.view.get(from).is_some_and(|m| m.state.is_reachable());
         let outcome = match DigestPart::decode(parts).filter(|_| reachable) {
@@ -328,7 +329,7 @@
         out.push(Output::Change(Change::Member { id, from, to, reported_by, restarted: false }));
     }
 
-    /// Sets a restarted member alive and reports the restart, also where the member was alive before.
+    /// Sets a restarted member to alive and reports the restart, even if the member was alive before.
     fn set_restarted(&mut self, now: Time, id: Id, reported_by: Id, out: &mut Vec<Output>) {
         let Some(from) = self.view.get(id).map(|member| member.state) else { return };
         let to = State::Alive;
@@ -341,7 +342,8 @@
 
     fn update_quorum_state(&mut self, now: Time, out: &mut Vec<Output>) {
         let recovery_time = self.config.recovery_time();
-        // Without any datagram for this long the instance is isolated, before each suspicion has timed out.
+        // Without any datagram for the recovery time the instance counts as isolated, although suspicions may not have
+        // timed out yet.
         let isolated = self.health.is_isolated(now, recovery_time);
         let reachable = if isolated { 1 } else { self.view.size().0.round() as u32 };
         let expected = self.fleet_size.expected();
@@ -355,7 +357,7 @@
         }
     }
 
-    /// The address that the roster gives a member.
+    /// The address of a member in the roster.
     fn roster_address(&self, id: Id) -> Option<SocketAddr> {
         self.config.roster.get(id.0 as usize).copied()
     }
--- a/crates/membership/src/swim/relay.rs
+++ b/crates/membership/src/swim/relay.rs
@@ -8,14 +8,14 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Pings sent for others that may be pending; further requests are dropped.
+/// Maximum number of pending pings for other members; further requests are discarded.
 const MAX_RELAYS: usize = 64;
 
 /// A ping sent for another member.
 #[derive(Debug, Clone)]
 struct Relay {
     requester: Destination,
-    /// The requester's own sequence number.
+    /// Sequence number of the requester's ping request.
     seq: u32,
     deadline: Time,
 }
@@ -52,7 +52,7 @@
 }
 
 impl Membership {
-    /// Pings a member for another one.
+    /// Pings a member on behalf of another one.
     pub(super) fn relay_ping(
         &mut self,
         now: Time,
@@ -73,7 +73,7 @@
         self.send(now, destination, Message::Ping { seq: own_seq, to: target }, out);
     }
 
-    /// Passes an ack on to the member that requested the ping; false if the ack answers no relayed ping.
+    /// Forwards an ack to the member that requested the ping; false if the ack is not for a relayed ping.
     pub(super) fn relay_ack(&mut self, now: Time, ack: Ack, out: &mut Vec<Output>) -> bool {
         let Some(relay) = self.relays.0.remove(&ack.seq) else { return false };
         let message = Message::Ack { seq: relay.seq, target: ack.target, incarnation: ack.incarnation };
@@ -81,7 +81,7 @@
         true
     }
 
-    /// Answers requesters whose target has not answered in time.
+    /// Sends a nack to each requester whose target has not acked in time.
     pub(super) fn expire_relays(&mut self, now: Time, out: &mut Vec<Output>) {
         let relays = self.relays.0.iter();
         let expired: Vec<u32> = relays.filter(|(_, r)| r.deadline <= now).map(|(seq, _)| *seq).collect();
--- a/crates/membership/src/swim/suspicion.rs
+++ b/crates/membership/src/swim/suspicion.rs
@@ -3,7 +3,7 @@
 use crate::member::Id;
 use bellcroft_balancer::{Micros, Time};
 
-/// Further reporters that shorten a suspicion; with this many it lasts its minimum.
+/// Number of further reporters that shorten a suspicion to its minimum timeout.
 const MAX_CONFIRMATIONS: usize = 3;
 
 /// The range of a suspicion's timeout.
@@ -13,18 +13,18 @@
     pub max: Micros,
 }
 
-/// The suspicion of one member. Each further member that reports it shortens the timeout from its maximum to its minimum
-/// (Lifeguard, "dynamic suspicion timeouts"): an unconfirmed suspicion may be due to this instance's own links.
+/// The suspicion of one member. Each further reporter shortens the timeout, from its maximum down to its minimum
+/// (Lifeguard, "dynamic suspicion timeouts"): the cause of an unconfirmed suspicion may be this instance's own links.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Suspicion {
     start: Time,
     timeouts: SuspicionTimeouts,
     reporters: Vec<Id>,
-    /// A probe of this instance has failed since the start.
+    /// Whether a probe by this instance has failed since the start.
     pub probe_failed: bool,
-    /// Another member reports the member as dead.
+    /// Whether another member reports the member as dead or left.
     pub reported_dead: bool,
-    /// Another member reports that the member has left.
+    /// Whether another member reports the member as left.
     pub reported_left: bool,
 }
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Records a further reporter; false if it is known or there are enough.
+    /// Records a further reporter; false if it is already known or there are enough reporters.
     pub fn add_reporter(&mut self, id: Id) -> bool {
         let added = self.reporters.len() <= MAX_CONFIRMATIONS && !self.reporters.contains(&id);
         if added {
@@ -49,13 +49,13 @@
         added
     }
 
-    /// When the member is declared dead, if a probe of this instance has failed by then.
+    /// The time at which the member is declared dead, if a probe by this instance has failed by then.
     pub fn deadline(&self) -> Time {
         let SuspicionTimeouts { min, max } = self.timeouts;
         let confirmations = (self.reporters.len() - 1) as f64;
         let shortened = (confirmations + 1.0).ln() / (MAX_CONFIRMATIONS as f64 + 1.0).ln();
         let timeout = Micros(max.0 - ((max.0 - min.0) as f64 * shortened.min(1.0)) as u64);
-        // A member that reports a death has waited for its own suspicion's timeout.
+        // The minimum suffices after a report of a death: its reporter has waited for the timeout of its own suspicion.
         self.start + if self.reported_dead { min.min(timeout) } else { timeout }
     }
 
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -10,11 +10,12 @@
 
 /// The members that an instance knows, without itself.
 ///
-/// A full view keeps the members with the lowest ranks; a rank is a hash of the numbers of the view's owner and the member.
-/// So a view is a uniform sample of all members that were ever reported, however often each of them was reported ("min-wise"
-/// sampling, Bortnikov et al., "Brahms", 2008), and no member can place itself in all views. The ranks also give an estimate
-/// of the number of members: if the k-th lowest of n uniform ranks is u, n is about (k - 1) / u, with a relative standard
-/// error of 1 / sqrt(k - 2) (Bar-Yossef et al., "Counting distinct elements in a data stream", 2002).
+/// A full view keeps the members with the lowest ranks; a rank is a hash of the numbers of the view's owner and the
+/// member. So a view is a uniform sample of all members that were ever reported, however often each of them was
+/// reported ("min-wise" sampling, Bortnikov et al., "Brahms", 2008), and no member can place itself in all views. The
+/// ranks also give an estimate of the number of members: if the k-th lowest of n uniform ranks is u, n is about
+/// (k - 1) / u, with a relative standard error of 1 / sqrt(k - 2) (Bar-Yossef et al., "Counting distinct elements in a
+/// data stream", 2002).
 #[derive(Debug, Clone)]
 pub struct View {
     own_id: Id,
@@ -174,7 +175,8 @@
         forgotten
     }
 
-    /// The number of reachable members with this instance, and its relative standard error; no error if the number is exact.
+    /// The number of reachable members with this instance. If it is an estimate from a sample, its relative standard error
+    /// too.
     pub fn size(&self) -> (f64, Option<f64>) {
         let reachable = self.reachable.len();
         if !self.is_sample || reachable < MIN_ESTIMATE_SAMPLE {
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -68,7 +68,7 @@
     },
     /// The ack of a ping, from the target or forwarded by a helper.
     Ack {
-        /// Sequence number of the ping.
+        /// Sequence number of the ping or of the ping request.
         seq: u32,
         /// Target of the ping.
         target: Id,
@@ -148,8 +148,8 @@
 
 impl std::error::Error for WireError {}
 
-/// Serializes into a growing buffer. Postcard fails there only for sequences of unknown length, which no type of this crate
-/// contains. If serialization fails nevertheless, the result is empty and receivers reject the datagram.
+/// Serializes into a growing buffer. Postcard fails there only for sequences of unknown length, which no type of this
+/// crate contains. If serialization fails nevertheless, the result is empty and receivers reject the datagram.
 pub(crate) fn serialize(value: &impl Serialize) -> Vec<u8> {
     match postcard::to_stdvec(value) {
         Ok(bytes) => bytes,
