--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Simulated fleets for the tests, and assertions on what their members hold of each other.
+//! Simulated fleets for the tests, and functions to inspect the views of their members.
 #![allow(dead_code)]
 
 use bellcroft_balancer::{Micros, Time};
@@ -10,8 +10,8 @@
 
 pub type Fleet = Net<Membership>;
 
-/// The wall clock at the start, in Unix milliseconds.
-pub const WALL: u64 = 1_790_000_000_000;
+/// The wall-clock time at the start of a simulation, in Unix milliseconds.
+pub const START_UNIX_MS: u64 = 1_790_000_000_000;
 
 pub fn seconds(s: f64) -> Micros {
     Micros::from_ms(s * 1e3)
@@ -21,63 +21,65 @@
     Config::new("south", number as u32, (0..members).map(address).collect::<Vec<_>>())
 }
 
-/// The wall clock now.
-pub fn wall(fleet: &Fleet) -> u64 {
-    WALL + fleet.passed().0 / 1000
+/// The current wall-clock time of a simulation, in Unix milliseconds.
+pub fn wall_clock_ms(fleet: &Fleet) -> u64 {
+    START_UNIX_MS + fleet.passed().0 / 1000
 }
 
-/// Starts a member without state.
+/// Starts a member that knows only its configuration.
 pub fn start(fleet: &mut Fleet, config: Config) {
-    let epoch = wall(fleet);
-    start_in(fleet, config, epoch);
+    let epoch = wall_clock_ms(fleet);
+    start_with_epoch(fleet, config, epoch);
 }
 
-/// Starts a member whose wall clock shows `epoch`.
-pub fn start_in(fleet: &mut Fleet, config: Config, epoch: u64) {
+/// Starts a member with this epoch, the time that its wall clock shows.
+pub fn start_with_epoch(fleet: &mut Fleet, config: Config, epoch: u64) {
     let (number, now) = (config.number.0 as usize, fleet.now());
     let seed = epoch ^ (number as u64).wrapping_mul(0x9e37_79b9);
     fleet.start(number, Membership::new(config, now, epoch, seed));
 }
 
-/// A fleet whose members all hold each other for alive.
+/// A fleet in which the views of all members have converged.
 pub fn fleet(members: usize, seed: u64) -> Fleet {
     let mut fleet = Net::new(members, seed);
     for number in 0..members {
         start(&mut fleet, config(number, members));
     }
     let converged = fleet.until(seconds(10.0), Fleet::agrees);
-    assert!(converged.is_some(), "the fleet converges");
+    assert!(converged.is_some(), "the fleet did not converge");
     fleet
 }
 
-/// The bound on the operators' page for the detection of a crash, on healthy links.
-pub fn bound(members: usize) -> Micros {
+/// The documented bound of the time in which a crash is detected on healthy links.
+pub fn detection_bound(members: usize) -> Micros {
     config(0, members).detection_bound(members as u32)
 }
 
-pub fn state(fleet: &Fleet, by: usize, of: usize) -> Option<State> {
+pub fn known_state(fleet: &Fleet, by: usize, of: usize) -> Option<State> {
     fleet.peer(by).and_then(|peer| peer.member(Id(of as u32))).map(|member| member.state)
 }
 
 pub fn quorum_state(fleet: &Fleet, by: usize) -> QuorumState {
-    fleet.peer(by).expect("it runs").quorum_state()
+    fleet.peer(by).expect("the member is running").quorum_state()
 }
 
-/// Whether all of `by` hold all of `of` in a wanted state.
-pub fn hold(fleet: &Fleet, by: &[usize], of: &[usize], wanted: fn(State) -> bool) -> bool {
-    by.iter().all(|by| of.iter().filter(|of| *of != by).all(|of| state(fleet, *by, *of).is_some_and(wanted)))
+/// Whether, in the views of all members in `by`, the states of all other members in `of` match.
+pub fn all_views_match(fleet: &Fleet, by: &[usize], of: &[usize], matches: fn(State) -> bool) -> bool {
+    by.iter().all(|by| {
+        of.iter().filter(|of| *of != by).all(|of| known_state(fleet, *by, *of).is_some_and(matches))
+    })
 }
 
-pub fn dead(state: State) -> bool {
+pub fn is_dead(state: State) -> bool {
     state == State::Dead
 }
 
-pub fn alive(state: State) -> bool {
+pub fn is_alive(state: State) -> bool {
     state == State::Alive
 }
 
-/// Members declared dead since `from`, as pairs of the declaring and the dead member.
-pub fn deaths(fleet: &Fleet, from: Time) -> Vec<(usize, usize)> {
+/// Members declared dead since `from`, as pairs of the declaring member and the one declared dead.
+pub fn declared_deaths(fleet: &Fleet, from: Time) -> Vec<(usize, usize)> {
     let death = |seen: &bellcroft_simulation::fleet::Seen| match seen.change {
         Change::Member { id, to: State::Dead, .. } => Some((seen.by, id.0 as usize)),
         _ => None,
@@ -85,8 +87,8 @@
     fleet.seen.iter().filter(|seen| seen.at >= from).filter_map(death).collect()
 }
 
-/// A partition: no datagram passes between members of different groups.
-pub fn cut(groups: &[&[usize]]) -> impl Fn(usize, usize) -> Link + 'static {
+/// The links of a partitioned network: no datagram is delivered between members of different groups.
+pub fn partition(groups: &[&[usize]]) -> impl Fn(usize, usize) -> Link + 'static {
     let mut group = BTreeMap::new();
     for (number, members) in groups.iter().enumerate() {
         group.extend(members.iter().map(|member| (*member, number)));
@@ -94,12 +96,12 @@
     move |a, b| Link { cut: group.get(&a) != group.get(&b), ..Link::default() }
 }
 
-/// The hash that datagrams of the tests' cluster carry.
+/// The hash of the name of the tests' cluster.
 pub fn cluster_hash() -> u64 {
     bellcroft_platform_settings::fnv1a("south")
 }
 
-/// The bytes of a datagram of member `from`; its updates are to be forwarded.
+/// The encoding of a datagram of member `from` whose receiver forwards all updates.
 pub fn datagram_bytes(
     from: usize,
     incarnation: Incarnation,
@@ -118,9 +120,9 @@
     encode(cluster_hash(), &datagram).0
 }
 
-/// A member's own incarnation.
+/// The incarnation that a member has of itself.
 pub fn incarnation(fleet: &Fleet, of: usize) -> Incarnation {
-    fleet.peer(of).expect("it runs").incarnation()
+    fleet.peer(of).expect("the member is running").incarnation()
 }
 
 /// An update without an address.
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -1,4 +1,4 @@
-//! The wire format: round trips, and bytes that are no datagram of this cluster.
+//! The wire format: round trips, and bytes that are not a datagram of this cluster.
 
 mod common;
 
@@ -20,17 +20,17 @@
     older[0] = 0;
     let mut newer = good.clone();
     newer[0] = 2;
-    let datagram = decode(cluster_hash(), &good).expect("a datagram");
+    let datagram = decode(cluster_hash(), &good).expect("a valid datagram");
     let foreign = encode(cluster_hash() ^ 1, &datagram).0;
     let mut corrupt = good.clone();
     corrupt[12] ^= 4;
     let long = vec![1; 65_000];
-    let before = fleet.peer(0).expect("it runs").stats();
+    let before = fleet.peer(0).expect("the member is running").stats();
     for bytes in [older, newer, foreign, corrupt, long, Vec::new()] {
         fleet.inject(address(1), 0, bytes);
     }
     fleet.play(seconds(0.1));
-    let stats = fleet.peer(0).expect("it runs").stats();
+    let stats = fleet.peer(0).expect("the member is running").stats();
     let counted: Vec<u64> =
         stats.rejected.iter().zip(before.rejected).map(|(now, then)| now - then).collect();
     assert_eq!(counted, [2, 2, 1, 1, 0, 0, 0, 0], "length, version, cluster, corrupt");
@@ -41,15 +41,15 @@
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn arbitrary_bytes_neither_panic_nor_grow_a_member(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_cause_no_panic_and_no_unbounded_view(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         prop_assert!(decode(cluster_hash(), &bytes).is_err());
-        // With a valid header and checksum, so that the body is decoded.
+        // A valid header and checksum around the bytes, so that they are decoded as a body.
         let mut good = vec![1, 0];
         good.extend(cluster_hash().to_le_bytes());
         good.extend(bytes.iter().take(MAX_DATAGRAM_BYTES - 14));
-        let check = crc32c::crc32c(&good).to_le_bytes();
-        good.extend(check);
-        let mut member = Membership::new(config(0, 4), Time(5_000_000), WALL, 1);
+        let checksum = crc32c::crc32c(&good).to_le_bytes();
+        good.extend(checksum);
+        let mut member = Membership::new(config(0, 4), Time(5_000_000), START_UNIX_MS, 1);
         let mut out: Vec<Output> = Vec::new();
         for from in 0..5 {
             member.receive(Time(5_000_000), address(from), &good, &mut out);
@@ -67,18 +67,18 @@
         ids in proptest::collection::vec((any::<u32>(), 0..1_u64 << 47, any::<u32>(), any::<bool>()), 0..40),
         hint in proptest::collection::vec(any::<u8>(), 0..=MAX_HINT_BYTES),
     ) {
-        let six: SocketAddr = "[2001:db8::1]:65535".parse().expect("an address");
+        let ipv6: SocketAddr = "[2001:db8::1]:65535".parse().expect("a valid address");
         let updates: Vec<Update> = ids
             .iter()
             .map(|(id, epoch, counter, with_address)| Update {
-                address: with_address.then_some(six),
+                address: with_address.then_some(ipv6),
                 ..update(*id as usize, Incarnation { epoch: *epoch, counter: *counter }, State::Suspect, u32::MAX as usize)
             })
             .collect();
-        let far = Incarnation { epoch: (1 << 47) - 1, counter: u32::MAX };
+        let max_incarnation = Incarnation { epoch: (1 << 47) - 1, counter: u32::MAX };
         let datagram = Datagram {
             from: Id(u32::MAX),
-            incarnation: far,
+            incarnation: max_incarnation,
             site: 255,
             role: Role::Observer,
             message: Message::Hint { payload: hint },
@@ -87,12 +87,12 @@
         };
         let (bytes, encoded) = encode(cluster_hash(), &datagram);
         prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
-        let read = decode(cluster_hash(), &bytes);
+        let decoded = decode(cluster_hash(), &bytes);
         let expected = Datagram { updates: datagram.updates[..encoded].to_vec(), ..datagram.clone() };
-        prop_assert_eq!(read, Ok(expected));
+        prop_assert_eq!(decoded, Ok(expected));
         for message in [
-            Message::PingRequest { seq: u32::MAX, target: Id(u32::MAX), address: Some(six) },
-            Message::Ack { seq: u32::MAX, target: Id(u32::MAX), incarnation: far },
+            Message::PingRequest { seq: u32::MAX, target: Id(u32::MAX), address: Some(ipv6) },
+            Message::Ack { seq: u32::MAX, target: Id(u32::MAX), incarnation: max_incarnation },
         ] {
             let without_updates = Datagram { message, updates: Vec::new(), ..datagram.clone() };
             prop_assert_eq!(decode(cluster_hash(), &encode(cluster_hash(), &without_updates).0), Ok(without_updates));
--- a/crates/membership/tests/digest.rs
+++ b/crates/membership/tests/digest.rs
@@ -1,4 +1,5 @@
-//! The digest: each instance learns the fleet's average, and neither lost datagrams nor false sums shift it past its bound.
+//! The digest: each instance learns the fleet's average, lost datagrams do not shift the average, and false sums shift
+//! it only within the documented bound.
 
 mod common;
 
@@ -9,10 +10,11 @@
 
 const PERIOD: Micros = Micros(50_000);
 
-/// How often a sent half arrives.
+/// Returns the number of times that a sent half is delivered.
 type Deliveries<'a> = &'a dyn Fn(&mut fastrand::Rng, usize) -> usize;
 
-/// Instances exchange halves for some periods; `observed` is the latency that an instance observes in each.
+/// Exchanges halves between instances for some periods; `observed` returns the latency that an instance observes in each
+/// period, as a share of the target.
 fn exchange(
     members: usize,
     periods: usize,
@@ -41,7 +43,7 @@
     digests.iter().map(|digest| digest.fleet(now)).collect()
 }
 
-/// Half of the instances observe fast responses and half slow ones.
+/// The latency that an instance observes: fast responses for even numbers, slow ones for odd numbers.
 fn fast_and_slow(number: usize) -> Option<f64> {
     Some(if number.is_multiple_of(2) { 0.2 } else { 0.6 })
 }
@@ -58,10 +60,10 @@
         assert!((mean - 0.4).abs() < 0.01, "seed {seed}: {mean}");
         assert!(max_error(&states, 0.4) < 0.3, "seed {seed}: {}", max_error(&states, 0.4));
         let spread = states.iter().map(|state| (state.latency - 0.4).powi(2)).sum::<f64>() / 200.0;
-        // With its own responses alone an instance is 0.2 off.
+        // An instance's own responses alone would give an error of 0.2.
         assert!(spread.sqrt() < 0.1, "seed {seed}: {}", spread.sqrt());
         assert!(states.iter().all(|state| (state.load - state.latency / 2.0).abs() < 1e-3));
-        // Its own responses alone would count for four.
+        // An instance's own responses alone would give an effective number of four.
         let weight = states.iter().map(|state| state.weight).sum::<f64>() / 200.0;
         assert!(weight > 8.0, "seed {seed}: {weight}");
     }
@@ -109,10 +111,10 @@
             let parts = digests[from].split_half(now);
             digests[(from + rng.usize(1..members)) % members].merge(now, Id(from as u32), &parts, members);
         }
-        // Member 0 sends its false sums to all others in each period.
+        // Member 0 sends false sums to all others in each period.
         for digest in &mut digests[1..] {
             match digest.merge(now, Id(0), &false_part, members) {
-                MergeOutcome::Complete => panic!("a million responses are more than any instance holds"),
+                MergeOutcome::Complete => panic!("a weight of a million responses was merged completely"),
                 MergeOutcome::Partial => partial += 1,
                 MergeOutcome::Rejected => rejected += 1,
             }
@@ -122,7 +124,7 @@
     let mean =
         digests[1..].iter().map(|digest| digest.fleet(now).latency).sum::<f64>() / (members - 1) as f64;
     let bound = 0.2 + 2.0 / (2.0 + members as f64 / 5.0);
-    assert!((0.2..bound).contains(&mean), "{mean} of at most {bound}");
+    assert!((0.2..bound).contains(&mean), "mean {mean}, bound {bound}");
 }
 
 #[test]
@@ -149,7 +151,7 @@
     for part in invalid {
         let mut digest = Digest::default();
         assert_eq!(digest.merge(now, Id(1), &[valid, part], 10), MergeOutcome::Rejected, "{part:?}");
-        assert!(digest.is_empty(), "no part of it is merged");
+        assert!(digest.is_empty(), "the valid part beside {part:?} was merged");
     }
     let mut digest = Digest::default();
     assert_eq!(digest.merge(now, Id(1), &[valid; MAX_SITES + 1], 10), MergeOutcome::Rejected);
@@ -179,7 +181,7 @@
     assert!(!digest.has_data(later) && digest.split_half(later).is_empty());
 }
 
-/// All members record responses for some rounds; those with even and odd numbers at different sites.
+/// Records responses at all members for some rounds, with one site and latency for even and one for odd member numbers.
 fn record_responses(fleet: &mut Fleet, rounds: usize, latencies: [f64; 2]) {
     let all = fleet.running().len();
     for _ in 0..rounds {
@@ -210,7 +212,7 @@
         latencies.iter().enumerate().all(|(n, latency)| (latency - [0.5, 0.9][n % 2]).abs() < 0.01),
         "{latencies:?}"
     );
-    // After the partition heals.
+    // The partition heals.
     fleet.link = Box::new(|_, _| Link::default());
     assert!(fleet.until(seconds(20.0), Fleet::agrees).is_some());
     record_responses(&mut fleet, 40, [0.5, 0.9]);
@@ -228,8 +230,8 @@
     let before = fleet.sent.0;
     record_responses(&mut fleet, 200, [0.9, 0.9]);
     let busy = fleet.sent.0 - before;
-    // Each of five sends one each 50 ms for ten seconds, and at most two gossip datagrams a period besides.
-    assert!(busy > idle + 800 && busy < idle + 1_100, "{idle} and {busy}");
-    let stats = fleet.peer(0).expect("it runs").stats();
+    // Each of five members sends a digest every 50 ms for ten seconds, and at most two gossip datagrams a period.
+    assert!(busy > idle + 800 && busy < idle + 1_100, "{idle} datagrams while idle, {busy} while busy");
+    let stats = fleet.peer(0).expect("the member is running").stats();
     assert!(stats.digests[0] > 100 && stats.digests[2] < stats.digests[0], "{stats:?}");
 }
--- a/crates/membership/tests/explore.rs
+++ b/crates/membership/tests/explore.rs
@@ -1,30 +1,31 @@
-//! Model checking of the update rules with three members: each update may be delivered to any member, at any time, in any
-//! order, repeatedly or never; probes may fail without a cause; members crash and restart, also with a clock that was set
-//! back. The rules are the crate's own ([`compare`], [`refute`]); environment and properties are defined here.
+//! Model checking of the update rules with three members. Each update may be delivered to any member, at any time, in
+//! any order, repeatedly or never; probes of running members may fail; members crash and restart, also with a clock
+//! that was set back. The rules are those of the crate ([`compare`], [`refute`]); the environment and the properties
+//! are defined here.
 
 use bellcroft_membership::{compare, refute, Claim, Incarnation, Known, Precedence, State};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
-/// What a member knows of another one.
+/// A member's knowledge of another member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Entry {
     incarnation: Incarnation,
     state: State,
-    /// The other one has acked a ping in this epoch.
+    /// Whether the other member has acked a ping in this epoch.
     acked: bool,
-    /// The latest incarnation that was ever known.
+    /// Latest incarnation that was ever known.
     highest: Incarnation,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Member {
-    up: bool,
+    running: bool,
     incarnation: Incarnation,
     view: Vec<Entry>,
 }
 
-/// An update that was sent once.
+/// An update that was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct Report {
     reporter: usize,
@@ -38,7 +39,7 @@
     members: Vec<Member>,
     /// All updates that were ever sent; each may still be delivered.
     sent: BTreeSet<Report>,
-    /// The epochs that each member ever had.
+    /// All epochs of each member, former ones included.
     epochs: Vec<BTreeSet<u64>>,
     probe_failures: usize,
     restarts: usize,
@@ -50,7 +51,7 @@
         to: usize,
         report: Report,
     },
-    /// A probe fails, whether or not its target is up.
+    /// A probe fails, whether or not its target is running.
     FailProbe {
         by: usize,
         target: usize,
@@ -61,20 +62,20 @@
         target: usize,
     },
     Kill(usize),
-    /// A restart without state. Its clock is ahead of the former process's start, or set back behind it.
+    /// A member restarts without state. Its clock is later than the start of its former process, or set back before it.
     Restart {
         number: usize,
         clock_set_back: bool,
     },
 }
 
-/// A rule that is left out, to show that the properties need it.
+/// A rule that the model leaves out, to show that a property depends on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Omitted {
     Nothing,
     /// A member refutes accusations of its own incarnation.
     Refutation,
-    /// A member goes past an epoch of a former process with its number.
+    /// A member chooses a later epoch than that of a former process with its number.
     EpochAdvance,
     /// Updates of earlier incarnations are ignored.
     IncarnationOrder,
@@ -89,7 +90,7 @@
 
 /// The epoch of each member at the start.
 const FIRST_EPOCH: u64 = 10;
-/// How far a restart's clock is ahead of the former epoch, or behind it.
+/// The difference between a restarted member's epoch and its former one, in either direction.
 const CLOCK_STEP: u64 = 3;
 
 impl Rules {
@@ -131,10 +132,10 @@
             }
             return;
         }
-        let Entry { incarnation: latest, state: held, acked, .. } = world.members[to].view[subject];
+        let Entry { incarnation: latest, state: known_state, acked, .. } = world.members[to].view[subject];
         let compared =
             if self.omitted == Omitted::IncarnationOrder { Incarnation::default() } else { latest };
-        let known = Known { incarnation: compared, state: held, acked };
+        let known = Known { incarnation: compared, state: known_state, acked };
         match compare(known, claim, reporter == subject) {
             Precedence::Ignored => {}
             Precedence::Alive => {
@@ -143,24 +144,26 @@
             Precedence::Left => {
                 Self::set(world, to, subject, Known { incarnation, state: State::Left, acked });
             }
-            Precedence::Suspect if held == State::Alive => {
+            Precedence::Suspect if known_state == State::Alive => {
                 Self::set(world, to, subject, Known { incarnation: latest, state: State::Suspect, acked });
             }
             Precedence::Suspect => {}
         }
     }
 
-    /// An ack of a probe, or of a reconnect ping to a member that is held for dead. The target first processes what the
-    /// sender of the ping holds of it, then acks with its incarnation. A ping alone is no evidence: it may be old.
+    /// An ack of a probe, or of a reconnect ping to a member whose known state is dead. The target first processes the
+    /// update about itself that the ping carries, then acks with its incarnation. A ping alone is not evidence, as it
+    /// may be old.
     fn ack(&self, world: &mut World, by: usize, target: usize) {
-        let held = world.members[by].view[target];
-        if held.state != State::Absent {
+        let known = world.members[by].view[target];
+        if known.state != State::Absent {
             let report =
-                Report { reporter: by, subject: target, incarnation: held.incarnation, state: held.state };
+                Report { reporter: by, subject: target, incarnation: known.incarnation, state: known.state };
             self.deliver(world, target, report);
         }
         let incarnation = world.members[target].incarnation;
-        if incarnation > held.incarnation || (incarnation == held.incarnation && held.state.is_reachable()) {
+        if incarnation > known.incarnation || (incarnation == known.incarnation && known.state.is_reachable())
+        {
             Self::set(world, by, target, Known { incarnation, state: State::Alive, acked: true });
         }
     }
@@ -175,20 +178,21 @@
         Self::set(world, by, target, Known { incarnation, state: next, acked });
     }
 
-    /// The world after a quiet time: each update is delivered everywhere, then exactly the members that are up ack probes.
+    /// The world after a time without faults: each update is delivered to all other running members, then exactly the
+    /// running members ack probes.
     fn settle(&self, world: &World) -> World {
         let mut world = world.clone();
         for _ in 0..2 {
             for report in world.sent.clone() {
-                for to in self.up(&world).into_iter().filter(|to| *to != report.reporter) {
+                for to in self.running(&world).into_iter().filter(|to| *to != report.reporter) {
                     self.deliver(&mut world, to, report);
                 }
             }
         }
         for _ in 0..3 {
-            for by in self.up(&world) {
+            for by in self.running(&world) {
                 for target in (0..self.members).filter(|target| *target != by) {
-                    if world.members[target].up {
+                    if world.members[target].running {
                         self.ack(&mut world, by, target);
                     } else {
                         Self::fail_probe(&mut world, by, target);
@@ -199,8 +203,8 @@
         world
     }
 
-    fn up(&self, world: &World) -> Vec<usize> {
-        (0..self.members).filter(|number| world.members[*number].up).collect()
+    fn running(&self, world: &World) -> Vec<usize> {
+        (0..self.members).filter(|number| world.members[*number].running).collect()
     }
 }
 
@@ -211,7 +215,7 @@
     fn init_states(&self) -> Vec<World> {
         let first = Incarnation { epoch: FIRST_EPOCH, counter: 0 };
         let entry = Entry { incarnation: first, state: State::Alive, acked: true, highest: first };
-        let member = Member { up: true, incarnation: first, view: vec![entry; self.members] };
+        let member = Member { running: true, incarnation: first, view: vec![entry; self.members] };
         vec![World {
             members: vec![member; self.members],
             sent: BTreeSet::new(),
@@ -222,21 +226,21 @@
     }
 
     fn actions(&self, world: &World, actions: &mut Vec<Action>) {
-        for by in self.up(world) {
+        for by in self.running(world) {
             let reports = world.sent.iter().filter(|report| report.reporter != by);
             actions.extend(reports.map(|report| Action::Deliver { to: by, report: *report }));
             for target in (0..self.members).filter(|target| *target != by) {
                 if world.probe_failures < self.max_probe_failures {
                     actions.push(Action::FailProbe { by, target });
                 }
-                if world.members[target].up {
+                if world.members[target].running {
                     actions.push(Action::Ack { by, target });
                 }
             }
         }
-        // Only member 0 restarts: the members are symmetric.
+        // Only member 0 restarts, as the members are symmetric.
         if world.restarts < self.max_restarts {
-            if world.members[0].up {
+            if world.members[0].running {
                 actions.push(Action::Kill(0));
             } else {
                 let restart = |clock_set_back| Action::Restart { number: 0, clock_set_back };
@@ -254,7 +258,7 @@
                 Self::fail_probe(&mut world, by, target);
             }
             Action::Ack { by, target } => self.ack(&mut world, by, target),
-            Action::Kill(number) => world.members[number].up = false,
+            Action::Kill(number) => world.members[number].running = false,
             Action::Restart { number, clock_set_back } => {
                 world.restarts += 1;
                 let former = world.members[number].incarnation.epoch;
@@ -263,7 +267,7 @@
                 let entry =
                     Entry { incarnation: unknown, state: State::Absent, acked: false, highest: unknown };
                 world.members[number] = Member {
-                    up: true,
+                    running: true,
                     incarnation: Incarnation { epoch, counter: 0 },
                     view: vec![entry; self.members],
                 };
@@ -289,7 +293,7 @@
             }),
             Property::<Self>::always(CONVERGENCE, |rules, world| {
                 let settled = rules.settle(world);
-                rules.up(&settled).into_iter().all(|by| {
+                rules.running(&settled).into_iter().all(|by| {
                     let mut others = (0..rules.members).filter(|subject| *subject != by);
                     others.all(|subject| is_correct(&settled, by, subject))
                 })
@@ -298,21 +302,21 @@
     }
 }
 
-const ONLY_TRUE_EPOCHS: &str = "views hold only epochs that their members had";
-const MONOTONIC_VIEWS: &str = "no view goes back to an earlier incarnation";
-const CONVERGENCE: &str = "views are correct after a quiet time";
+const ONLY_TRUE_EPOCHS: &str = "views contain only epochs that their members had";
+const MONOTONIC_VIEWS: &str = "no view reverts to an earlier incarnation";
+const CONVERGENCE: &str = "views are correct after a time without faults";
 
 fn is_correct(world: &World, by: usize, subject: usize) -> bool {
     let entry = world.members[by].view[subject];
     let subject = &world.members[subject];
-    if subject.up {
+    if subject.running {
         entry.state == State::Alive && entry.incarnation == subject.incarnation
     } else {
         matches!(entry.state, State::Dead | State::Left | State::Absent)
     }
 }
 
-/// What a search found.
+/// The result of a search.
 struct Exploration {
     states: usize,
     depth: usize,
@@ -335,7 +339,6 @@
     assert!(states > 20_000, "{states}");
 }
 
-/// Run by hand, as it takes minutes.
 #[test]
 #[ignore = "takes minutes: cargo test --release -p bellcroft-membership --test explore -- --ignored --nocapture"]
 fn properties_hold_deeper_and_with_four_members() {
--- a/crates/membership/tests/false_updates.rs
+++ b/crates/membership/tests/false_updates.rs
@@ -1,4 +1,4 @@
-//! False and outdated updates: what one member can cause by them.
+//! False and outdated updates: the effect that one member can have by them.
 
 mod common;
 
@@ -6,16 +6,16 @@
 use bellcroft_simulation::fleet::{address, Link, Net};
 use common::*;
 
-/// Member 11 sends an update to all others, ten times a second for this long.
-fn gossip_repeatedly(fleet: &mut Fleet, for_seconds: u32, update: impl Fn(&Fleet) -> Update) {
-    for _ in 0..for_seconds * 10 {
+/// Sends an update from member 11 to all others, ten times a second for this number of seconds.
+fn gossip_repeatedly(fleet: &mut Fleet, duration_s: u32, update: impl Fn(&Fleet) -> Update) {
+    for _ in 0..duration_s * 10 {
         let update = update(fleet);
         gossip_to_all(fleet, incarnation(fleet, 11), vec![update]);
         fleet.play(seconds(0.1));
     }
 }
 
-/// Member 11 sends one gossip datagram to each other member.
+/// Sends one gossip datagram from member 11 to each other member.
 fn gossip_to_all(fleet: &mut Fleet, own: Incarnation, updates: Vec<Update>) {
     let bytes = datagram_bytes(11, own, Message::Gossip, updates);
     (0..11).for_each(|to| fleet.inject(address(11), to, bytes.clone()));
@@ -29,10 +29,10 @@
         let from = fleet.now();
         fleet.link = Box::new(move |_, _| Link { loss, ..Link::default() });
         gossip_repeatedly(&mut fleet, 20, |fleet| update(2, incarnation(fleet, 2), state, 11));
-        let declared = |seen: &&bellcroft_simulation::fleet::Seen| {
+        let declared_dead_or_left = |seen: &&bellcroft_simulation::fleet::Seen| {
             seen.at >= from && matches!(seen.change, Change::Member { to: State::Dead | State::Left, .. })
         };
-        assert_eq!(fleet.seen.iter().filter(declared).count(), 0, "{state:?}, {loss} lost");
+        assert_eq!(fleet.seen.iter().filter(declared_dead_or_left).count(), 0, "{state:?}, loss {loss}");
         fleet.link = Box::new(|_, _| Link::default());
         assert!(fleet.until(seconds(10.0), Net::agrees).is_some(), "{state:?}");
     }
@@ -50,44 +50,47 @@
         fleet.play(seconds(0.1));
     }
     let rest: Vec<usize> = (0..11).filter(|n| *n != 2).collect();
-    assert!(fleet.until(bound(12), |f| hold(f, &rest, &[2], dead)).is_some());
+    assert!(fleet.until(detection_bound(12), |f| all_views_match(f, &rest, &[2], is_dead)).is_some());
 }
 
 #[test]
 fn false_epoch_is_replaced_by_members_own_ack() {
     let mut fleet = fleet(12, 4);
-    // False epochs of a live member: one year ahead, which the member goes past; and three, which is too far, so that its acks
-    // decide.
-    let year = 365 * 24 * 3_600_000;
+    // Two false epochs of a live member. If the epoch is one year ahead, the member chooses a later one; three years
+    // are too far ahead for that, so its acks decide.
+    let year_ms = 365 * 24 * 3_600_000;
     for years in [1, 3] {
-        let ahead = Incarnation { epoch: WALL + years * year, counter: 0 };
+        let ahead = Incarnation { epoch: START_UNIX_MS + years * year_ms, counter: 0 };
         gossip_repeatedly(&mut fleet, 5, |_| update(2, ahead, State::Alive, 11));
     }
     assert!(fleet.until(seconds(10.0), Net::agrees).is_some());
-    // An epoch that no member could go past is malformed.
+    // A datagram is malformed if its epoch is too large for any member to choose a later one.
     let beyond = Incarnation { epoch: 1 << 47, counter: 0 };
     let own = incarnation(&fleet, 11);
     let bytes = datagram_bytes(11, own, Message::Gossip, vec![update(2, beyond, State::Alive, 11)]);
     assert!(decode(cluster_hash(), &bytes).is_err());
-    // Member 11 claims a future epoch for itself and crashes; its successor goes past that epoch.
-    let far = Incarnation { epoch: WALL + 300 * 24 * 3_600_000, counter: 0 };
+    // Member 11 claims a future epoch for itself and crashes. The restarted member has to choose a later epoch.
+    let far = Incarnation { epoch: START_UNIX_MS + 300 * 24 * 3_600_000, counter: 0 };
     gossip_to_all(&mut fleet, far, Vec::new());
     fleet.kill(11);
     fleet.play(seconds(1.0));
     start(&mut fleet, config(11, 12));
-    assert!(fleet.until(seconds(15.0), Net::agrees).is_some(), "it learns of that epoch and goes past it");
+    assert!(
+        fleet.until(seconds(15.0), Net::agrees).is_some(),
+        "the restarted member's epoch was not accepted"
+    );
 }
 
-/// False epochs, too far ahead for their members to go past, of members that no other one has pinged yet.
+/// False epochs, too far ahead for the members to choose later ones, of members that no other member has pinged yet.
 #[test]
-fn unreachable_epoch_of_unmet_member_is_taken_back() {
+fn false_epoch_of_never_acked_member_is_replaced() {
     for seed in 0..5 {
         let mut fleet = Net::new(12, seed);
         for number in 0..11 {
             start(&mut fleet, config(number, 12));
         }
         let beyond = Incarnation { epoch: 1 << 46, counter: 0 };
-        let own = Incarnation { epoch: wall(&fleet), counter: 0 };
+        let own = Incarnation { epoch: wall_clock_ms(&fleet), counter: 0 };
         for to in 0..11 {
             for of in (0..11).filter(|of| *of != to) {
                 fleet.inject(
@@ -97,19 +100,20 @@
                 );
             }
         }
-        // A false member 11 claims such an epoch for itself; then the true one starts.
+        // A false member 11 claims such an epoch for itself; then the true member 11 starts.
         fleet.play(seconds(1.0));
         gossip_to_all(&mut fleet, beyond, Vec::new());
         fleet.play(seconds(1.0));
         start(&mut fleet, config(11, 12));
-        let holds_true_epochs = |fleet: &Fleet| {
+        let views_have_true_epochs = |fleet: &Fleet| {
             let peers = (0..12).filter_map(|by| fleet.peer(by));
-            let mut held = peers.flat_map(|peer| peer.members().map(|member| member.incarnation.epoch));
-            held.all(|epoch| epoch < beyond.epoch)
+            let mut epochs = peers.flat_map(|peer| peer.members().map(|member| member.incarnation.epoch));
+            epochs.all(|epoch| epoch < beyond.epoch)
         };
-        let settled = fleet.until(seconds(60.0), |fleet| fleet.agrees() && holds_true_epochs(fleet));
-        assert!(settled.is_some(), "seed {seed}: all hold all for alive, in their own epochs");
-        // Members that hold false epochs of each other reply to each other, and must not do so without end.
+        let converged = fleet.until(seconds(60.0), |fleet| fleet.agrees() && views_have_true_epochs(fleet));
+        assert!(converged.is_some(), "seed {seed}: the views did not converge to the true epochs");
+        // Members that know each other by false epochs respond to each other's datagrams, and must not do so
+        // indefinitely.
         let seconds = fleet.passed().0 / 1_000_000 + 1;
         assert!(fleet.sent.0 < 12 * 60 * seconds, "seed {seed}: {} datagrams in {seconds} s", fleet.sent.0);
     }
@@ -118,18 +122,18 @@
 #[test]
 fn identity_conflicts_are_rejected_and_reported_once() {
     let mut fleet = fleet(12, 6);
-    let future = Incarnation { epoch: WALL + 1_000_000, counter: 0 };
+    let future = Incarnation { epoch: START_UNIX_MS + 1_000_000, counter: 0 };
     for _ in 0..5 {
         fleet.inject(address(500), 3, datagram_bytes(7, future, Message::Gossip, Vec::new()));
         fleet.inject(address(500), 7, datagram_bytes(7, future, Message::Gossip, Vec::new()));
         fleet.play(seconds(0.2));
     }
     let reported = |change: &Change| fleet.seen.iter().filter(|seen| seen.change == *change).count();
-    assert_eq!(reported(&Change::AddressMismatch(Id(7), address(500))), 1, "once, not for each datagram");
+    assert_eq!(reported(&Change::AddressMismatch(Id(7), address(500))), 1, "reports of five mismatches");
     assert_eq!(reported(&Change::DuplicateIdentity), 1);
     assert!(fleet.agrees());
     assert!(incarnation(&fleet, 7).epoch < future.epoch);
-    let stats = fleet.peer(3).expect("it runs").stats();
+    let stats = fleet.peer(3).expect("the member is running").stats();
     assert_eq!(stats.rejected[5], 5);
 }
 
@@ -144,13 +148,14 @@
     start(&mut fleet, config(4, 12));
     fleet.play(seconds(20.0));
     assert!(fleet.agrees());
-    let (from, anew) = (fleet.now(), incarnation(&fleet, 4));
+    let (from, restarted) = (fleet.now(), incarnation(&fleet, 4));
     for to in (0..12).filter(|n| *n != 4) {
         fleet.inject(address(4), to, old.clone());
     }
     fleet.play(seconds(5.0));
     assert!(fleet.agrees());
-    assert_eq!(deaths(&fleet, from), []);
-    let held = fleet.peer(0).and_then(|p| p.member(Id(4))).expect("known").incarnation;
-    assert!(held.epoch == anew.epoch && held.epoch > former.epoch);
+    assert_eq!(declared_deaths(&fleet, from), []);
+    let known =
+        fleet.peer(0).and_then(|p| p.member(Id(4))).expect("the view contains the member").incarnation;
+    assert!(known.epoch == restarted.epoch && known.epoch > former.epoch);
 }
--- a/crates/membership/tests/faults.rs
+++ b/crates/membership/tests/faults.rs
@@ -1,4 +1,4 @@
-//! One fault at a time in simulated fleets: its effect on the views, and how long it lasts.
+//! Single faults in simulated fleets: their effect on the views, and its duration.
 
 mod common;
 
@@ -12,16 +12,16 @@
 }
 
 #[test]
-fn killed_member_alone_is_declared_dead_within_bound() {
+fn only_killed_member_is_declared_dead_within_bound() {
     for seed in 0..40 {
         let mut fleet = fleet(12, seed);
         let from = fleet.now();
         fleet.kill(5);
         let rest: Vec<usize> = (0..12).filter(|n| *n != 5).collect();
-        let took = fleet.until(bound(12), |fleet| hold(fleet, &rest, &[5], dead));
-        assert!(took.is_some(), "seed {seed}");
+        let detected = fleet.until(detection_bound(12), |fleet| all_views_match(fleet, &rest, &[5], is_dead));
+        assert!(detected.is_some(), "seed {seed}");
         fleet.play(seconds(10.0));
-        assert!(deaths(&fleet, from).iter().all(|(_, of)| *of == 5), "seed {seed}");
+        assert!(declared_deaths(&fleet, from).iter().all(|(_, of)| *of == 5), "seed {seed}");
         assert!(rest.iter().all(|n| quorum_state(&fleet, *n) == QuorumState::Degraded), "seed {seed}");
     }
 }
@@ -29,31 +29,47 @@
 #[test]
 fn simultaneous_crashes_are_detected_by_all_survivors() {
     for seed in 0..10 {
-        let mut thirty = fleet(30, seed);
-        (0..10).for_each(|n| thirty.kill(n));
+        let mut third_killed = fleet(30, seed);
+        (0..10).for_each(|n| third_killed.kill(n));
         let rest: Vec<usize> = (10..30).collect();
         let killed: Vec<usize> = (0..10).collect();
-        // With a third of the members down, helpers among them, local health scores rise and stretch timeouts.
-        assert!(thirty.until(bound(30) * 3.0, |f| hold(f, &rest, &killed, dead)).is_some(), "seed {seed}");
-        assert!(hold(&thirty, &rest, &rest, State::is_reachable), "seed {seed}");
-        assert_eq!(quorum_state(&thirty, 20), QuorumState::Majority);
+        // With a third of the members down, helpers among them, local health scores increase and stretch timeouts.
+        assert!(
+            third_killed
+                .until(detection_bound(30) * 3.0, |f| all_views_match(f, &rest, &killed, is_dead))
+                .is_some(),
+            "seed {seed}"
+        );
+        assert!(all_views_match(&third_killed, &rest, &rest, State::is_reachable), "seed {seed}");
+        assert_eq!(quorum_state(&third_killed, 20), QuorumState::Majority);
 
-        let mut twelve = fleet(12, seed);
-        (1..12).for_each(|n| twelve.kill(n));
+        let mut all_but_one_killed = fleet(12, seed);
+        (1..12).for_each(|n| all_but_one_killed.kill(n));
         let recovery = config(0, 12).recovery_time() * 1.5;
         assert!(
-            twelve.until(recovery, |f| quorum_state(f, 0) == QuorumState::Isolated).is_some(),
+            all_but_one_killed.until(recovery, |f| quorum_state(f, 0) == QuorumState::Isolated).is_some(),
+            "seed {seed}"
+        );
+        // Unconfirmed suspicions last their maximum, stretched by the local health score.
+        let killed: Vec<usize> = (1..12).collect();
+        assert!(
+            all_but_one_killed
+                .until(detection_bound(12) * 8.0, |f| all_views_match(f, &[0], &killed, is_dead))
+                .is_some(),
             "seed {seed}"
         );
-        // Unconfirmed suspicions take their maximum, stretched by the local health score.
-        let all: Vec<usize> = (1..12).collect();
-        assert!(twelve.until(bound(12) * 8.0, |f| hold(f, &[0], &all, dead)).is_some(), "seed {seed}");
-        assert_eq!(twelve.peer(0).expect("it runs").effective_size(twelve.now()), 12);
+        assert_eq!(
+            all_but_one_killed
+                .peer(0)
+                .expect("the member is running")
+                .effective_size(all_but_one_killed.now()),
+            12
+        );
     }
 }
 
 #[test]
-fn stalled_member_refutes_and_suspects_no_other() {
+fn stalled_member_refutes_its_suspicion_and_suspects_none() {
     for (seed, stall_s) in [(1, 1.0), (2, 5.0), (3, 30.0), (4, 5.0), (5, 30.0)] {
         let mut fleet = fleet(12, seed);
         fleet.stop(3);
@@ -80,36 +96,41 @@
 #[test]
 fn partitioned_fleet_converges_within_bound_after_healing() {
     let all = all_members(12);
-    let half: (Vec<usize>, Vec<usize>) = (all[..6].to_vec(), all[6..].to_vec());
+    let halves: (Vec<usize>, Vec<usize>) = (all[..6].to_vec(), all[6..].to_vec());
     let cases: Vec<(&str, Vec<&[usize]>, QuorumState)> = vec![
-        ("halves", vec![&half.0, &half.1], QuorumState::Minority),
+        ("halves", vec![&halves.0, &halves.1], QuorumState::Minority),
         ("thirds", vec![&all[..4], &all[4..8], &all[8..]], QuorumState::Minority),
-        ("one alone", vec![&all[..1], &all[1..]], QuorumState::Isolated),
-        ("a third off", vec![&all[..4], &all[4..]], QuorumState::Minority),
+        ("one member isolated", vec![&all[..1], &all[1..]], QuorumState::Isolated),
+        ("a third isolated", vec![&all[..4], &all[4..]], QuorumState::Minority),
     ];
     for (seed, (name, groups, expected)) in cases.into_iter().enumerate() {
         let mut fleet = fleet(12, seed as u64);
-        fleet.link = Box::new(cut(&groups));
+        fleet.link = Box::new(partition(&groups));
         fleet.play(seconds(60.0));
         for (a, group) in groups.iter().enumerate() {
             for other in groups.iter().skip(a + 1) {
-                assert!(hold(&fleet, group, other, dead) && hold(&fleet, other, group, dead), "{name}");
+                assert!(
+                    all_views_match(&fleet, group, other, is_dead)
+                        && all_views_match(&fleet, other, group, is_dead),
+                    "{name}"
+                );
             }
             assert!(
-                hold(&fleet, group, group, State::is_reachable),
-                "{name}: each side holds its own members"
+                all_views_match(&fleet, group, group, State::is_reachable),
+                "{name}: members of a group are unreachable in a view of the same group"
             );
         }
         assert_eq!(quorum_state(&fleet, 0), expected, "{name}");
-        // With a smaller size each side would take the whole of the limits that all share.
+        // With a smaller effective size the groups together would exceed the limits that all members share.
         assert!(
-            all.iter().all(|n| fleet.peer(*n).expect("it runs").effective_size(fleet.now()) == 12),
+            all.iter()
+                .all(|n| fleet.peer(*n).expect("the member is running").effective_size(fleet.now()) == 12),
             "{name}"
         );
         fleet.link = Box::new(|_, _| Link::default());
-        assert!(fleet.until(seconds(10.0), Net::agrees).is_some(), "{name}: the views converge");
+        assert!(fleet.until(seconds(10.0), Net::agrees).is_some(), "{name}: the views did not converge");
         fleet.play(seconds(20.0));
-        assert!(fleet.agrees(), "{name}: and stay so");
+        assert!(fleet.agrees(), "{name}: the views diverged again");
         assert!(all.iter().all(|n| quorum_state(&fleet, *n) == QuorumState::Complete), "{name}");
     }
 }
@@ -117,41 +138,41 @@
 #[test]
 fn partial_cut_with_indirect_path_causes_no_deaths() {
     for seed in 0..10 {
-        // Two members that reach the rest and not each other.
+        // Two members can reach all others, but not each other.
         let mut bridge = fleet(12, seed);
         bridge.link = Box::new(|a, b| Link { cut: a + b == 1, ..Link::default() });
         let from = bridge.now();
         bridge.play(seconds(60.0));
-        assert_eq!(deaths(&bridge, from), [], "bridge, seed {seed}");
+        assert_eq!(declared_deaths(&bridge, from), [], "both directions, seed {seed}");
         let suspected = |seen: &&bellcroft_simulation::fleet::Seen| {
             seen.at >= from && matches!(seen.change, Change::Member { to: State::Suspect, .. })
         };
         assert_eq!(
             bridge.seen.iter().filter(suspected).count(),
             0,
-            "indirect probes are answered, seed {seed}"
+            "a member was suspected although indirect probes reach it, seed {seed}"
         );
-        // The same in one direction.
+        // Member 0 cannot reach member 1; the other direction works.
         let mut one_way = fleet(12, seed);
         one_way.link = Box::new(|a, b| Link { cut: (a, b) == (0, 1), ..Link::default() });
         let from = one_way.now();
         one_way.play(seconds(60.0));
-        assert_eq!(deaths(&one_way, from), [], "one way, seed {seed}");
+        assert_eq!(declared_deaths(&one_way, from), [], "one direction, seed {seed}");
     }
 }
 
 #[test]
 fn member_without_incoming_link_causes_no_deaths() {
-    // Member 4 can send and not receive.
+    // Member 4 can send but not receive.
     for seed in 0..10 {
         let mut fleet = fleet(12, seed);
         let from = fleet.now();
         fleet.link = Box::new(|_, b| Link { cut: b == 4, ..Link::default() });
         fleet.play(seconds(60.0));
-        let of_others = deaths(&fleet, from).iter().filter(|(by, of)| *by != 4 && *of != 4).count();
+        let of_others = declared_deaths(&fleet, from).iter().filter(|(by, of)| *by != 4 && *of != 4).count();
         assert_eq!(
             of_others, 0,
-            "seed {seed}: its accusations are advice, and the other members' probes are answered"
+            "seed {seed}: a member was declared dead on accusations alone, although probes of it are acked"
         );
         fleet.link = Box::new(|_, _| Link::default());
         assert!(fleet.until(seconds(15.0), Net::agrees).is_some(), "seed {seed}");
@@ -176,11 +197,11 @@
     let base = Link::default();
     let ms = Micros::from_ms;
     let cases = [
-        ("300 ms one way", Link { delay: ms(300.0), ..base }),
+        ("300 ms one-way delay", Link { delay: ms(300.0), ..base }),
         ("20% lost", Link { loss: 0.2, ..base }),
         ("30% lost", Link { loss: 0.3, ..base }),
-        ("doubled and reordered", Link { doubled: 0.5, jitter: ms(200.0), ..base }),
-        ("a tenth corrupt", Link { spoilt: 0.1, ..base }),
+        ("duplicated and reordered", Link { doubled: 0.5, jitter: ms(200.0), ..base }),
+        ("10% corrupted", Link { spoilt: 0.1, ..base }),
     ];
     for (name, link) in cases {
         for seed in 0..5 {
@@ -188,7 +209,7 @@
             let from = fleet.now();
             fleet.link = Box::new(move |_, _| link);
             fleet.play(seconds(120.0));
-            assert_eq!(deaths(&fleet, from), [], "{name}, seed {seed}");
+            assert_eq!(declared_deaths(&fleet, from), [], "{name}, seed {seed}");
             assert!(fleet.longest <= 256);
         }
     }
@@ -199,19 +220,25 @@
     let mut fleet = fleet(30, 5);
     (0..30).for_each(|n| start(&mut fleet, config(n, 30)));
     fleet.play(seconds(0.01));
-    assert!(fleet.until(seconds(10.0), Net::agrees).is_some(), "all at once");
+    assert!(
+        fleet.until(seconds(10.0), Net::agrees).is_some(),
+        "no convergence after restarting all members at once"
+    );
     let isolated: Vec<usize> = vec![0, 1, 2];
     let rest: Vec<usize> = (3..30).collect();
-    fleet.link = Box::new(cut(&[&isolated, &rest]));
+    fleet.link = Box::new(partition(&[&isolated, &rest]));
     for number in rest.iter().copied() {
         fleet.kill(number);
         fleet.play(seconds(0.4));
         start(&mut fleet, config(number, 30));
         fleet.play(seconds(0.6));
     }
-    assert!(fleet.until(bound(30), |f| hold(f, &rest, &rest, alive)).is_some(), "the restarted ones");
+    assert!(
+        fleet.until(detection_bound(30), |f| all_views_match(f, &rest, &rest, is_alive)).is_some(),
+        "no convergence of the restarted members"
+    );
     fleet.link = Box::new(|_, _| Link::default());
-    assert!(fleet.until(seconds(15.0), Net::agrees).is_some(), "and all of them");
+    assert!(fleet.until(seconds(15.0), Net::agrees).is_some(), "no convergence after the partition heals");
 }
 
 #[test]
@@ -228,65 +255,77 @@
         fleet.play(seconds(1.0 / 30.0));
     }
     let all = all_members(30);
-    assert!(fleet.until(seconds(15.0), |f| hold(f, &all, &all, alive)).is_some(), "all join");
+    assert!(
+        fleet.until(seconds(15.0), |f| all_views_match(f, &all, &all, is_alive)).is_some(),
+        "not all members joined"
+    );
     fleet.kill(0);
     let rest = &all[1..];
-    assert!(fleet.until(bound(30), |f| hold(f, rest, &[0], dead)).is_some(), "the seed's crash is detected");
-    assert!(hold(&fleet, rest, rest, State::is_reachable));
-    // A member that starts while every seed is down is isolated until a seed is back.
+    assert!(
+        fleet.until(detection_bound(30), |f| all_views_match(f, rest, &[0], is_dead)).is_some(),
+        "the seed's crash was not detected"
+    );
+    assert!(all_views_match(&fleet, rest, rest, State::is_reachable));
+    // A member that starts while all seeds are down is isolated until a seed has restarted.
     start(&mut fleet, seeded(30));
     fleet.play(seconds(10.0));
     assert_eq!(quorum_state(&fleet, 30), QuorumState::Isolated);
     start(&mut fleet, seeded(0));
     let all = all_members(31);
     assert!(
-        fleet.until(seconds(20.0), |f| hold(f, &all, &all, alive)).is_some(),
-        "all join after the seed's return"
+        fleet.until(seconds(20.0), |f| all_views_match(f, &all, &all, is_alive)).is_some(),
+        "not all members joined after the seed's restart"
     );
 }
 
 #[test]
-fn quick_restart_is_detected_also_with_clock_set_back() {
-    for (name, offset_ms) in [("later", 800), ("an hour earlier", -3_600_000_i64)] {
+fn quick_restart_is_detected_even_with_clock_set_back() {
+    for (name, offset_ms) in [("epoch 800 ms later", 800), ("clock set back by an hour", -3_600_000_i64)] {
         let mut fleet = fleet(12, 9);
-        let before =
-            fleet.peer(0).and_then(|p| p.member(bellcroft_membership::Id(4))).expect("known").incarnation;
-        let started = wall(&fleet);
+        let before = fleet
+            .peer(0)
+            .and_then(|p| p.member(bellcroft_membership::Id(4)))
+            .expect("the view contains the member")
+            .incarnation;
+        let started = wall_clock_ms(&fleet);
         fleet.kill(4);
         fleet.play(seconds(0.5));
-        start_in(&mut fleet, config(4, 12), (started as i64 + offset_ms) as u64);
+        start_with_epoch(&mut fleet, config(4, 12), (started as i64 + offset_ms) as u64);
         assert!(
-            fleet.until(seconds(10.0), |f| f.agrees() && all_hold_later_epoch(f, before)).is_some(),
+            fleet.until(seconds(10.0), |f| f.agrees() && all_know_later_epoch(f, before)).is_some(),
             "{name}"
         );
         fleet.play(seconds(20.0));
-        assert!(fleet.agrees(), "{name}: the former epoch never returns");
+        assert!(fleet.agrees(), "{name}: the views diverged again");
     }
 }
 
-/// Whether all others hold member 4 with a later epoch.
-fn all_hold_later_epoch(fleet: &Fleet, before: bellcroft_membership::Incarnation) -> bool {
-    let of =
+/// Whether the views of all other members contain member 4 with a later epoch.
+fn all_know_later_epoch(fleet: &Fleet, before: bellcroft_membership::Incarnation) -> bool {
+    let known =
         |by: usize| fleet.peer(by).and_then(|p| p.member(bellcroft_membership::Id(4))).map(|m| m.incarnation);
-    (0..12).filter(|n| *n != 4).all(|by| of(by).is_some_and(|incarnation| incarnation.epoch > before.epoch))
+    (0..12)
+        .filter(|n| *n != 4)
+        .all(|by| known(by).is_some_and(|incarnation| incarnation.epoch > before.epoch))
 }
 
 #[test]
-fn leaving_member_is_left_at_once_and_can_rejoin() {
+fn leave_is_known_at_once_and_member_can_rejoin() {
     let mut fleet = fleet(12, 2);
     let from = fleet.now();
     fleet.with(6, Membership::leave);
     fleet.play(seconds(0.05));
     fleet.kill(6);
     let rest: Vec<usize> = (0..12).filter(|n| *n != 6).collect();
-    assert!(hold(&fleet, &rest, &[6], |state| state == State::Left));
+    assert!(all_views_match(&fleet, &rest, &[6], |state| state == State::Left));
     fleet.play(seconds(10.0));
-    assert_eq!(deaths(&fleet, from), []);
+    assert_eq!(declared_deaths(&fleet, from), []);
     start(&mut fleet, config(6, 12));
     assert!(fleet.until(seconds(5.0), Net::agrees).is_some());
 }
 
-/// Sampled views evict members all the time; a probe of an evicted member must not stay due.
+/// Sampled views evict members continually. A probe of an evicted member that remained due would cause an endless
+/// number of events.
 #[test]
 fn sampled_views_detect_a_crash_with_bounded_events() {
     for seed in 0..5 {
@@ -300,20 +339,21 @@
         }
         fleet.link = Box::new(|_, _| Link { loss: 0.2, ..Link::default() });
         fleet.play(seconds(40.0));
-        let held: usize = (0..members).map(|n| fleet.peer(n).expect("it runs").members().count()).sum();
-        assert!(held > members * 6 && held <= members * 8, "seed {seed}: {held}");
+        let known: usize =
+            (0..members).map(|n| fleet.peer(n).expect("the member is running").members().count()).sum();
+        assert!(known > members * 6 && known <= members * 8, "seed {seed}: {known} entries in all views");
         fleet.link = Box::new(|_, _| Link::default());
         fleet.kill(20);
-        fleet.play(bound(members) * 3.0);
+        fleet.play(detection_bound(members) * 3.0);
         let undetected = (0..members)
-            .filter(|n| *n != 20 && state(&fleet, *n, 20).is_some_and(State::is_reachable))
+            .filter(|n| *n != 20 && known_state(&fleet, *n, 20).is_some_and(State::is_reachable))
             .count();
-        assert_eq!(undetected, 0, "seed {seed}: no member holds the dead one for reachable");
+        assert_eq!(undetected, 0, "seed {seed}: views in which the killed member is reachable");
         assert!(fleet.events < 3_000_000, "seed {seed}: {} events", fleet.events);
     }
 }
 
-/// The first members to send must not evict those of lower ranks, or the size estimate is biased.
+/// If the first members to send a datagram evicted those with lower ranks, the size estimate would be biased.
 #[test]
 fn roster_beyond_capacity_is_sampled_with_correct_size() {
     let members = 120;
@@ -324,7 +364,8 @@
         start(&mut fleet, config);
     }
     fleet.play(seconds(20.0));
-    let sizes: Vec<f64> = (0..members).map(|n| fleet.peer(n).expect("it runs").size().0).collect();
+    let sizes: Vec<f64> =
+        (0..members).map(|n| fleet.peer(n).expect("the member is running").size().0).collect();
     let mean = sizes.iter().sum::<f64>() / members as f64;
     assert!((mean / members as f64 - 1.0).abs() < 0.05, "{mean}");
 }
--- a/crates/membership/tests/golden.rs
+++ b/crates/membership/tests/golden.rs
@@ -1,4 +1,4 @@
-//! External forms: the bytes of each kind of datagram, and the state names in status and logs.
+//! External forms: the encoding of each kind of datagram, and the state names in status and logs.
 
 use bellcroft_membership::{
     decode, encode, Datagram, Id, Incarnation, Message, QuorumState, Role, State, Update,
@@ -9,7 +9,7 @@
 const CLUSTER: u64 = 0x1122_3344_5566_7788;
 
 fn messages() -> Vec<Message> {
-    let address = Some("127.0.0.1:7946".parse().expect("an address"));
+    let address = Some("127.0.0.1:7946".parse().expect("a valid address"));
     let incarnation = Incarnation { epoch: 1_700_000_000_000, counter: 3 };
     vec![
         Message::Ping { seq: 7, to: Id(300) },
@@ -34,7 +34,7 @@
             reported_by: Id(n + 1),
             site: 2,
             role: if n % 2 == 0 { Role::Agent } else { Role::Observer },
-            address: (n == 1).then(|| "10.0.0.1:7946".parse().expect("an address")),
+            address: (n == 1).then(|| "10.0.0.1:7946".parse().expect("a valid address")),
         })
         .collect()
 }
@@ -54,7 +54,7 @@
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().fold(String::new(), |mut text, byte| {
-        write!(text, "{byte:02x}").expect("a string grows");
+        write!(text, "{byte:02x}").expect("writing to a String succeeds");
         text
     })
 }
@@ -66,7 +66,7 @@
         let (bytes, encoded) = encode(CLUSTER, &datagram);
         assert_eq!(encoded, datagram.updates.len());
         assert_eq!(decode(CLUSTER, &bytes), Ok(datagram));
-        writeln!(text, "{}", hex(&bytes)).expect("a string grows");
+        writeln!(text, "{}", hex(&bytes)).expect("writing to a String succeeds");
     }
     expect_file!["golden/datagrams.hex"].assert_eq(&text);
 }
@@ -75,10 +75,10 @@
 fn state_names_match_golden_file() {
     let mut text = String::new();
     for state in [State::Absent, State::Alive, State::Suspect, State::Dead, State::Left] {
-        writeln!(text, "state {}", state.as_str()).expect("a string grows");
+        writeln!(text, "state {}", state.as_str()).expect("writing to a String succeeds");
     }
     for quorum_state in QuorumState::ALL {
-        writeln!(text, "stance {}", quorum_state.as_str()).expect("a string grows");
+        writeln!(text, "stance {}", quorum_state.as_str()).expect("writing to a String succeeds");
     }
     expect_file!["golden/words.txt"].assert_eq(&text);
 }
--- a/crates/membership/tests/random_faults.rs
+++ b/crates/membership/tests/random_faults.rs
@@ -1,4 +1,4 @@
-//! Random orders of faults, from seeds: the views must converge after each.
+//! Random sequences of faults, from seeds: the views must converge after each sequence.
 
 mod common;
 
@@ -7,9 +7,9 @@
 use bellcroft_simulation::fleet::Link;
 use common::*;
 
-/// Crashes, restarts, stalls, partitions and lossy links in random order; then all views must converge.
+/// Crashes, restarts, stalls, partitions and lossy links in random order, after which all views must converge.
 #[test]
-fn views_converge_after_any_order_of_faults() {
+fn views_converge_after_random_sequences_of_faults() {
     for seed in 0..1_000 {
         let mut rng = fastrand::Rng::with_seed(seed);
         let members = rng.usize(3..10);
@@ -40,18 +40,21 @@
         }
         (0..members).for_each(|n| fleet.go_on(n));
         fleet.link = Box::new(|_, _| Link::default());
-        let convergence_time = bound(members) * 6.0;
-        assert!(fleet.until(convergence_time, Fleet::agrees).is_some(), "seed {seed}: the views converge");
+        let convergence_time = detection_bound(members) * 6.0;
+        assert!(
+            fleet.until(convergence_time, Fleet::agrees).is_some(),
+            "seed {seed}: the views did not converge"
+        );
         let from = fleet.now();
         fleet.play(seconds(20.0));
-        assert!(fleet.agrees(), "seed {seed}: and stay so");
+        assert!(fleet.agrees(), "seed {seed}: the views diverged again");
         let running = fleet.running();
         let false_deaths: Vec<_> =
-            deaths(&fleet, from).into_iter().filter(|(_, of)| running.contains(of)).collect();
+            declared_deaths(&fleet, from).into_iter().filter(|(_, of)| running.contains(of)).collect();
         assert_eq!(false_deaths, [], "seed {seed}");
         for number in running {
             let expected = members;
-            let peer = fleet.peer(number).expect("it runs");
+            let peer = fleet.peer(number).expect("the member is running");
             assert!(peer.effective_size(fleet.now()) as usize == expected, "seed {seed}");
             let reachable = 1 + peer.members().filter(|m| m.state.is_reachable()).count();
             assert_eq!(reachable == members, peer.quorum_state() == QuorumState::Complete, "seed {seed}");
