--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -35,7 +35,8 @@
 const MAX_TARGET_SHARE: f64 = 1.2;
 /// Tolerance for `f32` rounding when a part's sums are checked against [`MAX_TARGET_SHARE`].
 const ROUNDING_TOLERANCE: f32 = 1.001;
-/// Maximum weight of a received half, as a share of the receiver's own weight; at least one response is merged.
+/// Maximum weight that is merged from a received half, as a share of the receiver's own weight. A weight of one response
+/// is always merged.
 const MAX_MERGED_WEIGHT_SHARE: f64 = 1.0;
 /// Avoids a division by zero for parts without weight.
 const MIN_RECEIVED_WEIGHT: f64 = 1e-9;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -15,7 +15,7 @@
 //! - An accusation by another member only starts a suspicion and a probe. An instance declares a member dead only after
 //!   its own probe of that member has failed. Updates carry the number of the member that observed the state.
 //! - After a stall of its process an instance suspects no member until its recovery time has passed.
-//! - Fleet-wide limits are divided by the expected size or the largest size observed recently
+//! - Fleet-wide limits are divided by the larger of the expected size and the largest size observed recently
 //!   ([`Membership::effective_size`]), not by the number of members that are reachable now.
 //!
 //! Nothing is stored on disk. An [`Incarnation`] starts with the wall-clock time of the process's start, so a restarted
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -14,7 +14,7 @@
     /// Start of the member's process in Unix milliseconds by its own clock, or a later time that exceeds the epoch of a
     /// former process.
     pub epoch: u64,
-    /// Number of refutations in this epoch; incremented by each.
+    /// Counter within the epoch, raised by each refutation and by leaving.
     pub counter: u32,
 }
 
--- a/crates/membership/src/quorum.rs
+++ b/crates/membership/src/quorum.rs
@@ -45,8 +45,8 @@
         }
     }
 
-    /// The state for these numbers of reachable and expected instances. The expected number is fixed: if each half of a
-    /// partition counted only itself, both would be complete.
+    /// The state for these numbers of reachable and expected instances. The expected number must not depend on the view:
+    /// if each half of a partition expected only its own instances, both would be complete.
     pub(crate) fn of(reachable: u32, expected: u32) -> Self {
         let missing = u64::from(expected.saturating_sub(reachable));
         let expected = u64::from(expected);
--- a/crates/membership/src/swim/failure_detector.rs
+++ b/crates/membership/src/swim/failure_detector.rs
@@ -92,7 +92,7 @@
         self.extra_probes_left = MAX_EXTRA_PROBES;
     }
 
-    /// Whether a ping of this member with this sequence number is pending.
+    /// Whether a ping to this member with this sequence number is pending.
     pub fn is_pending(&self, seq: u32, id: Id) -> bool {
         self.probes.get(&seq).is_some_and(|probe| probe.target == id)
     }
@@ -120,8 +120,8 @@
     }
 
     /// Discards the state of members that the view no longer contains.
-    pub fn forget(&mut self, forgotten: &[Id], view: &View) {
-        self.suspicions.retain(|id, _| !forgotten.contains(id));
+    pub fn discard_removed(&mut self, removed: &[Id], view: &View) {
+        self.suspicions.retain(|id, _| !removed.contains(id));
         self.last_helpers.retain(|id, _| view.get(*id).is_some());
     }
 
--- a/crates/membership/src/swim/join.rs
+++ b/crates/membership/src/swim/join.rs
@@ -63,7 +63,7 @@
         self.stale_responses_left = MAX_STALE_RESPONSES;
     }
 
-    /// Whether a ping of this member with this sequence number is pending.
+    /// Whether a ping to this member with this sequence number is pending.
     pub fn is_pending(&self, seq: u32, target: Id) -> bool {
         self.reconnect_pings.contains(&ReconnectPing { seq, target })
     }
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -269,21 +269,21 @@
         }
         self.gossip(now, out);
         self.reconnect_missing(now, out);
-        self.forget_unlisted_members(now);
+        self.remove_unlisted_members(now);
         let size = self.view.size().0.round() as u32;
         self.fleet_size.observe(now, size);
     }
 
     /// Removes members that the roster does not list once they have been unreachable for the retention time.
-    fn forget_unlisted_members(&mut self, now: Time) {
+    fn remove_unlisted_members(&mut self, now: Time) {
         let (retention, listed) = (self.config.member_retention, self.config.roster.len());
         let expired = |member: &Member| {
             !member.state.is_reachable()
                 && member.id.0 as usize >= listed
                 && now.since(member.since) >= retention
         };
-        let forgotten = self.view.forget(expired);
-        self.detector.forget(&forgotten, &self.view);
+        let removed = self.view.remove_matching(expired);
+        self.detector.discard_removed(&removed, &self.view);
     }
 
     /// Sends half of the digest to one alive agent, and reports the fleet's state.
--- a/crates/membership/src/swim/relay.rs
+++ b/crates/membership/src/swim/relay.rs
@@ -25,7 +25,7 @@
 pub(super) struct Relays(BTreeMap<u32, Relay>);
 
 impl Relays {
-    /// When the next relay times out.
+    /// The time at which the next relay times out.
     pub fn next_deadline(&self) -> Option<Time> {
         self.0.values().map(|relay| relay.deadline).min()
     }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -35,7 +35,7 @@
 /// otherwise the sample would consist of the first members to send a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionKey {
-    terminated: bool,
+    dead_or_left: bool,
     rank: u64,
     id: Id,
 }
@@ -64,7 +64,7 @@
     }
 
     fn eviction_key(&self, id: Id, state: State) -> EvictionKey {
-        EvictionKey { terminated: matches!(state, State::Dead | State::Left), rank: self.rank(id), id }
+        EvictionKey { dead_or_left: matches!(state, State::Dead | State::Left), rank: self.rank(id), id }
     }
 
     /// Adds the members of a roster, or those with the lowest ranks if the roster exceeds the capacity.
@@ -169,10 +169,10 @@
     }
 
     /// Removes the members that match, and returns their numbers.
-    pub fn forget(&mut self, matches: impl Fn(&Member) -> bool) -> Vec<Id> {
-        let forgotten: Vec<Id> = self.members.values().filter(|m| matches(m)).map(|m| m.id).collect();
-        forgotten.iter().for_each(|id| self.remove(*id));
-        forgotten
+    pub fn remove_matching(&mut self, matches: impl Fn(&Member) -> bool) -> Vec<Id> {
+        let removed: Vec<Id> = self.members.values().filter(|m| matches(m)).map(|m| m.id).collect();
+        removed.iter().for_each(|id| self.remove(*id));
+        removed
     }
 
     /// The number of reachable members with this instance. If it is an estimate from a sample, its relative standard error
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -84,7 +84,7 @@
     Gossip,
     /// A hint about a server, from the sender's balancer to the receiver's.
     Hint {
-        /// Payload in the encoding of the sender's caller; this crate does not read it.
+        /// Payload, opaque to this crate.
         #[serde(with = "serde_bytes")]
         payload: Vec<u8>,
     },
