--- a/crates/agent/src/cli/check.rs
+++ b/crates/agent/src/cli/check.rs
@@ -77,7 +77,7 @@
 fn print_config(config: &Config) {
     println!("{}: listens on {}, discovery at {}", config.name, config.listen, config.discovery);
     println!("classes: {}", config.names.classes.join(", "));
-    println!("servers known: {}; descriptors: {}", config.known.hosts.len(), config.sockets);
+    println!("servers known: {}; descriptors: {}", config.known.endpoints.len(), config.sockets);
     match &config.daemon.state {
         Some(path) => println!("state: {}, written every {:?}", path.display(), config.daemon.status_every),
         None => println!("state: none is kept"),
--- a/crates/agent/src/cli/members.rs
+++ b/crates/agent/src/cli/members.rs
@@ -3,7 +3,7 @@
 use super::status::request_instance;
 use crate::daemon::commands::InstanceRequest;
 use crate::exit;
-use crate::peers::status::{MembershipStatus, SeenStatus};
+use crate::peers::status::{DigestStatus, MembershipStatus};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -36,17 +36,17 @@
         println!("own hearing in doubt: {} of 3", status.local_health);
     }
     let percent = |share: f64| format!("{:.0}%", 100.0 * share);
-    let seen = |what: &str, seen: &SeenStatus| {
+    let seen = |what: &str, seen: &DigestStatus| {
         println!(
             "{what}: answers take {} of the wanted time, load speaks for {}, {} refused",
             percent(seen.latency),
             percent(seen.load),
-            percent(seen.rejection_ratio)
+            percent(seen.shed_ratio)
         );
     };
     if status.fleet.responses > 0.0 {
         seen("all see", &status.fleet);
-        status.sites.iter().for_each(|site| seen(&format!("  site {}", site.site), &site.seen));
+        status.sites.iter().for_each(|site| seen(&format!("  site {}", site.site), &site.digest));
     }
     println!(
         "{:>7} {:<8} {:>10} {:>6} {:>5} {:<9} {:>10} address",
--- a/crates/agent/src/daemon/shutdown.rs
+++ b/crates/agent/src/daemon/shutdown.rs
@@ -40,14 +40,14 @@
         accept_for = ?after(schedule.accept_until()),
         answer_within = ?after(schedule.answer_by()),
         exit_within = ?after(schedule.exit_by()),
-        pending = instance.driver.pending(),
+        pending = instance.driver.pending_requests(),
         connections = instance.server.connections(),
         "graceful shutdown: started"
     );
     stop_accepting(instance, schedule, accept_task, successor).await;
     info!(
         instance = %instance.name(),
-        pending = instance.driver.pending(),
+        pending = instance.driver.pending_requests(),
         "graceful shutdown: no longer accepting connections"
     );
     finish_requests(instance, schedule).await;
@@ -115,7 +115,7 @@
             idle_at_last_check = false;
             info!(
                 instance = %instance.name(),
-                pending = instance.driver.pending(),
+                pending = instance.driver.pending_requests(),
                 "graceful shutdown: deadline reached, failing pending requests"
             );
             instance.driver.fail_pending_requests();
@@ -155,7 +155,7 @@
 
 /// Logs the guard's violations, and whether every request was answered.
 fn report_result(instance: &Instance) {
-    let pending = instance.driver.pending_ids();
+    let pending = instance.driver.pending_request_ids();
     instance.driver.request_log.on_ended_while_pending(&pending);
     let mut guard = instance.driver.guard.borrow_mut();
     guard.on_end(pending.len());
--- a/crates/agent/src/discovery/codec.rs
+++ b/crates/agent/src/discovery/codec.rs
@@ -7,11 +7,11 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct EndpointList {
     /// Its version.
-    pub seq: u64,
+    pub version: u64,
     /// It is the whole list, not only what has changed.
-    pub whole: bool,
+    pub is_snapshot: bool,
     /// Its entries.
-    pub hosts: Vec<EndpointRecord>,
+    pub endpoints: Vec<EndpointRecord>,
     /// Entries that make no sense: which, and why.
     pub rejected_entries: Vec<String>,
 }
@@ -22,19 +22,19 @@
     /// Its name, the same at every agent.
     pub name: String,
     /// Where this agent reaches it; an entry of a removed server may lack it.
-    pub dial: Option<SocketAddr>,
+    pub address: Option<SocketAddr>,
     /// Its zone.
-    pub site: String,
+    pub zone: String,
     /// Its kind of machine.
-    pub kind: String,
+    pub machine_type: String,
     /// Its cell.
-    pub block: u32,
+    pub dedup_group: u32,
     /// What it says of its health.
     pub health: Health,
     /// Its weight.
-    pub share: f64,
+    pub weight: f64,
     /// When it last started, in Unix milliseconds; 0 for long ago.
-    pub born_ms: f64,
+    pub started_unix_ms: f64,
 }
 
 /// Whether a server takes work.
@@ -91,9 +91,9 @@
         }
     }
     Ok(EndpointList {
-        seq,
-        whole: value.get("whole").and_then(Value::as_bool).unwrap_or(false),
-        hosts: good,
+        version: seq,
+        is_snapshot: value.get("whole").and_then(Value::as_bool).unwrap_or(false),
+        endpoints: good,
         rejected_entries,
     })
 }
@@ -117,12 +117,16 @@
     }
     Ok(EndpointRecord {
         name,
-        dial,
-        site: text("site").unwrap_or_default().to_owned(),
-        kind: text("class").unwrap_or_default().to_owned(),
-        block: value.get("block").and_then(Value::as_u64).and_then(|b| u32::try_from(b).ok()).unwrap_or(0),
+        address: dial,
+        zone: text("site").unwrap_or_default().to_owned(),
+        machine_type: text("class").unwrap_or_default().to_owned(),
+        dedup_group: value
+            .get("block")
+            .and_then(Value::as_u64)
+            .and_then(|b| u32::try_from(b).ok())
+            .unwrap_or(0),
         health,
-        share: value.get("share").and_then(Value::as_f64).unwrap_or(1.0),
-        born_ms: value.get("born_ms").and_then(Value::as_f64).unwrap_or(0.0),
+        weight: value.get("share").and_then(Value::as_f64).unwrap_or(1.0),
+        started_unix_ms: value.get("born_ms").and_then(Value::as_f64).unwrap_or(0.0),
     })
 }
--- a/crates/agent/src/discovery/error.rs
+++ b/crates/agent/src/discovery/error.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallError {
     /// No connection came up.
-    Refused(String),
+    ConnectFailed(String),
     /// The connection was reset or closed before an answer began.
     Reset,
     /// It answered with another status than 200.
@@ -32,7 +32,7 @@
     /// The place of its cause in [`CallError::CAUSES`].
     pub fn cause_index(&self) -> usize {
         match self {
-            CallError::Refused(_) => 0,
+            CallError::ConnectFailed(_) => 0,
             CallError::Reset => 1,
             CallError::Status(_) => 2,
             CallError::Timeout => 3,
@@ -50,14 +50,14 @@
 
     /// A connection that did not come up.
     pub(crate) fn connect(error: &io::Error) -> Self {
-        CallError::Refused(error.kind().to_string())
+        CallError::ConnectFailed(error.kind().to_string())
     }
 }
 
 impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CallError::Refused(why) => write!(f, "refused: {why}"),
+            CallError::ConnectFailed(why) => write!(f, "refused: {why}"),
             CallError::Status(status) => write!(f, "status: {status}"),
             CallError::Unreadable(why) => write!(f, "unreadable: {why}"),
             other => f.write_str(other.cause()),
--- a/crates/agent/src/discovery/mod.rs
+++ b/crates/agent/src/discovery/mod.rs
@@ -62,8 +62,8 @@
     }
 
     /// Whether nobody else says when a watch begins.
-    pub fn follows_by_itself(&self) -> bool {
-        self.policy.restarts_by_itself()
+    pub fn restarts_watches(&self) -> bool {
+        self.policy.restarts_watches()
     }
 
     /// Discovery has moved: calls to the old address, and their connections, end.
--- a/crates/agent/src/discovery/schedule.rs
+++ b/crates/agent/src/discovery/schedule.rs
@@ -1,12 +1,13 @@
 //! Which calls to discovery are made when, as a state machine without sockets or a clock of its own.
 //!
 //! One watch at a time waits for changes. When it falls silent it stays open, and calls that ask for an answer at once
-//! are made beside it on connections of their own, [`MAX_ASKS`] of them; the first complete answer wins. After a failure
+//! are made beside it on connections of their own,
+//! [`MAX_IMMEDIATE_CALLS`] of them; the first complete answer wins. After a failure
 //! too it begins with a watch, which is answered at once if there is something newer: a call for an answer at once, or a
 //! shorter wait, would have a shared service that turns calls away take in two calls for each instance.
 
 use super::error::CallError;
-use super::policy::{WatchPolicy, MAX_ASKS};
+use super::policy::{WatchPolicy, MAX_IMMEDIATE_CALLS};
 use std::time::Duration;
 
 /// The number of a call, unique within its schedule.
@@ -17,9 +18,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Query {
     /// The full snapshot, at once.
-    FullSnapshot,
+    Snapshot,
     /// What is newer than this version, at once.
-    Changes {
+    Delta {
         /// The version that is known.
         after: u64,
     },
@@ -36,8 +37,8 @@
     /// The path that asks this.
     pub fn path(&self) -> String {
         match self {
-            Query::FullSnapshot => "/v1/endpoints".to_owned(),
-            Query::Changes { after } => format!("/v1/endpoints?after={after}&wait_ms=0"),
+            Query::Snapshot => "/v1/endpoints".to_owned(),
+            Query::Delta { after } => format!("/v1/endpoints?after={after}&wait_ms=0"),
             Query::Watch { after, wait } => {
                 format!("/v1/endpoints?after={after}&wait_ms={}", wait.as_millis())
             }
@@ -47,11 +48,11 @@
 
 /// The version of an answer, and whether it is a full snapshot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AnswerVersion {
+pub struct ResponseVersion {
     /// Its version.
     pub version: u64,
     /// Whether it is the full snapshot.
-    pub full: bool,
+    pub is_snapshot: bool,
 }
 
 /// What is to be done.
@@ -134,7 +135,7 @@
         }
     }
 
-    /// The next moment at which [`WatchSchedule::on_time`] has something to do.
+    /// The next moment at which [`WatchSchedule::on_timer`] has something to do.
     pub fn next_due(&self) -> Option<Duration> {
         let deadlines = self.calls.iter().map(|call| call.deadline);
         let timers = [self.silent_at, self.hedge_at, self.restart_at];
@@ -142,7 +143,7 @@
     }
 
     /// Does what is due by now.
-    pub fn on_time(&mut self, now: Duration, steps: &mut Vec<Step>) {
+    pub fn on_timer(&mut self, now: Duration, steps: &mut Vec<Step>) {
         if take_due(&mut self.silent_at, now) {
             self.on_silence(now, steps);
         }
@@ -152,7 +153,7 @@
         while let Some(call) = self.calls.iter().find(|call| call.deadline <= now) {
             let id = call.id;
             steps.push(Step::Cancel(id));
-            self.on_answer(now, id, Err(CallError::Timeout), steps);
+            self.on_response(now, id, Err(CallError::Timeout), steps);
         }
         if take_due(&mut self.restart_at, now) {
             self.begin(now, steps);
@@ -160,24 +161,24 @@
     }
 
     /// A call is over. Answers to calls that were cancelled are ignored.
-    pub fn on_answer(
+    pub fn on_response(
         &mut self,
         now: Duration,
         id: CallId,
-        answer: Result<AnswerVersion, CallError>,
+        answer: Result<ResponseVersion, CallError>,
         steps: &mut Vec<Step>,
     ) {
         let Some(place) = self.calls.iter().position(|call| call.id == id) else { return };
         let call = self.calls.remove(place);
         let answer = answer.and_then(|answer| match call.query {
             // Changes as a first answer would say nothing of the other endpoints.
-            Query::FullSnapshot if !answer.full => Err(CallError::NoSnapshot),
+            Query::Snapshot if !answer.is_snapshot => Err(CallError::NoSnapshot),
             _ => Ok(answer),
         });
         match answer {
             Err(error) => self.on_failure(now, &call, error, steps),
             // A service that has restarted with lower versions: its changes are of a list that nobody here has.
-            Ok(answer) if !answer.full && self.version.is_some_and(|known| answer.version < known) => {
+            Ok(answer) if !answer.is_snapshot && self.version.is_some_and(|known| answer.version < known) => {
                 self.version = None;
                 self.begin(now, steps);
             }
@@ -212,7 +213,7 @@
     }
 
     fn watch(&mut self, now: Duration, version: u64, steps: &mut Vec<Step>) {
-        let part = self.policy.min_wait_part + (1.0 - self.policy.min_wait_part) * self.random.f64();
+        let part = self.policy.min_wait_fraction + (1.0 - self.policy.min_wait_fraction) * self.random.f64();
         let wait = self.policy.max_wait.mul_f64(part);
         self.silent_at = Some(now + wait + self.policy.silence_timeout);
         let limit = wait + self.policy.silence_timeout + self.policy.call_timeout;
@@ -221,11 +222,11 @@
 
     fn ask(&mut self, now: Duration, steps: &mut Vec<Step>) {
         let query = match self.version {
-            Some(after) if !self.policy.restarts_by_itself() => Query::Changes { after },
-            _ => Query::FullSnapshot,
+            Some(after) if !self.policy.restarts_watches() => Query::Delta { after },
+            _ => Query::Snapshot,
         };
         self.asks += 1;
-        self.hedge_at = (self.asks < MAX_ASKS).then(|| now + self.policy.hedge_delay);
+        self.hedge_at = (self.asks < MAX_IMMEDIATE_CALLS).then(|| now + self.policy.hedge_delay);
         self.call(now, query, self.policy.call_timeout, steps);
     }
 
--- a/crates/agent/src/discovery/watch.rs
+++ b/crates/agent/src/discovery/watch.rs
@@ -3,7 +3,7 @@
 use super::client::{call, AbortOnDrop, Connection};
 use super::codec::EndpointList;
 use super::error::CallError;
-use super::schedule::{AnswerVersion, CallId, Query, Step, WatchSchedule};
+use super::schedule::{CallId, Query, ResponseVersion, Step, WatchSchedule};
 use super::EndpointSink;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -49,7 +49,7 @@
             let answer = tokio::select! {
                 Some(end) = self.ends.recv() => self.on_end(end, &mut steps),
                 () = sleep_until(self.epoch + due) => {
-                    self.schedule.on_time(self.epoch.elapsed(), &mut steps);
+                    self.schedule.on_timer(self.epoch.elapsed(), &mut steps);
                     None
                 }
             };
@@ -61,7 +61,8 @@
     fn on_end(&mut self, end: CallEnd, steps: &mut Vec<Step>) -> Option<EndpointList> {
         // What was cancelled while its end was on the way is over.
         self.tasks.remove(&end.id)?;
-        let version = |list: &EndpointList| AnswerVersion { version: list.seq, full: list.whole };
+        let version =
+            |list: &EndpointList| ResponseVersion { version: list.version, is_snapshot: list.is_snapshot };
         let (head, list) = match end.answer {
             Ok(list) => (Ok(version(&list)), Some(list)),
             Err(error) => (Err(error), None),
@@ -69,7 +70,7 @@
         if list.is_some() {
             self.spare = end.connection;
         }
-        self.schedule.on_answer(self.epoch.elapsed(), end.id, head, steps);
+        self.schedule.on_response(self.epoch.elapsed(), end.id, head, steps);
         list
     }
 
--- a/crates/agent/src/downstream/exchange.rs
+++ b/crates/agent/src/downstream/exchange.rs
@@ -109,7 +109,7 @@
             Ok(Ok(answer)) => (
                 match answer {
                     FinalResponse::Served(..) => RequestOutcome::Served,
-                    FinalResponse::Rejected(_) => RequestOutcome::Rejected,
+                    FinalResponse::Shed(_) => RequestOutcome::Rejected,
                     FinalResponse::Failed(_) => RequestOutcome::Failed,
                 },
                 response_for(answer),
--- a/crates/agent/src/downstream/response.rs
+++ b/crates/agent/src/downstream/response.rs
@@ -18,7 +18,7 @@
             response.headers_mut().extend(kind.map(|kind| (CONTENT_TYPE, kind)));
             response
         }
-        FinalResponse::Rejected(after) => {
+        FinalResponse::Shed(after) => {
             let mut response =
                 plain_response(StatusCode::TOO_MANY_REQUESTS, "refused; trying again is harmless");
             let after =
--- a/crates/agent/src/driver/endpoints.rs
+++ b/crates/agent/src/driver/endpoints.rs
@@ -175,16 +175,16 @@
         } else {
             self.up.remove(&server);
         }
-        let zone = index_or_hash(&names.zones, &host.site);
-        self.groups.insert(server, ServerGroups { zone, cell: host.block });
+        let zone = index_or_hash(&names.zones, &host.zone);
+        self.groups.insert(server, ServerGroups { zone, cell: host.dedup_group });
         Endpoint {
             server,
             zone: ZoneId(zone),
-            machine_type: MachineTypeId(index_or_hash(&names.kinds, &host.kind)),
-            dedup_group: DedupGroupId(host.block),
+            machine_type: MachineTypeId(index_or_hash(&names.kinds, &host.machine_type)),
+            dedup_group: DedupGroupId(host.dedup_group),
             status,
-            weight: host.share,
-            started_at: self.local_start(server, host.born_ms),
+            weight: host.weight,
+            started_at: self.local_start(server, host.started_unix_ms),
         }
     }
 
@@ -286,26 +286,26 @@
     /// Takes in a list, and returns it in the balancer's terms.
     pub(super) fn apply_list(&self, state: &mut State, list: EndpointList) -> Vec<Endpoint> {
         let table = &mut state.endpoints;
-        table.version = Some(list.seq);
+        table.version = Some(list.version);
         table.log_rejected(list.rejected_entries);
         let now = self.clock.now();
         let names = self.names();
-        if list.whole {
+        if list.is_snapshot {
             table.up.clear();
         }
         // All starts before the first is converted: each may correct the estimate of the clocks' difference.
-        for host in &list.hosts {
+        for host in &list.endpoints {
             let server = table.intern(&host.name);
-            table.on_start(now, server, host.born_ms);
+            table.on_start(now, server, host.started_unix_ms);
         }
-        let mut endpoints = Vec::with_capacity(list.hosts.len());
-        for host in &list.hosts {
+        let mut endpoints = Vec::with_capacity(list.endpoints.len());
+        for host in &list.endpoints {
             let server = table.intern(&host.name);
             self.upstream.describe(server, host);
             endpoints.push(table.update(server, host, &names));
         }
         let listed: Option<HashSet<ServerId>> =
-            list.whole.then(|| endpoints.iter().map(|endpoint| endpoint.server).collect());
+            list.is_snapshot.then(|| endpoints.iter().map(|endpoint| endpoint.server).collect());
         if let Some(listed) = &listed {
             self.upstream.keep_only(|server| listed.contains(&server));
         }
@@ -326,14 +326,14 @@
 
 impl EndpointSink for Driver {
     fn on_endpoints(self: Rc<Self>, list: EndpointList) {
-        self.discovery_monitor.borrow_mut().on_answer(list.seq);
+        self.discovery_monitor.borrow_mut().on_answer(list.version);
         if let Some(telemetry) = &self.telemetry {
             telemetry.list_answered(self.clock.now());
         }
         self.end_deferral();
         let update = {
             let state = &mut self.state.borrow_mut();
-            let update = match list.whole {
+            let update = match list.is_snapshot {
                 true => EndpointUpdate::Snapshot(self.apply_list(state, list)),
                 false => EndpointUpdate::Delta(self.apply_list(state, list)),
             };
--- a/crates/agent/src/driver/mod.rs
+++ b/crates/agent/src/driver/mod.rs
@@ -171,7 +171,7 @@
             self.carry_out(state, action);
         }
         // The balancer expects pushed lists without asking for them; over sockets a watch has to be started.
-        if state.discovery.follows_by_itself() {
+        if state.discovery.restarts_watches() {
             self.watch_discovery(state, true);
         }
     }
@@ -232,7 +232,7 @@
                 if let Some(peers) = &*self.peers.borrow() {
                     peers.on_request_rejected();
                 }
-                self.respond(state, request, FinalResponse::Rejected(retry_after), ResponseReason::Rejected);
+                self.respond(state, request, FinalResponse::Shed(retry_after), ResponseReason::Rejected);
             }
             Action::Fail { request } => self.fail(state, request),
             Action::SetTimer { at, timer } => {
@@ -267,7 +267,7 @@
             timers: TimerQueue::default(),
             requests: PendingRequests::default(),
             attempts: AttemptsInFlight::default(),
-            endpoints: EndpointTable::new(config.known.seq),
+            endpoints: EndpointTable::new(config.known.version),
             discovery,
             routes,
             route_ids,
--- a/crates/agent/src/driver/reload.rs
+++ b/crates/agent/src/driver/reload.rs
@@ -66,9 +66,9 @@
     /// Applies the watch policy of the present settings, with a new watch if discovery now restarts it by itself or no
     /// longer does.
     fn reconfigure_discovery(self: &Rc<Self>, state: &mut State) {
-        let former = state.discovery.follows_by_itself();
+        let former = state.discovery.restarts_watches();
         state.discovery.reconfigure(watch_policy(state.balancer.settings()));
-        if former != state.discovery.follows_by_itself() {
+        if former != state.discovery.restarts_watches() {
             self.watch_discovery(state, true);
         }
     }
--- a/crates/agent/src/driver/requests.rs
+++ b/crates/agent/src/driver/requests.rs
@@ -87,7 +87,7 @@
     /// A server's response: its content type and its body.
     Served(Option<HeaderValue>, Content),
     /// Load was shed; nothing was executed. The client may retry after the given time.
-    Rejected(Option<Micros>),
+    Shed(Option<Micros>),
     /// The request failed, and may have been executed.
     Failed(StatusCode),
 }
@@ -185,7 +185,7 @@
         state.requests.pending.insert(id, pending);
         if self.guard.borrow().must_answer_all(now) {
             // No attempt of it has been sent, so the rejection is safe to retry.
-            self.respond(&mut state, id, FinalResponse::Rejected(None), ResponseReason::Shutdown);
+            self.respond(&mut state, id, FinalResponse::Shed(None), ResponseReason::Shutdown);
         } else {
             state.events.push_back(Event::Request(request));
         }
@@ -244,12 +244,12 @@
     }
 
     /// The number of requests without a final response.
-    pub fn pending(&self) -> usize {
+    pub fn pending_requests(&self) -> usize {
         self.state.borrow().requests.pending.len()
     }
 
     /// The ids of the requests without a final response.
-    pub fn pending_ids(&self) -> Vec<Rc<str>> {
+    pub fn pending_request_ids(&self) -> Vec<Rc<str>> {
         let state = self.state.borrow();
         state.requests.pending.values().map(|pending| pending.request.request_id.clone()).collect()
     }
--- a/crates/agent/src/peers/status.rs
+++ b/crates/agent/src/peers/status.rs
@@ -34,7 +34,7 @@
     #[serde(rename = "doubt")]
     pub local_health: u32,
     /// The digest of all servers, as known here.
-    pub fleet: SeenStatus,
+    pub fleet: DigestStatus,
     /// The same by site.
     pub sites: Vec<SiteStatus>,
     /// The other members that the view holds.
@@ -43,7 +43,7 @@
 
 /// Averages over servers, decaying by 1/e in 250 ms.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct SeenStatus {
+pub struct DigestStatus {
     /// The effective number of responses, up to 32.
     #[serde(rename = "answers")]
     pub responses: f64,
@@ -55,18 +55,18 @@
     pub load: f64,
     /// The share of requests that instances reject.
     #[serde(rename = "refused")]
-    pub rejection_ratio: f64,
+    pub shed_ratio: f64,
 }
 
-impl SeenStatus {
+impl DigestStatus {
     /// Rounded to three decimals.
     pub fn of(state: FleetState) -> Self {
         let round = |value: f64| (value * 1e3).round() / 1e3;
-        SeenStatus {
+        DigestStatus {
             responses: round(state.weight),
             latency: round(state.latency),
             load: round(state.load),
-            rejection_ratio: round(state.shed),
+            shed_ratio: round(state.shed),
         }
     }
 }
@@ -78,7 +78,7 @@
     pub site: u8,
     /// The averages.
     #[serde(flatten)]
-    pub seen: SeenStatus,
+    pub digest: DigestStatus,
 }
 
 /// A member, as this instance holds it.
@@ -129,10 +129,10 @@
             expected_size,
             effective_size: membership.effective_size(now),
             local_health: membership.local_health(),
-            fleet: SeenStatus::of(membership.fleet(now)),
+            fleet: DigestStatus::of(membership.fleet(now)),
             sites: membership
                 .sites()
-                .map(|(site, state)| SiteStatus { site, seen: SeenStatus::of(state) })
+                .map(|(site, state)| SiteStatus { site, digest: DigestStatus::of(state) })
                 .collect(),
             members: membership.members().map(|member| MemberStatus::new(member, now)).collect(),
         }
--- a/crates/agent/src/telemetry.rs
+++ b/crates/agent/src/telemetry.rs
@@ -148,7 +148,7 @@
     fn fleet(&self, status: &MembershipStatus) {
         self.gauge(&families::FLEET_SEEN, &["took"], status.fleet.latency);
         self.gauge(&families::FLEET_SEEN, &["full"], status.fleet.load);
-        self.gauge(&families::FLEET_SEEN, &["refused"], status.fleet.rejection_ratio);
+        self.gauge(&families::FLEET_SEEN, &["refused"], status.fleet.shed_ratio);
     }
 }
 
--- a/crates/agent/src/upstream/pool.rs
+++ b/crates/agent/src/upstream/pool.rs
@@ -124,7 +124,7 @@
             return self.forget(server);
         }
         let mut backends = self.backends.borrow_mut();
-        if let Some(address) = host.dial.filter(|_| host.health == Health::Up) {
+        if let Some(address) = host.address.filter(|_| host.health == Health::Up) {
             let last = self.servers_by_address.borrow_mut().insert(address, server);
             // Whoever was there has gone, reported or not: no connection to it may reach for the newcomer.
             if let Some(last) = last.filter(|l| *l != server).and_then(|l| backends.get_mut(&l)) {
@@ -133,17 +133,17 @@
             }
         }
         let backend = backends.entry(server).or_insert_with(|| BackendPool {
-            address: host.dial,
-            born_ms: host.born_ms,
+            address: host.address,
+            born_ms: host.started_unix_ms,
             generation: 0,
             serving: true,
             idle: IdleConnections::default(),
         });
-        let moved = host.dial.filter(|address| backend.address != Some(*address));
-        if backend.generation == 0 || moved.is_some() || host.born_ms != backend.born_ms {
+        let moved = host.address.filter(|address| backend.address != Some(*address));
+        if backend.generation == 0 || moved.is_some() || host.started_unix_ms != backend.born_ms {
             backend.generation = self.next_generation();
             backend.idle.clear();
-            backend.born_ms = host.born_ms;
+            backend.born_ms = host.started_unix_ms;
         }
         if let Some(former) = moved.and(backend.address) {
             self.vacate(former, server);
--- a/crates/agent/tests/endpoint_list.rs
+++ b/crates/agent/tests/endpoint_list.rs
@@ -13,10 +13,10 @@
         {"host": "d", "health": "removed", "block": -3},
         "e"]}))
     .expect("a list");
-    let names: Vec<&str> = list.hosts.iter().map(|h| h.name.as_str()).collect();
+    let names: Vec<&str> = list.endpoints.iter().map(|h| h.name.as_str()).collect();
     assert_eq!(names, ["a", "d"]);
-    assert_eq!((list.seq, list.whole), (7, true));
-    assert_eq!(list.hosts[0].born_ms, 5.0);
+    assert_eq!((list.version, list.is_snapshot), (7, true));
+    assert_eq!(list.endpoints[0].started_unix_ms, 5.0);
     assert_eq!(
         list.rejected_entries,
         [
--- a/crates/agent/tests/watch_schedule.rs
+++ b/crates/agent/tests/watch_schedule.rs
@@ -3,7 +3,7 @@
 
 use bellcroft::discovery::error::CallError;
 use bellcroft::discovery::policy::{WatchPolicy, CALL_TIMEOUT, SOCKET_ALLOWANCE};
-use bellcroft::discovery::schedule::{AnswerVersion, CallId, Query, Step, WatchSchedule};
+use bellcroft::discovery::schedule::{CallId, Query, ResponseVersion, Step, WatchSchedule};
 use bellcroft_balancer::{Action, Balancer, Discovery, EndpointUpdate, Event, Settings, Time, TimerId};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -161,7 +161,7 @@
             }
             self.end_calls();
             let mut steps = Vec::new();
-            self.schedule.on_time(self.now, &mut steps);
+            self.schedule.on_timer(self.now, &mut steps);
             self.carry_out(steps);
             self.fire_timer();
         }
@@ -196,15 +196,15 @@
             let Some(id) = self.calls.iter().find(|(_, call)| due(call)).map(|(id, _)| *id) else { return };
             let call = self.calls.remove(&id).expect("found above");
             let (_, answer) = call.ends.expect("it is due");
-            let full = call.query == Query::FullSnapshot;
+            let is_snapshot = call.query == Query::Snapshot;
             let answer = answer.map(|version| {
                 // What it is told it holds from the moment at which that is written.
                 let version = if call.began >= self.changed { 2 } else { version };
-                AnswerVersion { version, full }
+                ResponseVersion { version, is_snapshot }
             });
             let version = answer.as_ref().ok().map(|answer| answer.version);
             let mut steps = Vec::new();
-            self.schedule.on_answer(self.now, id, answer, &mut steps);
+            self.schedule.on_response(self.now, id, answer, &mut steps);
             if steps.contains(&Step::Deliver(id)) {
                 self.learned = version.filter(|version| *version >= 2).map(|_| self.now);
                 self.tell_balancer(EndpointUpdate::Delta(Vec::new()));
@@ -244,7 +244,7 @@
             }
             _ if !gone => (false, Some(self.answer(query, soon))),
             Fault::Unreachable => (true, None),
-            Fault::Refusing => (false, Some((soon, Err(CallError::Refused("refused".to_owned()))))),
+            Fault::Refusing => (false, Some((soon, Err(CallError::ConnectFailed("refused".to_owned()))))),
             Fault::Mixed => match self.random.u8(..4) {
                 0 => (true, None),
                 1 => (false, Some((soon, Err(CallError::Status(503))))),
@@ -328,7 +328,7 @@
         let scenario_seed = random.u64(..);
         let mut played = Scenario::new(lists, grace, scenario_seed);
         played.run_until(FOREVER);
-        let due = played.notified_from() + WatchPolicy::new(lists, grace).obeyed_by(grace);
+        let due = played.notified_from() + WatchPolicy::new(lists, grace).notification_limit(grace);
         let learned = played.learned.expect("learned in the end");
         let what = format!("scenario {scenario} of seed {seed}: {:?}, grace {grace:?}", played.fault);
         assert!(learned <= due, "{what}: learned {:?} too late", learned - due);
@@ -360,18 +360,18 @@
         let grace = Duration::from_millis(millis);
         for lists in [Discovery::OnRequest, Discovery::Pushed] {
             let policy = WatchPolicy::new(lists, grace);
-            let by = policy.obeyed_by(grace);
-            let asks = policy.silent_watch_asks();
+            let by = policy.notification_limit(grace);
+            let asks = policy.silent_watch_call_times();
             assert!(asks[0] < asks[1] && asks[1] < by, "{millis} ms, {lists:?}: {asks:?} by {by:?}");
             // A pushed list's watch that follows a failure is asked beside as well.
-            let again = if policy.restarts_by_itself() { policy.hedge_delay } else { Duration::ZERO };
-            let unreachable = policy.unreachable_ask() + again;
+            let again = if policy.restarts_watches() { policy.hedge_delay } else { Duration::ZERO };
+            let unreachable = policy.outage_call_time() + again;
             assert!(unreachable < by, "{millis} ms, {lists:?}: {unreachable:?} by {by:?}");
         }
         let asked = WatchPolicy::new(Discovery::OnRequest, grace);
-        let late = asked.silent_watch_asks()[1].max(asked.unreachable_ask());
-        assert!(late + MAX_ANSWER_DELAY + SLEEP_GRANULARITY * 3 < asked.obeyed_by(grace));
+        let late = asked.silent_watch_call_times()[1].max(asked.outage_call_time());
+        assert!(late + MAX_ANSWER_DELAY + SLEEP_GRANULARITY * 3 < asked.notification_limit(grace));
         let allowed = grace + SOCKET_ALLOWANCE;
-        assert_eq!(WatchPolicy::new(Discovery::Pushed, grace).obeyed_by(grace), allowed);
+        assert_eq!(WatchPolicy::new(Discovery::Pushed, grace).notification_limit(grace), allowed);
     }
 }
