--- a/crates/agent/src/discovery/client.rs
+++ b/crates/agent/src/discovery/client.rs
@@ -1,4 +1,4 @@
-//! One call to discovery over HTTP/1.1; its time limit is its caller's.
+//! A single call to discovery over HTTP/1.1. The caller applies the timeout.
 
 use super::codec::{parse_list, EndpointList};
 use super::error::CallError;
@@ -10,12 +10,12 @@
 use std::net::SocketAddr;
 use tokio::task::JoinHandle;
 
-/// The longest list that is read.
+/// The maximum size of a response body.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
 pub(crate) type Connection = (SendRequest<Empty<Bytes>>, AbortOnDrop);
 
-/// A task that ends with its owner.
+/// A task that is aborted when this handle is dropped.
 pub(crate) struct AbortOnDrop(pub(crate) JoinHandle<()>);
 
 impl Drop for AbortOnDrop {
@@ -24,13 +24,14 @@
     }
 }
 
-/// One call. The connection is kept for the next call only if all went well.
+/// Sends a GET request for `path` and reads the endpoint list from the response. Uses the connection in `reusable` if it
+/// is open, and stores the connection there for the next call only if this call succeeds.
 pub(crate) async fn call(
     address: SocketAddr,
-    kept: &mut Option<Connection>,
+    reusable: &mut Option<Connection>,
     path: &str,
 ) -> Result<EndpointList, CallError> {
-    let mut connection = match kept.take() {
+    let mut connection = match reusable.take() {
         Some(open) if !open.0.is_closed() => open,
         _ => connect(address).await?,
     };
@@ -38,21 +39,21 @@
     sender.ready().await.map_err(|_| CallError::Reset)?;
     let request = Request::get(path).header("host", address.to_string()).body(Empty::new());
     let request = request.map_err(|e| CallError::Unreadable(e.to_string()))?;
-    let response = sender.send_request(request).await.map_err(|e| no_answer(&e))?;
+    let response = sender.send_request(request).await.map_err(|e| response_error(&e))?;
     if response.status() != StatusCode::OK {
         return Err(CallError::Status(response.status().as_u16()));
     }
     let list = read_list(response.into_body()).await?;
-    *kept = Some(connection);
+    *reusable = Some(connection);
     Ok(list)
 }
 
 async fn connect(address: SocketAddr) -> Result<Connection, CallError> {
     let stream = bellcroft_net::connect(address).await.map_err(|e| CallError::connect(e.cause()))?;
-    let (sender, driven) = handshake(stream).await.map_err(|_| CallError::Reset)?;
+    let (sender, connection) = handshake(stream).await.map_err(|_| CallError::Reset)?;
     let task = tokio::task::spawn_local(async move {
-        // Its end shows at the sender.
-        let _ = driven.await;
+        // The sender reports an error of the connection to its user.
+        let _ = connection.await;
     });
     Ok((sender, AbortOnDrop(task)))
 }
@@ -64,15 +65,15 @@
         Some(_) => CallError::TooLong,
         None => CallError::TruncatedBody,
     })?;
-    let unreadable = |why: String| CallError::Unreadable(why);
+    let unreadable = |reason: String| CallError::Unreadable(reason);
     let value = serde_json::from_slice(&body.to_bytes()).map_err(|e| unreadable(e.to_string()))?;
     parse_list(&value).map_err(|e| unreadable(e.to_string()))
 }
 
-/// A head that is no HTTP is told from a connection that ended.
-fn no_answer(error: &hyper::Error) -> CallError {
+/// The cause of a missing response: an invalid response head, or otherwise a closed connection.
+fn response_error(error: &hyper::Error) -> CallError {
     if error.is_parse() {
-        return CallError::Unreadable("its head is no HTTP".to_owned());
+        return CallError::Unreadable("response head is not valid HTTP".to_owned());
     }
     CallError::Reset
 }
--- a/crates/agent/src/discovery/codec.rs
+++ b/crates/agent/src/discovery/codec.rs
@@ -1,119 +1,119 @@
-//! The wire form of endpoint lists: reading them, entry by entry.
+//! Decodes endpoint lists from JSON. Each entry is decoded on its own, so that a malformed one is rejected alone.
 
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// A server list or a change of one, as discovery words it.
+/// A response of discovery: a snapshot of the endpoint list or a delta.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct EndpointList {
-    /// Its version.
+    /// The version of the list, with the delta applied.
     pub version: u64,
-    /// It is the whole list, not only what has changed.
+    /// Whether this is the complete list rather than a delta.
     pub is_snapshot: bool,
-    /// Its entries.
+    /// The valid entries.
     pub endpoints: Vec<EndpointRecord>,
-    /// Entries that make no sense: which, and why.
+    /// Descriptions of the malformed entries, each with the reason for its rejection.
     pub rejected_entries: Vec<String>,
 }
 
-/// One server.
+/// The entry of one server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointRecord {
-    /// Its name, the same at every agent.
+    /// The server's name, the same for every agent.
     pub name: String,
-    /// Where this agent reaches it; an entry of a removed server may lack it.
+    /// The address at which this agent connects to the server. Always set for [`Health::Up`].
     pub address: Option<SocketAddr>,
-    /// Its zone.
+    /// The name of the server's zone.
     pub zone: String,
-    /// Its kind of machine.
+    /// The name of the server's machine type.
     pub machine_type: String,
-    /// Its cell.
+    /// The number of the server's dedup group.
     pub dedup_group: u32,
-    /// What it says of its health.
+    /// The server's listed health.
     pub health: Health,
-    /// Its weight.
+    /// The server's weight.
     pub weight: f64,
-    /// When it last started, in Unix milliseconds; 0 for long ago.
+    /// Time of the server's last start in Unix milliseconds; 0 if the start was long ago.
     pub started_unix_ms: f64,
 }
 
-/// Whether a server takes work.
+/// Whether a server accepts requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
-    /// It does.
+    /// The server accepts requests.
     Up,
-    /// It finishes what it has.
+    /// The server finishes the requests that it has, and must get no new ones.
     Draining,
-    /// It has left.
+    /// The server no longer exists.
     Removed,
 }
 
-/// Why something is no endpoint list at all.
+/// Why a JSON value is not an endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListError {
-    /// It has no array `hosts`.
+    /// The array `hosts` is missing.
     NoHosts,
-    /// It has no number `seq`.
+    /// The number `seq` is missing.
     NoVersion,
 }
 
 impl std::fmt::Display for ListError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            ListError::NoHosts => "it has no array \"hosts\"",
-            ListError::NoVersion => "it has no number \"seq\"",
+            ListError::NoHosts => "missing array \"hosts\"",
+            ListError::NoVersion => "missing number \"seq\"",
         })
     }
 }
 
-/// The longest name that is told.
+/// The number of characters of a received text that an error message quotes.
 const MAX_REPORTED_CHARS: usize = 64;
 
-/// Parses a list. A malformed entry is left out and its reason kept: one bad entry must not cost the others, and a list of bad
-/// entries must not look like an empty one.
+/// Decodes a list. Malformed entries are reported in [`EndpointList::rejected_entries`]: one of them must not invalidate
+/// the others, and a list of nothing but malformed entries must not look like an empty one.
 ///
 /// # Errors
 ///
-/// The value is not a list, or has no version.
+/// The value has no array of entries or no version.
 pub fn parse_list(value: &Value) -> Result<EndpointList, ListError> {
     let hosts = value.get("hosts").and_then(Value::as_array).ok_or(ListError::NoHosts)?;
     let seq = value.get("seq").and_then(Value::as_u64).ok_or(ListError::NoVersion)?;
-    let (mut good, mut rejected_entries) = (Vec::with_capacity(hosts.len()), Vec::new());
-    for (place, host) in hosts.iter().enumerate() {
+    let (mut endpoints, mut rejected_entries) = (Vec::with_capacity(hosts.len()), Vec::new());
+    for (index, host) in hosts.iter().enumerate() {
         match parse_host(host) {
-            Ok(host) => good.push(host),
-            Err(why) => {
+            Ok(endpoint) => endpoints.push(endpoint),
+            Err(reason) => {
                 let name = host.get("host").and_then(Value::as_str).filter(|name| !name.is_empty());
                 let name = name.map(|name| name.chars().take(MAX_REPORTED_CHARS).collect::<String>());
-                let name = name.map_or_else(|| format!("entry {place}"), |name| format!("{name:?}"));
-                rejected_entries.push(format!("{name}: {why}"));
+                let name = name.map_or_else(|| format!("entry {index}"), |name| format!("{name:?}"));
+                rejected_entries.push(format!("{name}: {reason}"));
             }
         }
     }
     Ok(EndpointList {
         version: seq,
         is_snapshot: value.get("whole").and_then(Value::as_bool).unwrap_or(false),
-        endpoints: good,
+        endpoints,
         rejected_entries,
     })
 }
 
 fn parse_host(value: &Value) -> Result<EndpointRecord, String> {
     let text = |key: &str| value.get(key).and_then(Value::as_str);
-    let health = match text("health").ok_or("has no health")? {
+    let health = match text("health").ok_or("health is missing")? {
         "up" => Health::Up,
         "draining" => Health::Draining,
         "removed" => Health::Removed,
         other => {
             let other: String = other.chars().take(MAX_REPORTED_CHARS).collect();
-            return Err(format!("its health is {other:?}; up, draining or removed was expected"));
+            return Err(format!("health is {other:?}; up, draining or removed was expected"));
         }
     };
-    let name = text("host").filter(|name| !name.is_empty()).ok_or("has no name")?.to_owned();
+    let name = text("host").filter(|name| !name.is_empty()).ok_or("host name is missing")?.to_owned();
     let dial = text("dial").and_then(|d| d.parse().ok());
     if dial.is_none() && health == Health::Up {
         let dial: String = text("dial").unwrap_or_default().chars().take(MAX_REPORTED_CHARS).collect();
-        return Err(format!("its dial is {dial:?}; an address such as \"10.0.0.1:80\" was expected"));
+        return Err(format!("dial is {dial:?}; an address such as \"10.0.0.1:80\" was expected"));
     }
     Ok(EndpointRecord {
         name,
--- a/crates/agent/src/discovery/error.rs
+++ b/crates/agent/src/discovery/error.rs
@@ -1,35 +1,35 @@
-//! Why a call to discovery failed.
+//! Errors of calls to discovery.
 
 use std::fmt;
 use std::io;
 
-/// Why a call to discovery brought no list.
+/// Why a call to discovery returned no endpoint list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallError {
-    /// No connection came up.
+    /// The connection could not be established; holds the kind of the I/O error.
     ConnectFailed(String),
-    /// The connection was reset or closed before an answer began.
+    /// The connection was reset or closed before the response head arrived.
     Reset,
-    /// It answered with another status than 200.
+    /// The response has a status other than 200.
     Status(u16),
-    /// No complete answer came in time.
+    /// No complete response arrived before the timeout.
     Timeout,
-    /// The connection ended within the body.
+    /// The connection was closed before the end of the body.
     TruncatedBody,
-    /// The body is longer than is read.
+    /// The body exceeds the maximum size.
     TooLong,
-    /// The body is no endpoint list; what is wrong with it.
+    /// The response is not valid HTTP or its body is not an endpoint list; holds the reason.
     Unreadable(String),
-    /// Changes came where a full snapshot was asked for.
+    /// The response to a request for a snapshot is a delta.
     NoSnapshot,
 }
 
 impl CallError {
-    /// The causes by which failed calls are counted, in the order of [`CallError::cause`].
+    /// The causes by which failed calls are counted, in the order of [`CallError::cause_index`].
     pub const CAUSES: [&'static str; 8] =
         ["refused", "reset", "status", "timeout", "truncated_body", "too_long", "unreadable", "no_snapshot"];
 
-    /// The place of its cause in [`CallError::CAUSES`].
+    /// The index of the cause in [`CallError::CAUSES`].
     pub fn cause_index(&self) -> usize {
         match self {
             CallError::ConnectFailed(_) => 0,
@@ -43,12 +43,12 @@
         }
     }
 
-    /// One word for its cause, as counted and logged.
+    /// The name of the cause in counters and logs.
     pub fn cause(&self) -> &'static str {
         Self::CAUSES[self.cause_index()]
     }
 
-    /// A connection that did not come up.
+    /// The error for a connection that could not be established.
     pub(crate) fn connect(error: &io::Error) -> Self {
         CallError::ConnectFailed(error.kind().to_string())
     }
@@ -57,9 +57,9 @@
 impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CallError::ConnectFailed(why) => write!(f, "refused: {why}"),
+            CallError::ConnectFailed(reason) => write!(f, "refused: {reason}"),
             CallError::Status(status) => write!(f, "status: {status}"),
-            CallError::Unreadable(why) => write!(f, "unreadable: {why}"),
+            CallError::Unreadable(reason) => write!(f, "unreadable: {reason}"),
             other => f.write_str(other.cause()),
         }
     }
--- a/crates/agent/src/discovery/mod.rs
+++ b/crates/agent/src/discovery/mod.rs
@@ -1,7 +1,8 @@
-//! The server list: reading it, watching it, asking for the whole of it.
+//! Calls to discovery: watches for changes of the endpoint list, and requests for a snapshot of it.
 //!
-//! When to begin a watch and when to ask again after a failure is the balancer's to say
-//! ([`bellcroft_balancer::Action::Watch`], [`bellcroft_balancer::Action::FetchEndpoints`]); a watch once begun is kept up here.
+//! The balancer decides when a watch starts and when discovery is called again after a failure
+//! ([`bellcroft_balancer::Action::Watch`], [`bellcroft_balancer::Action::FetchEndpoints`]). This module continues a
+//! started watch until it fails.
 
 mod client;
 pub mod codec;
@@ -23,21 +24,22 @@
 use tokio::time::timeout;
 use watch::Watch;
 
-/// Receives what calls to discovery bring.
+/// Receives the results of calls to discovery.
 pub(crate) trait EndpointSink {
-    /// A call is sent.
+    /// Called when a call is sent.
     fn on_discovery_call(&self);
-    /// A call has been answered with this list.
+    /// Called when a call has returned this list.
     fn on_endpoints(self: Rc<Self>, list: EndpointList);
-    /// A call has failed; of a watch, how long it had been open.
-    fn on_call_failed(&self, watch: Option<Duration>, error: &CallError);
-    /// A watch of this version has not been answered within this time; it stays open.
+    /// Called when a call has failed. `watch_elapsed` is the time that the call was open, if it was a watch.
+    fn on_call_failed(&self, watch_elapsed: Option<Duration>, error: &CallError);
+    /// Called when a watch of this version has had no response within this time; the call stays open.
     fn on_silent_watch(&self, version: u64, elapsed: Duration);
-    /// The watch, or the call for the complete list, has failed; nothing is called until the next is started.
+    /// Called when the watch or the call for a snapshot has failed. Discovery is not called again until the balancer
+    /// starts a watch or a fetch.
     fn on_watch_failed(self: Rc<Self>);
 }
 
-/// The calls to discovery; at most one watch and one call for the whole list at a time.
+/// The calls to discovery: at most one watch and one call for a snapshot at a time.
 pub(crate) struct Discovery {
     address: SocketAddr,
     policy: WatchPolicy,
@@ -46,27 +48,27 @@
 }
 
 impl Discovery {
-    /// Knows where discovery is; calls nobody yet.
+    /// A client for discovery at this address; sends no call yet.
     pub fn new(address: SocketAddr, policy: WatchPolicy) -> Self {
         Discovery { address, policy, watch: None, fetch: None }
     }
 
-    /// Where discovery is.
+    /// The address of discovery.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// It is asked like this from its next call on.
+    /// Sets the policy for watches that are started from now on.
     pub fn reconfigure(&mut self, policy: WatchPolicy) {
         self.policy = policy;
     }
 
-    /// Whether nobody else says when a watch begins.
+    /// Whether watches restart by themselves after a failure, rather than when the balancer starts the next one.
     pub fn restarts_watches(&self) -> bool {
         self.policy.restarts_watches()
     }
 
-    /// Discovery has moved: calls to the old address, and their connections, end.
+    /// Sets a new address, and cancels the calls to the old one together with their connections.
     pub fn set_address(&mut self, address: SocketAddr) {
         self.address = address;
         for call in [self.watch.take(), self.fetch.take()].into_iter().flatten() {
@@ -74,30 +76,30 @@
         }
     }
 
-    /// Begins a watch for what is newer than `seq`, or ends the one there is. With no `seq` it begins with the
-    /// whole list.
-    pub fn watch(&mut self, sink: Rc<dyn EndpointSink>, active: bool, seq: Option<u64>) {
+    /// Cancels the present watch and, if `active`, starts a new one for changes after `version`. Without a version the
+    /// watch first requests a snapshot.
+    pub fn watch(&mut self, sink: Rc<dyn EndpointSink>, active: bool, version: Option<u64>) {
         if let Some(watch) = self.watch.take() {
             watch.abort();
         }
         if active {
-            let schedule = WatchSchedule::new(self.policy, seq, fastrand::u64(..));
+            let schedule = WatchSchedule::new(self.policy, version, fastrand::u64(..));
             let watch = Watch::new(self.address, sink, schedule);
             self.watch = Some(tokio::task::spawn_local(watch.run()));
         }
     }
 
-    /// Asks for the whole list once.
+    /// Requests a snapshot once, unless such a call is in progress.
     pub fn fetch(&mut self, sink: Rc<dyn EndpointSink>) {
-        if self.fetch.as_ref().is_some_and(|f| !f.is_finished()) {
+        if self.fetch.as_ref().is_some_and(|fetch| !fetch.is_finished()) {
             return;
         }
         let address = self.address;
         self.fetch = Some(tokio::task::spawn_local(async move {
             let mut connection = None;
             sink.on_discovery_call();
-            let answer = timeout(CALL_TIMEOUT, call(address, &mut connection, "/v1/endpoints")).await;
-            match answer.unwrap_or(Err(CallError::Timeout)) {
+            let response = timeout(CALL_TIMEOUT, call(address, &mut connection, "/v1/endpoints")).await;
+            match response.unwrap_or(Err(CallError::Timeout)) {
                 Ok(list) => sink.on_endpoints(list),
                 Err(error) => {
                     sink.on_call_failed(None, &error);
--- a/crates/agent/src/discovery/policy.rs
+++ b/crates/agent/src/discovery/policy.rs
@@ -1,62 +1,66 @@
 //! The time limits of calls to discovery.
 //!
-//! The platform's clock: what discovery has counts as notified [`NOTIFICATION_LIMIT`] after it had the change and could be
-//! reached, whatever call failed or waits; where lists are pushed, at once. The latest moments at which discovery is
-//! asked are [`WatchPolicy::silent_watch_call_times`] and [`WatchPolicy::outage_call_time`].
+//! By the platform's rules an agent counts as notified of a change [`NOTIFICATION_LIMIT`] after discovery had the change
+//! and was reachable, whichever calls failed or are still open; where lists are pushed, it counts as notified at once.
+//! The latest times at which discovery is called are [`WatchPolicy::silent_watch_call_times`] and
+//! [`WatchPolicy::outage_call_time`]; both must leave room for the response before that limit.
 
 use bellcroft_balancer::{Discovery, MAX_WATCH_RETRY_DELAY, MIN_WATCH_RETRY_DELAY};
 use std::time::Duration;
 
-/// A change counts as notified this long after discovery had it and could be reached.
+/// Time after which an agent counts as notified of a change, from when discovery had the change and was reachable.
 pub const NOTIFICATION_LIMIT: Duration = Duration::from_millis(6_000);
-/// The balancer looks at its timers this often.
+/// Interval at which the balancer checks its timers.
 pub const TIMER_INTERVAL: Duration = Duration::from_millis(50);
-/// Each time limit of the platform is this much longer on sockets.
+/// Allowance that is added to each time limit of the platform where calls use sockets.
 pub const SOCKET_ALLOWANCE: Duration = Duration::from_millis(50);
-/// The longest that a watch of a shared service asks it to wait.
+/// Maximum wait that a watch requests from a shared service.
 pub const MAX_WATCH_WAIT: Duration = Duration::from_millis(3_500);
-/// Each wait is drawn from this part of the longest on, so that instances that were answered together part again.
+/// Minimum of the randomly drawn wait, as a fraction of the maximum. The spread separates the watches of instances that
+/// got a response at the same time.
 pub const MIN_WATCH_WAIT_FRACTION: f64 = 0.75;
-/// A watch that has not answered this long after its wait has fallen silent.
+/// Time after the end of its wait at which a watch without a response is considered silent.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(500);
-/// A second call is made beside one that has not answered for so long: as late as the time to the change's notification
-/// leaves room for, since a busy service works through its calls in turn.
+/// Time without a response after which a second call is sent on another connection. It is as long as
+/// [`NOTIFICATION_LIMIT`] permits, since a busy service handles its calls one after the other.
 pub const HEDGE_DELAY: Duration = Duration::from_millis(1_700);
-/// A call that has not answered for so long, beyond its wait, has failed.
+/// Timeout of a call, in addition to its wait.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(2_250);
-/// Calls that ask for an answer at once, one beside the other, before the failure is reported.
+/// Maximum number of concurrent calls for an immediate response before a failure is reported.
 pub const MAX_IMMEDIATE_CALLS: u32 = 2;
 
-/// A discovery on this machine answers at once and at no cost. All limits are this part of the drain grace period.
+/// Divisor of the drain grace period that gives the limits for pushed lists. They are short because such a discovery runs
+/// on the same machine, where calls are cheap and get an immediate response.
 pub const PUSHED_LIMIT_GRACE_DIVISOR: u32 = 4;
-/// The shortest limit of a pushed list's watch, for drain grace periods near zero.
+/// Minimum of the limits for pushed lists, for drain grace periods near zero.
 pub const MIN_PUSHED_LIMIT: Duration = Duration::from_millis(15);
-/// The longest limit of a pushed list's watch.
+/// Maximum of the limits for pushed lists.
 pub const MAX_PUSHED_LIMIT: Duration = Duration::from_millis(500);
-/// The longest pause after a failed call, where lists are pushed.
+/// Maximum delay before the next watch after a failure, where lists are pushed.
 pub const MAX_PUSHED_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How discovery is to be asked, by the settings.
+/// Time limits of the calls to discovery, as derived from the settings.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WatchPolicy {
-    /// The longest wait of a watch.
+    /// Maximum wait of a watch.
     pub max_wait: Duration,
-    /// The part of it from which each wait is drawn.
+    /// Minimum of the randomly drawn wait, as a fraction of `max_wait`.
     pub min_wait_fraction: f64,
-    /// A watch that has not answered so long after its wait has fallen silent.
+    /// Time after the end of its wait at which a watch without a response is considered silent.
     pub silence_timeout: Duration,
-    /// A second call is made beside one that has not answered for so long.
+    /// Time without a response after which a second call is sent on another connection.
     pub hedge_delay: Duration,
-    /// A call that has not answered for so long, beyond its wait, has failed.
+    /// Timeout of a call, in addition to its wait.
     pub call_timeout: Duration,
-    /// The pause after a failure; none where the balancer decides it, for discovery is one service for all.
+    /// Delay before the next watch after a failure; none where the balancer decides it, since all instances share one
+    /// discovery service.
     pub retry_delay: Option<Duration>,
 }
 
 impl WatchPolicy {
-    /// By how lists come and how long sends to a draining server may go on.
-    pub fn new(lists: Discovery, drain_grace: Duration) -> Self {
-        match lists {
+    /// The policy for a discovery mode and a drain grace period.
+    pub fn new(mode: Discovery, drain_grace: Duration) -> Self {
+        match mode {
             Discovery::OnRequest => WatchPolicy {
                 max_wait: MAX_WATCH_WAIT,
                 min_wait_fraction: MIN_WATCH_WAIT_FRACTION,
@@ -80,32 +84,34 @@
         }
     }
 
-    /// Whether nobody else decides when a watch begins.
+    /// Whether watches restart by themselves after a failure, rather than when the balancer starts the next one.
     pub fn restarts_watches(&self) -> bool {
         self.retry_delay.is_some()
     }
 
-    /// The latest moments, from a watch's falling silent, at which discovery is asked first and again.
+    /// Latest times of the first and the second call for an immediate response while a watch is silent, counted from when
+    /// discovery stopped responding.
     pub fn silent_watch_call_times(&self) -> [Duration; 2] {
         let first = self.max_wait + self.silence_timeout;
         [first, first + self.hedge_delay]
     }
 
-    /// The latest moment, from discovery's return, at which it is asked: a call that hangs had begun just before. Where
-    /// lists are pushed, it is asked again after another `hedge_delay`.
+    /// Latest time of the next call after an outage, counted from when discovery is reachable again. In the worst case a
+    /// call that gets no response was sent just before. Where lists are pushed, a second call follows after another
+    /// `hedge_delay`.
     pub fn outage_call_time(&self) -> Duration {
-        let micros = |span: bellcroft_balancer::Micros| Duration::from_micros(span.0);
+        let micros = |duration: bellcroft_balancer::Micros| Duration::from_micros(duration.0);
         match self.retry_delay {
             Some(delay) => self.call_timeout + delay,
             None => {
-                let hung = self.call_timeout + micros(MIN_WATCH_RETRY_DELAY) + TIMER_INTERVAL;
-                hung.max(micros(MAX_WATCH_RETRY_DELAY))
+                let after_timeout = self.call_timeout + micros(MIN_WATCH_RETRY_DELAY) + TIMER_INTERVAL;
+                after_timeout.max(micros(MAX_WATCH_RETRY_DELAY))
             }
         }
     }
 
-    /// When a change counts as notified, from when discovery had it and could be reached, with the drain grace period
-    /// where lists are pushed.
+    /// Time by which an agent must have learned a change, counted from when discovery had the change and was reachable.
+    /// Where lists are pushed, this includes the drain grace period.
     pub fn notification_limit(&self, drain_grace: Duration) -> Duration {
         match self.retry_delay {
             None => NOTIFICATION_LIMIT,
--- a/crates/agent/src/discovery/schedule.rs
+++ b/crates/agent/src/discovery/schedule.rs
@@ -1,10 +1,11 @@
-//! Which calls to discovery are made when, as a state machine without sockets or a clock of its own.
+//! The schedule of calls to discovery: a state machine without sockets and without a clock of its own.
 //!
-//! One watch at a time waits for changes. When it falls silent it stays open, and calls that ask for an answer at once
-//! are made beside it on connections of their own,
-//! [`MAX_IMMEDIATE_CALLS`] of them; the first complete answer wins. After a failure
-//! too it begins with a watch, which is answered at once if there is something newer: a call for an answer at once, or a
-//! shorter wait, would have a shared service that turns calls away take in two calls for each instance.
+//! One watch at a time waits for changes. When there is no response in time, the watch stays open, and up to
+//! [`MAX_IMMEDIATE_CALLS`] calls for an immediate response are sent concurrently, each on its own connection. The first
+//! complete response is used and the other calls are cancelled.
+//!
+//! The first call after a failure is a watch too, which gets an immediate response if there is a newer version. A call
+//! without a wait, or with a shorter one, would cost a shared service that rejects calls two calls for each instance.
 
 use super::error::CallError;
 use super::policy::{WatchPolicy, MAX_IMMEDIATE_CALLS};
@@ -14,27 +15,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// What a call asks for.
+/// What a call requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Query {
-    /// The full snapshot, at once.
+    /// A snapshot, immediately.
     Snapshot,
-    /// What is newer than this version, at once.
+    /// The changes after a version, immediately.
     Delta {
         /// The version that is known.
         after: u64,
     },
-    /// What is newer than this version, as soon as there is something or the wait is over.
+    /// The changes after a version, as soon as there are any or when the wait expires.
     Watch {
         /// The version that is known.
         after: u64,
-        /// The wait.
+        /// The maximum wait.
         wait: Duration,
     },
 }
 
 impl Query {
-    /// The path that asks this.
+    /// The request target.
     pub fn path(&self) -> String {
         match self {
             Query::Snapshot => "/v1/endpoints".to_owned(),
@@ -46,72 +47,75 @@
     }
 }
 
-/// The version of an answer, and whether it is a full snapshot.
+/// The version of a response, and whether it is a snapshot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ResponseVersion {
-    /// Its version.
+    /// The version of the list.
     pub version: u64,
-    /// Whether it is the full snapshot.
+    /// Whether the response is a snapshot rather than a delta.
     pub is_snapshot: bool,
 }
 
-/// What is to be done.
+/// What the caller of the schedule has to do.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// Make this call.
+    /// Send a call.
     Call {
-        /// Its number.
+        /// The call's number.
         id: CallId,
-        /// What it asks for.
+        /// What the call requests.
         query: Query,
     },
-    /// End this call, without an answer.
+    /// Cancel this call; its response is not needed.
     Cancel(CallId),
-    /// Take in the list of this answer.
+    /// Apply the list that this call returned.
     Deliver(CallId),
-    /// Report that the watch of this version has fallen silent, so long after it began.
+    /// Report that a watch has had no response in time; the call stays open.
     WatchSilent {
-        /// The version that it asked after.
+        /// The version after which the watch requests changes.
         version: u64,
-        /// The time since it began.
+        /// The time since the watch started.
         elapsed: Duration,
     },
     /// Report that a call failed.
     CallFailed {
-        /// How long it was open, if it was a watch.
-        watch: Option<Duration>,
-        /// Why.
+        /// How long the call was open, if it was a watch.
+        watch_elapsed: Option<Duration>,
+        /// Why the call failed.
         error: CallError,
     },
-    /// Nothing is asked any more until the schedule is begun again, here or by the balancer.
+    /// No call is open. The next one is sent when the schedule restarts, by its own timer or by the balancer.
     Idle,
 }
 
+/// A call without a result.
 struct OpenCall {
     id: CallId,
     query: Query,
-    began: Duration,
+    started_at: Duration,
     deadline: Duration,
 }
 
-/// The calls that are open, and when the next are due. Times are counted from any fixed moment.
+/// The open calls and the timers for the next ones. All times are counted from one arbitrary origin.
 pub struct WatchSchedule {
     policy: WatchPolicy,
     random: fastrand::Rng,
+    /// Version of the cached list; none if a snapshot is needed.
     version: Option<u64>,
     calls: Vec<OpenCall>,
     next_id: u64,
-    /// When the watch falls silent.
+    /// Time after which the watch is considered silent.
     silent_at: Option<Duration>,
-    /// Calls for an answer at once that this round has made.
-    asks: u32,
-    /// When the next of them is due, if none is answered.
+    /// Number of calls for an immediate response since the schedule last started.
+    immediate_calls: u32,
+    /// Time of the next call for an immediate response, unless one arrives before.
     hedge_at: Option<Duration>,
+    /// Time of the restart after a failure, where the schedule restarts by itself.
     restart_at: Option<Duration>,
 }
 
 impl WatchSchedule {
-    /// A schedule that knows this version of the list, and asks nothing yet.
+    /// A schedule for an agent that has this version of the list. Sends no call before [`WatchSchedule::start`].
     pub fn new(policy: WatchPolicy, version: Option<u64>, seed: u64) -> Self {
         WatchSchedule {
             policy,
@@ -120,35 +124,35 @@
             calls: Vec::new(),
             next_id: 0,
             silent_at: None,
-            asks: 0,
+            immediate_calls: 0,
             hedge_at: None,
             restart_at: None,
         }
     }
 
-    /// Begins: with a watch, or where no version is known with a call for the full snapshot.
-    pub fn begin(&mut self, now: Duration, steps: &mut Vec<Step>) {
+    /// Cancels all open calls and sends the first one: a watch, or a request for a snapshot if no version is known.
+    pub fn start(&mut self, now: Duration, steps: &mut Vec<Step>) {
         self.cancel_all(steps);
         match self.version {
             Some(version) => self.watch(now, version, steps),
-            None => self.ask(now, steps),
+            None => self.call_immediately(now, steps),
         }
     }
 
-    /// The next moment at which [`WatchSchedule::on_timer`] has something to do.
+    /// The next time at which [`WatchSchedule::on_timer`] has something to do.
     pub fn next_due(&self) -> Option<Duration> {
         let deadlines = self.calls.iter().map(|call| call.deadline);
         let timers = [self.silent_at, self.hedge_at, self.restart_at];
         deadlines.chain(timers.into_iter().flatten()).min()
     }
 
-    /// Does what is due by now.
+    /// Handles the timers that are due at `now`.
     pub fn on_timer(&mut self, now: Duration, steps: &mut Vec<Step>) {
         if take_due(&mut self.silent_at, now) {
-            self.on_silence(now, steps);
+            self.on_silent_watch(now, steps);
         }
         if take_due(&mut self.hedge_at, now) {
-            self.ask(now, steps);
+            self.call_immediately(now, steps);
         }
         while let Some(call) = self.calls.iter().find(|call| call.deadline <= now) {
             let id = call.id;
@@ -156,56 +160,59 @@
             self.on_response(now, id, Err(CallError::Timeout), steps);
         }
         if take_due(&mut self.restart_at, now) {
-            self.begin(now, steps);
+            self.start(now, steps);
         }
     }
 
-    /// A call is over. Answers to calls that were cancelled are ignored.
+    /// Handles the result of a call. Results of cancelled calls are ignored.
     pub fn on_response(
         &mut self,
         now: Duration,
         id: CallId,
-        answer: Result<ResponseVersion, CallError>,
+        response: Result<ResponseVersion, CallError>,
         steps: &mut Vec<Step>,
     ) {
-        let Some(place) = self.calls.iter().position(|call| call.id == id) else { return };
-        let call = self.calls.remove(place);
-        let answer = answer.and_then(|answer| match call.query {
-            // Changes as a first answer would say nothing of the other endpoints.
-            Query::Snapshot if !answer.is_snapshot => Err(CallError::NoSnapshot),
-            _ => Ok(answer),
+        let Some(index) = self.calls.iter().position(|call| call.id == id) else { return };
+        let call = self.calls.remove(index);
+        let response = response.and_then(|response| match call.query {
+            // A delta without a known base would leave out the unchanged endpoints.
+            Query::Snapshot if !response.is_snapshot => Err(CallError::NoSnapshot),
+            _ => Ok(response),
         });
-        match answer {
+        match response {
             Err(error) => self.on_failure(now, &call, error, steps),
-            // A service that has restarted with lower versions: its changes are of a list that nobody here has.
-            Ok(answer) if !answer.is_snapshot && self.version.is_some_and(|known| answer.version < known) => {
+            // The service has restarted with lower versions: the delta is based on a list that this agent does not have.
+            Ok(response)
+                if !response.is_snapshot && self.version.is_some_and(|known| response.version < known) =>
+            {
                 self.version = None;
-                self.begin(now, steps);
+                self.start(now, steps);
             }
-            Ok(answer) => {
-                self.version = Some(answer.version);
+            Ok(response) => {
+                self.version = Some(response.version);
                 steps.push(Step::Deliver(id));
-                self.begin(now, steps);
+                self.start(now, steps);
             }
         }
     }
 
-    fn on_silence(&mut self, now: Duration, steps: &mut Vec<Step>) {
-        if let Some(OpenCall { query: Query::Watch { after, .. }, began, .. }) = self.calls.first() {
-            steps.push(Step::WatchSilent { version: *after, elapsed: now.saturating_sub(*began) });
+    fn on_silent_watch(&mut self, now: Duration, steps: &mut Vec<Step>) {
+        if let Some(OpenCall { query: Query::Watch { after, .. }, started_at, .. }) = self.calls.first() {
+            steps.push(Step::WatchSilent { version: *after, elapsed: now.saturating_sub(*started_at) });
         }
-        self.ask(now, steps);
+        self.call_immediately(now, steps);
     }
 
     fn on_failure(&mut self, now: Duration, call: &OpenCall, error: CallError, steps: &mut Vec<Step>) {
-        let watch = matches!(call.query, Query::Watch { .. }).then(|| now.saturating_sub(call.began));
-        steps.push(Step::CallFailed { watch, error });
+        let is_watch = matches!(call.query, Query::Watch { .. });
+        let watch_elapsed = is_watch.then(|| now.saturating_sub(call.started_at));
+        steps.push(Step::CallFailed { watch_elapsed, error });
         if !self.calls.is_empty() {
             return;
         }
         (self.silent_at, self.hedge_at) = (None, None);
         if let Some(delay) = self.policy.retry_delay {
-            // It costs nothing to ask for all, and it may have restarted.
+            // The discovery on this machine may have restarted, and a snapshot from it is cheap.
             self.version = None;
             self.restart_at = Some(now + delay);
         }
@@ -213,37 +220,39 @@
     }
 
     fn watch(&mut self, now: Duration, version: u64, steps: &mut Vec<Step>) {
-        let part = self.policy.min_wait_fraction + (1.0 - self.policy.min_wait_fraction) * self.random.f64();
-        let wait = self.policy.max_wait.mul_f64(part);
+        let fraction =
+            self.policy.min_wait_fraction + (1.0 - self.policy.min_wait_fraction) * self.random.f64();
+        let wait = self.policy.max_wait.mul_f64(fraction);
         self.silent_at = Some(now + wait + self.policy.silence_timeout);
-        let limit = wait + self.policy.silence_timeout + self.policy.call_timeout;
-        self.call(now, Query::Watch { after: version, wait }, limit, steps);
+        let timeout = wait + self.policy.silence_timeout + self.policy.call_timeout;
+        self.call(now, Query::Watch { after: version, wait }, timeout, steps);
     }
 
-    fn ask(&mut self, now: Duration, steps: &mut Vec<Step>) {
+    /// Sends a call for an immediate response, and sets the timer for a second one.
+    fn call_immediately(&mut self, now: Duration, steps: &mut Vec<Step>) {
         let query = match self.version {
             Some(after) if !self.policy.restarts_watches() => Query::Delta { after },
             _ => Query::Snapshot,
         };
-        self.asks += 1;
-        self.hedge_at = (self.asks < MAX_IMMEDIATE_CALLS).then(|| now + self.policy.hedge_delay);
+        self.immediate_calls += 1;
+        self.hedge_at = (self.immediate_calls < MAX_IMMEDIATE_CALLS).then(|| now + self.policy.hedge_delay);
         self.call(now, query, self.policy.call_timeout, steps);
     }
 
-    fn call(&mut self, now: Duration, query: Query, limit: Duration, steps: &mut Vec<Step>) {
+    fn call(&mut self, now: Duration, query: Query, timeout: Duration, steps: &mut Vec<Step>) {
         let id = CallId(self.next_id);
         self.next_id += 1;
-        self.calls.push(OpenCall { id, query, began: now, deadline: now + limit });
+        self.calls.push(OpenCall { id, query, started_at: now, deadline: now + timeout });
         steps.push(Step::Call { id, query });
     }
 
     fn cancel_all(&mut self, steps: &mut Vec<Step>) {
         steps.extend(self.calls.drain(..).map(|call| Step::Cancel(call.id)));
-        (self.silent_at, self.hedge_at, self.restart_at, self.asks) = (None, None, None, 0);
+        (self.silent_at, self.hedge_at, self.restart_at, self.immediate_calls) = (None, None, None, 0);
     }
 }
 
-/// Whether a timer is due; then it is taken.
+/// Clears a timer that is due; returns whether it was.
 fn take_due(timer: &mut Option<Duration>, now: Duration) -> bool {
     timer.take_if(|at| *at <= now).is_some()
 }
--- a/crates/agent/src/discovery/watch.rs
+++ b/crates/agent/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! The sockets of a [`WatchSchedule`]: makes the calls that it asks for and tells it how they end.
+//! Runs a [`WatchSchedule`]: sends its calls over sockets and reports their results to it.
 
 use super::client::{call, AbortOnDrop, Connection};
 use super::codec::EndpointList;
@@ -11,82 +11,92 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
 use tokio::time::{sleep_until, Instant};
 
-/// How a call ended, with its connection where that may serve the next.
-struct CallEnd {
+/// The result of a call, with its connection if the next call may reuse it.
+struct FinishedCall {
     id: CallId,
-    answer: Result<EndpointList, CallError>,
+    response: Result<EndpointList, CallError>,
     connection: Option<Connection>,
 }
 
-/// A watch that is kept up until it fails, or for ever where it restarts by itself.
+/// A watch that runs until it fails, or without end where the schedule restarts by itself.
 pub(crate) struct Watch {
     address: SocketAddr,
     sink: Rc<dyn EndpointSink>,
     schedule: WatchSchedule,
-    epoch: Instant,
+    /// Origin of the schedule's times.
+    started_at: Instant,
     tasks: HashMap<CallId, AbortOnDrop>,
-    /// The connection of the last answer.
-    spare: Option<Connection>,
-    report: UnboundedSender<CallEnd>,
-    ends: UnboundedReceiver<CallEnd>,
+    /// Connection of the last successful call, for reuse by the next one.
+    reusable_connection: Option<Connection>,
+    finished_sender: UnboundedSender<FinishedCall>,
+    finished_calls: UnboundedReceiver<FinishedCall>,
 }
 
 impl Watch {
-    /// A watch that asks nobody yet.
+    /// A watch that has not sent a call yet.
     pub(crate) fn new(address: SocketAddr, sink: Rc<dyn EndpointSink>, schedule: WatchSchedule) -> Self {
-        let (report, ends) = unbounded_channel();
-        let (epoch, tasks) = (Instant::now(), HashMap::new());
-        Watch { address, sink, schedule, epoch, tasks, spare: None, report, ends }
+        let (finished_sender, finished_calls) = unbounded_channel();
+        Watch {
+            address,
+            sink,
+            schedule,
+            started_at: Instant::now(),
+            tasks: HashMap::new(),
+            reusable_connection: None,
+            finished_sender,
+            finished_calls,
+        }
     }
 
-    /// Keeps it up; returns when it has failed and the balancer is to say when the next begins.
+    /// Runs the watch; returns after a failure if the balancer decides when the next watch starts.
     pub(crate) async fn run(mut self) {
         let mut steps = Vec::new();
-        self.schedule.begin(self.epoch.elapsed(), &mut steps);
+        self.schedule.start(self.started_at.elapsed(), &mut steps);
         self.carry_out(steps, None);
         while let Some(due) = self.schedule.next_due() {
             let mut steps = Vec::new();
-            let answer = tokio::select! {
-                Some(end) = self.ends.recv() => self.on_end(end, &mut steps),
-                () = sleep_until(self.epoch + due) => {
-                    self.schedule.on_timer(self.epoch.elapsed(), &mut steps);
+            let list = tokio::select! {
+                Some(finished) = self.finished_calls.recv() => self.on_finished(finished, &mut steps),
+                () = sleep_until(self.started_at + due) => {
+                    self.schedule.on_timer(self.started_at.elapsed(), &mut steps);
                     None
                 }
             };
-            self.carry_out(steps, answer);
+            self.carry_out(steps, list);
         }
         self.sink.on_watch_failed();
     }
 
-    fn on_end(&mut self, end: CallEnd, steps: &mut Vec<Step>) -> Option<EndpointList> {
-        // What was cancelled while its end was on the way is over.
-        self.tasks.remove(&end.id)?;
+    /// Passes the result of a call to the schedule, and returns the list of a successful one.
+    fn on_finished(&mut self, finished: FinishedCall, steps: &mut Vec<Step>) -> Option<EndpointList> {
+        // A call without a task was cancelled while its result was queued.
+        self.tasks.remove(&finished.id)?;
         let version =
             |list: &EndpointList| ResponseVersion { version: list.version, is_snapshot: list.is_snapshot };
-        let (head, list) = match end.answer {
+        let (result, list) = match finished.response {
             Ok(list) => (Ok(version(&list)), Some(list)),
             Err(error) => (Err(error), None),
         };
         if list.is_some() {
-            self.spare = end.connection;
+            self.reusable_connection = finished.connection;
         }
-        self.schedule.on_response(self.epoch.elapsed(), end.id, head, steps);
+        self.schedule.on_response(self.started_at.elapsed(), finished.id, result, steps);
         list
     }
 
-    /// Does what the schedule says; `answer` is the list of the call that has just ended.
-    fn carry_out(&mut self, steps: Vec<Step>, mut answer: Option<EndpointList>) {
+    /// Carries out the schedule's steps; `list` is the list of the call that has just finished.
+    fn carry_out(&mut self, steps: Vec<Step>, mut list: Option<EndpointList>) {
         for step in steps {
             match step {
                 Step::Call { id, query } => self.call(id, query),
                 Step::Cancel(id) => drop(self.tasks.remove(&id)),
                 Step::Deliver(_) => {
-                    if let Some(list) = answer.take() {
+                    if let Some(list) = list.take() {
                         self.sink.clone().on_endpoints(list);
                     }
                 }
                 Step::WatchSilent { version, elapsed } => self.sink.on_silent_watch(version, elapsed),
-                Step::CallFailed { watch, error } => self.sink.on_call_failed(watch, &error),
+                Step::CallFailed { watch_elapsed, error } => self.sink.on_call_failed(watch_elapsed, &error),
                 Step::Idle => {}
             }
         }
@@ -94,11 +104,12 @@
 
     fn call(&mut self, id: CallId, query: Query) {
         self.sink.on_discovery_call();
-        let (address, report, mut connection) = (self.address, self.report.clone(), self.spare.take());
+        let (address, finished_sender) = (self.address, self.finished_sender.clone());
+        let mut connection = self.reusable_connection.take();
         let task = tokio::task::spawn_local(async move {
-            let answer = call(address, &mut connection, &query.path()).await;
-            // The watch is over if nobody takes it.
-            let _ = report.send(CallEnd { id, answer, connection });
+            let response = call(address, &mut connection, &query.path()).await;
+            // Sending fails only after the watch was dropped; the result is not needed then.
+            let _ = finished_sender.send(FinishedCall { id, response, connection });
         });
         self.tasks.insert(id, AbortOnDrop(task));
     }
--- a/crates/agent/src/driver/endpoints.rs
+++ b/crates/agent/src/driver/endpoints.rs
@@ -326,7 +326,7 @@
 
 impl EndpointSink for Driver {
     fn on_endpoints(self: Rc<Self>, list: EndpointList) {
-        self.discovery_monitor.borrow_mut().on_answer(list.version);
+        self.discovery_monitor.borrow_mut().on_success(list.version);
         if let Some(telemetry) = &self.telemetry {
             telemetry.list_answered(self.clock.now());
         }
@@ -351,9 +351,9 @@
         self.discovery_monitor.borrow_mut().on_call();
     }
 
-    fn on_call_failed(&self, watch: Option<Duration>, error: &CallError) {
+    fn on_call_failed(&self, watch_elapsed: Option<Duration>, error: &CallError) {
         let version = self.state.borrow().endpoints.version;
-        self.discovery_monitor.borrow_mut().on_failure(version, watch, error);
+        self.discovery_monitor.borrow_mut().on_failure(version, watch_elapsed, error);
         if let Some(telemetry) = &self.telemetry {
             telemetry.list_call_failed(error.cause());
         }
--- a/crates/agent/tests/endpoint_list.rs
+++ b/crates/agent/tests/endpoint_list.rs
@@ -20,10 +20,10 @@
     assert_eq!(
         list.rejected_entries,
         [
-            "\"b\": its dial is \"nowhere\"; an address such as \"10.0.0.1:80\" was expected",
-            "\"c\": its health is \"asleep\"; up, draining or removed was expected",
-            "entry 3: has no name",
-            "entry 5: has no health",
+            "\"b\": dial is \"nowhere\"; an address such as \"10.0.0.1:80\" was expected",
+            "\"c\": health is \"asleep\"; up, draining or removed was expected",
+            "entry 3: host name is missing",
+            "entry 5: health is missing",
         ]
     );
 }
--- a/crates/agent/tests/log.rs
+++ b/crates/agent/tests/log.rs
@@ -47,8 +47,8 @@
     let (code, lines) = lines(&["run"], &[], false).await;
     assert_eq!(code, Some(0));
     let told = |text: &str| lines.iter().filter(|l| l.contains(text)).count();
-    assert_eq!(told("\"t\": its dial is \"10.0.0.1\""), 1, "{lines:?}");
-    assert_eq!(told("its health is \"asleep\""), 1, "{lines:?}");
+    assert_eq!(told("\"t\": dial is \"10.0.0.1\""), 1, "{lines:?}");
+    assert_eq!(told(": health is \"asleep\""), 1, "{lines:?}");
     // A line feed in a name starts no new line.
     assert_eq!(told("u\\nv"), 1, "{lines:?}");
     assert_eq!(
--- a/crates/agent/tests/watch_schedule.rs
+++ b/crates/agent/tests/watch_schedule.rs
@@ -275,7 +275,7 @@
 
     fn begin(&mut self) {
         let mut steps = Vec::new();
-        self.schedule.begin(self.now, &mut steps);
+        self.schedule.start(self.now, &mut steps);
         self.carry_out(steps);
     }
 
--- a/crates/agent/tests/watches.rs
+++ b/crates/agent/tests/watches.rs
@@ -175,7 +175,7 @@
         }
         assert!(servers[turn % 2].seen.try_recv().is_err(), "turn {turn}: it was sent something new");
     }
-    assert_eq!(agent.logged("\"odd\": its health is \"asleep\""), 1, "told once");
+    assert_eq!(agent.logged("\"odd\": health is \"asleep\""), 1, "told once");
 }
 
 /// Two servers, an agent that knows both, and a discovery whose every word is the test's.
@@ -235,7 +235,7 @@
     second.tell(&pair.drain());
     let agent = pair.assert_obeyed().await;
     assert!(!silent.is_open() && !first.is_open(), "the others are given up");
-    assert_eq!(agent.logged("the watch of version 1 fell silent"), 1);
+    assert_eq!(agent.logged("no response to the watch of version 1 after"), 1);
 }
 
 #[tokio::test]
@@ -268,9 +268,9 @@
     assert_eq!((beside.wait(), hanging.is_open()), (Duration::ZERO, true), "{}", beside.path);
     beside.tell(&pair.drain());
     let agent = pair.assert_obeyed().await;
-    assert_eq!(agent.logged("the watch of version 1 ended after"), 1);
+    assert_eq!(agent.logged("the watch of version 1 failed after"), 1);
     assert_eq!(agent.logged("calls to discovery fail"), 0, "the watch's end began this run");
-    assert_eq!(agent.logged("discovery answers again, with version 2, after 4 failed calls"), 1);
+    assert_eq!(agent.logged("discovery responds again, with version 2, after 4 failed calls"), 1);
 }
 
 #[tokio::test]
@@ -282,7 +282,7 @@
     assert_eq!((beside.wait(), beside.path.contains("after=1&")), (Duration::ZERO, true), "{}", beside.path);
     beside.tell(&pair.drain());
     let agent = pair.assert_obeyed().await;
-    assert_eq!(agent.logged("the watch of version 1 fell silent"), 1);
+    assert_eq!(agent.logged("no response to the watch of version 1 after"), 1);
 }
 
 #[tokio::test]
