--- a/crates/agent/src/discovery/client.rs
+++ b/crates/agent/src/discovery/client.rs
@@ -24,8 +24,8 @@
     }
 }
 
-/// Sends a GET request for `path` and reads the endpoint list from the response. Uses the connection in `reusable` if it
-/// is open, and stores the connection there for the next call only if this call succeeds.
+/// Sends a GET request for `path` and reads the endpoint list from the response. Uses the connection in `reusable` if
+/// it is open, and stores the connection there for the next call only if this call succeeds.
 pub(crate) async fn call(
     address: SocketAddr,
     reusable: &mut Option<Connection>,
--- a/crates/agent/src/discovery/codec.rs
+++ b/crates/agent/src/discovery/codec.rs
@@ -69,8 +69,8 @@
 /// The number of characters of a received text that an error message quotes.
 const MAX_REPORTED_CHARS: usize = 64;
 
-/// Decodes a list. Malformed entries are reported in [`EndpointList::rejected_entries`]: one of them must not invalidate
-/// the others, and a list of nothing but malformed entries must not look like an empty one.
+/// Decodes a list. Malformed entries are reported in [`EndpointList::rejected_entries`]: one of them must not
+/// invalidate the others, and a list of nothing but malformed entries must not look like an empty one.
 ///
 /// # Errors
 ///
--- a/crates/agent/src/discovery/monitor.rs
+++ b/crates/agent/src/discovery/monitor.rs
@@ -1,5 +1,5 @@
-//! Counters and log lines of the calls to discovery. A run of consecutive failures is logged once when it begins and once
-//! when it ends; a silent watch is logged unless a run of failures is in progress.
+//! Counters and log lines of the calls to discovery. A run of consecutive failures is logged once when it begins and
+//! once when it ends; a silent watch is logged unless a run of failures is in progress.
 
 use super::error::CallError;
 use serde::{Deserialize, Serialize};
--- a/crates/agent/src/discovery/policy.rs
+++ b/crates/agent/src/discovery/policy.rs
@@ -1,8 +1,8 @@
 //! The time limits of calls to discovery.
 //!
-//! By the platform's rules an agent counts as notified of a change [`NOTIFICATION_LIMIT`] after discovery had the change
-//! and was reachable, whichever calls failed or are still open; where lists are pushed, it counts as notified at once.
-//! The latest times at which discovery is called are [`WatchPolicy::silent_watch_call_times`] and
+//! By the platform's rules an agent counts as notified of a change [`NOTIFICATION_LIMIT`] after discovery had the
+//! change and was reachable, whichever calls failed or are still open; where lists are pushed, it counts as notified
+//! at once. The latest times at which discovery is called are [`WatchPolicy::silent_watch_call_times`] and
 //! [`WatchPolicy::outage_call_time`]; both must leave room for the response before that limit.
 
 use bellcroft_balancer::{Discovery, MAX_WATCH_RETRY_DELAY, MIN_WATCH_RETRY_DELAY};
@@ -29,8 +29,8 @@
 /// Maximum number of concurrent calls for an immediate response before a failure is reported.
 pub const MAX_IMMEDIATE_CALLS: u32 = 2;
 
-/// Divisor of the drain grace period that gives the limits for pushed lists. They are short because such a discovery runs
-/// on the same machine, where calls are cheap and get an immediate response.
+/// Divisor of the drain grace period that gives the limits for pushed lists. They are short because such a discovery
+/// runs on the same machine, where calls are cheap and get an immediate response.
 pub const PUSHED_LIMIT_GRACE_DIVISOR: u32 = 4;
 /// Minimum of the limits for pushed lists, for drain grace periods near zero.
 pub const MIN_PUSHED_LIMIT: Duration = Duration::from_millis(15);
@@ -89,16 +89,16 @@
         self.retry_delay.is_some()
     }
 
-    /// Latest times of the first and the second call for an immediate response while a watch is silent, counted from when
-    /// discovery stopped responding.
+    /// Latest times of the first and the second call for an immediate response while a watch is silent, counted from
+    /// when discovery stopped responding.
     pub fn silent_watch_call_times(&self) -> [Duration; 2] {
         let first = self.max_wait + self.silence_timeout;
         [first, first + self.hedge_delay]
     }
 
-    /// Latest time of the next call after an outage, counted from when discovery is reachable again. In the worst case a
-    /// call that gets no response was sent just before. Where lists are pushed, a second call follows after another
-    /// `hedge_delay`.
+    /// Latest time of the next call after an outage, counted from when discovery is reachable again. In the worst
+    /// case a call that gets no response was sent just before. Where lists are pushed, a second call follows after
+    /// another `hedge_delay`.
     pub fn outage_call_time(&self) -> Duration {
         let micros = |duration: bellcroft_balancer::Micros| Duration::from_micros(duration.0);
         match self.retry_delay {
--- a/crates/agent/src/discovery/schedule.rs
+++ b/crates/agent/src/discovery/schedule.rs
@@ -181,7 +181,8 @@
         });
         match response {
             Err(error) => self.on_failure(now, &call, error, steps),
-            // The service has restarted with lower versions: the delta is based on a list that this agent does not have.
+            // The service has restarted with lower versions: the delta is based on a list that this agent does not
+            // have.
             Ok(response)
                 if !response.is_snapshot && self.version.is_some_and(|known| response.version < known) =>
             {
--- a/crates/agent/src/driver/attempts.rs
+++ b/crates/agent/src/driver/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts and health checks: started as the balancer schedules them, and their outcomes queued as events.
+//! Starts the attempts and health checks that the balancer schedules, and queues their outcomes as events.
 
 use super::requests::{FinalResponse, IncomingRequest, RequestBody};
 use super::{duration, Driver, State};
@@ -14,20 +14,20 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Identifies an attempt: a request and the number of its attempt, from 0 on.
+/// Identifies an attempt by its request and its number within the request, counted from 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct AttemptKey {
     pub(super) request: RequestId,
     pub(super) attempt: u32,
 }
 
-/// An attempt that the balancer wants sent.
+/// An attempt that the balancer has scheduled.
 pub(super) struct ScheduledAttempt {
     pub(super) key: AttemptKey,
     pub(super) server: ServerId,
-    /// When the attempt ends.
+    /// Time at which the attempt times out.
     pub(super) timeout_at: Time,
-    /// The latest time for the attempt's first byte.
+    /// Latest time at which the first byte of the attempt may be written.
     pub(super) write_by: Time,
 }
 
@@ -36,11 +36,12 @@
     key: AttemptKey,
     class: ClassId,
     server: ServerId,
-    /// When the server's time began: the last byte of a streaming body, otherwise the start of the attempt.
+    /// Time from which the server's response time is measured: when the last byte of a streaming body was received, for
+    /// other requests the start of the attempt.
     sent_at: Instant,
 }
 
-/// The attempts that have been started and have no outcome.
+/// The attempts in flight: started, and without an outcome.
 #[derive(Default)]
 pub(super) struct AttemptsInFlight {
     progress: HashMap<AttemptKey, Rc<AttemptProgress>>,
@@ -54,14 +55,15 @@
         }
     }
 
-    /// Cancels those of a request's first `attempts` attempts that are not completely written.
+    /// Cancels those of a request's first `attempts` attempts that are not completely written. The others may be
+    /// executed by their servers, so they continue.
     pub(super) fn cancel_unwritten(&self, request: RequestId, attempts: u32) {
         for progress in self.of_request(request, attempts).filter(|progress| !progress.may_have_run()) {
             progress.call_off();
         }
     }
 
-    /// Sets the end of a request's first `attempts` attempts.
+    /// Sets the time at which a request's first `attempts` attempts time out.
     pub(super) fn set_deadline(&self, request: RequestId, attempts: u32, deadline: Instant) {
         for progress in self.of_request(request, attempts) {
             progress.end_by(deadline);
@@ -74,13 +76,13 @@
 }
 
 impl Driver {
-    /// Starts an attempt, unless its request has ended or the guard denies it.
+    /// Starts an attempt, unless its request is no longer pending or the guard denies the attempt.
     pub(super) fn start_attempt(self: &Rc<Self>, state: &mut State, scheduled: ScheduledAttempt) {
         let ScheduledAttempt { key, server, timeout_at, write_by } = scheduled;
         let now = self.clock.now();
         let window = self.guard.borrow().window(write_by, timeout_at);
         let Some(pending) = state.requests.get_mut(key.request) else {
-            // The request ended while decisions were deferred; the event of its end is queued behind this decision.
+            // The request was completed while decisions were deferred, and the balancer has not handled that event yet.
             return state.on_not_sent(key);
         };
         pending.attempts = key.attempt + 1;
@@ -102,7 +104,7 @@
         self.spawn_attempt(attempt, &request, self.attempt_limits(&request, window), progress);
     }
 
-    /// Counts an attempt; the result reports its first byte.
+    /// Counts an attempt in telemetry; the returned value counts its first byte when that is written.
     fn count_attempt(
         &self,
         state: &State,
@@ -152,7 +154,7 @@
         });
     }
 
-    /// An attempt has its outcome. The first response of a server becomes the request's final response.
+    /// Handles the outcome of an attempt. The first response of a server becomes the request's final response.
     fn on_attempt_finished(self: &Rc<Self>, attempt: SentAttempt, result: AttemptResult) {
         let SentAttempt { key, class, server, sent_at } = attempt;
         let outcome = result.outcome;
@@ -200,7 +202,7 @@
 }
 
 impl State {
-    /// An attempt that the balancer scheduled was not sent.
+    /// Queues the outcome of a scheduled attempt that was not sent.
     fn on_not_sent(&mut self, key: AttemptKey) {
         self.queue_outcome(key, Outcome::NotSent, Micros::ZERO, None);
     }
@@ -227,7 +229,8 @@
     Micros(start.elapsed().as_micros() as u64)
 }
 
-/// The request as it is forwarded: unchanged but for its target and length. The upstream adds the time-out header.
+/// Builds the forwarded request: the client's request with the origin form of its target and with its body length. The
+/// upstream adds the timeout header.
 fn outgoing_request(incoming: &IncomingRequest) -> Request<OutgoingBody> {
     let (body, length) = match &incoming.body {
         RequestBody::Complete(bytes) => (OutgoingBody::Complete(bytes.clone()), Some(bytes.len() as u64)),
--- a/crates/agent/src/driver/endpoints.rs
+++ b/crates/agent/src/driver/endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints: the servers of discovery's list by name and id, and the calls to discovery.
+//! The servers of discovery's endpoint list, by name and id, and the results of calls to discovery.
 
 use super::{Driver, State};
 use crate::daemon::status::Servers;
@@ -20,53 +20,55 @@
 use tokio::time::Instant;
 use tracing::{info, warn};
 
-/// The number of rejected entries that are logged, once each: lists may bring new ones without end.
-const MAX_REPORTED_ENTRIES: usize = 200;
+/// Maximum number of distinct rejected entries that are logged, once each. Without it, lists with ever new malformed
+/// entries would fill the log and memory.
+const MAX_LOGGED_REJECTED_ENTRIES: usize = 200;
 
-/// How long a server's name and id are cached after it has left: longer than the balancer remembers the id, so that another
-/// name with the same hash is not taken for the server that left.
+/// Time for which the name and id of a removed server are kept. It is longer than the balancer remembers the id, so
+/// that another name with the same hash is not mistaken for the removed server.
 const SERVER_NAME_RETENTION: Duration = Duration::from_secs(30);
 
-/// The groups of a server that no list has described; no server shares them.
+/// The groups of a server that no list has contained; no other server is in them.
 const UNKNOWN_GROUPS: ServerGroups = ServerGroups { zone: u32::MAX, cell: u32::MAX };
 
-/// When a server last started.
+/// The time at which a server last started.
 #[derive(Debug, Clone, Copy)]
 struct ServerStart {
-    /// Unix time in milliseconds by the platform's clock, as listed.
-    born_ms: f64,
-    /// By this process's clock.
+    /// The listed time: Unix time in milliseconds by the platform's clock.
+    listed_unix_ms: f64,
+    /// The same time by this process's clock.
     local: Time,
 }
 
-/// The servers that discovery has listed.
+/// The servers in the endpoint list, and those that have recently been removed from it.
 pub(super) struct EndpointTable {
     ids: HashMap<String, ServerId>,
     names: HashMap<ServerId, String>,
     starts: HashMap<ServerId, ServerStart>,
     groups: HashMap<ServerId, ServerGroups>,
-    /// Servers that are no longer listed, since when.
-    left: HashMap<ServerId, Instant>,
+    /// Removed servers that are still remembered, with the time of their removal.
+    removed: HashMap<ServerId, Instant>,
     /// Servers that are listed as up.
     up: HashSet<ServerId>,
     skew: ClockSkew,
-    /// From then on an unknown start has just happened; none before the first list.
+    /// Time from which a newly listed start counts as recent; none before the first list.
     recent_from: Option<Time>,
-    /// The version of the list; none after discovery has moved, since each service counts its own versions.
+    /// Version of the cached list; none after a change of discovery's address, since each service counts its own
+    /// versions.
     version: Option<u64>,
-    /// Rejected entries that have been logged.
+    /// Descriptions of rejected entries that have been logged.
     rejected_entries: HashSet<String>,
 }
 
 impl EndpointTable {
-    /// A table without servers. The first list has this version.
+    /// An empty table for a first list of this version.
     pub(super) fn new(version: u64) -> Self {
         EndpointTable {
             ids: HashMap::new(),
             names: HashMap::new(),
             starts: HashMap::new(),
             groups: HashMap::new(),
-            left: HashMap::new(),
+            removed: HashMap::new(),
             up: HashSet::new(),
             skew: ClockSkew::default(),
             recent_from: None,
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Starts that are unknown from `at` on have just happened.
+    /// Sets the time from which newly listed starts count as recent, unless it is already set.
     pub(super) fn set_recent_from(&mut self, at: Time) {
         self.recent_from.get_or_insert(at);
     }
@@ -85,13 +87,13 @@
         self.up.len()
     }
 
-    /// The version that a watch starts from. None while no server is up: a process that is not ready asks for the complete
-    /// list, since a call that gets no answer fails sooner than a watch.
+    /// The version that a watch starts from. None while no server is up: a process that is not ready requests a
+    /// snapshot, since a call without a response times out sooner than a watch.
     pub(super) fn watch_version(&self) -> Option<u64> {
         self.version.filter(|_| !self.up.is_empty())
     }
 
-    /// The groups whose servers recognise the same repeats as this one.
+    /// The groups of servers that recognise the same repeated requests as this server.
     pub(super) fn groups(&self, server: ServerId) -> ServerGroups {
         self.groups.get(&server).copied().unwrap_or(UNKNOWN_GROUPS)
     }
@@ -101,18 +103,18 @@
         self.names.get(&server).map(String::as_str)
     }
 
-    /// The server whose name has this property.
+    /// A server whose name satisfies the predicate.
     pub(super) fn find(&self, matches: impl Fn(&str) -> bool) -> Option<ServerId> {
         self.names.iter().find(|(_, name)| matches(name)).map(|(server, _)| *server)
     }
 
     fn counts(&self) -> Servers {
-        let (all, up, gone) = (self.names.len(), self.up.len(), self.left.len());
-        Servers { up, gone, draining: all.saturating_sub(up + gone) }
+        let (all, up, removed) = (self.names.len(), self.up.len(), self.removed.len());
+        Servers { up, gone: removed, draining: all.saturating_sub(up + removed) }
     }
 
-    /// The id of a server: a hash of its name, the same in every agent. If two names have one hash, the later one gets the
-    /// next free id.
+    /// Returns the id of a server, and assigns one to a new name: a hash of the name, the same in every agent. If two
+    /// names have the same hash, the later one gets the next free id.
     fn intern(&mut self, name: &str) -> ServerId {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -129,43 +131,45 @@
 
     fn log_rejected(&mut self, entries: Vec<String>) {
         for entry in entries {
-            if self.rejected_entries.len() < MAX_REPORTED_ENTRIES && !self.rejected_entries.contains(&entry) {
+            if self.rejected_entries.len() < MAX_LOGGED_REJECTED_ENTRIES
+                && !self.rejected_entries.contains(&entry)
+            {
                 warn!(target: "bellcroft::discovery", %entry, "endpoint list entry rejected");
                 self.rejected_entries.insert(entry);
             }
         }
     }
 
-    /// A list gives the start of a server, for the estimate of the clocks' difference; 0 stands for long ago.
-    fn on_start(&mut self, now: Time, server: ServerId, born_ms: f64) {
-        let is_known = self.starts.get(&server).is_some_and(|start| start.born_ms == born_ms);
-        if born_ms > 0.0 && !is_known {
+    /// Updates the estimate of the clock skew from a listed start of a server; 0 means a start long ago.
+    fn on_start(&mut self, now: Time, server: ServerId, listed_unix_ms: f64) {
+        let is_known = self.starts.get(&server).is_some_and(|start| start.listed_unix_ms == listed_unix_ms);
+        if listed_unix_ms > 0.0 && !is_known {
             let recency = match self.recent_from {
                 Some(from) if now >= from => StartRecency::Recent,
                 Some(_) | None => StartRecency::Unknown,
             };
-            self.skew.on_start(now, Time::from_ms(born_ms), recency);
+            self.skew.on_start(now, Time::from_ms(listed_unix_ms), recency);
         }
     }
 
-    /// The start by this process's clock; none if it was long ago. It stays the same for one start, whatever is learned of
-    /// the clocks later: another time would mean another process.
-    fn local_start(&mut self, server: ServerId, born_ms: f64) -> Option<Time> {
-        if born_ms <= 0.0 {
+    /// The start of a server by this process's clock; none if it was long ago. The result for one listed start does not
+    /// change when the estimate of the clock skew does: a different time would mean that the server has restarted.
+    fn local_start(&mut self, server: ServerId, listed_unix_ms: f64) -> Option<Time> {
+        if listed_unix_ms <= 0.0 {
             self.starts.remove(&server);
             return None;
         }
-        let local = self.skew.local(Time::from_ms(born_ms));
-        let start = self.starts.entry(server).or_insert(ServerStart { born_ms, local });
-        if start.born_ms != born_ms {
-            *start = ServerStart { born_ms, local };
+        let local = self.skew.local(Time::from_ms(listed_unix_ms));
+        let start = self.starts.entry(server).or_insert(ServerStart { listed_unix_ms, local });
+        if start.listed_unix_ms != listed_unix_ms {
+            *start = ServerStart { listed_unix_ms, local };
         }
         Some(start.local)
     }
 
-    /// Takes in one entry of a list, and returns it in the balancer's terms.
-    fn update(&mut self, server: ServerId, host: &EndpointRecord, names: &Names) -> Endpoint {
-        let status = match host.health {
+    /// Applies one entry of a list, and returns it as the balancer's type.
+    fn update(&mut self, server: ServerId, record: &EndpointRecord, names: &Names) -> Endpoint {
+        let status = match record.health {
             Health::Up => Status::Serving,
             Health::Draining => Status::Draining,
             Health::Removed => Status::Gone,
@@ -175,42 +179,42 @@
         } else {
             self.up.remove(&server);
         }
-        let zone = index_or_hash(&names.zones, &host.zone);
-        self.groups.insert(server, ServerGroups { zone, cell: host.dedup_group });
+        let zone = index_or_hash(&names.zones, &record.zone);
+        self.groups.insert(server, ServerGroups { zone, cell: record.dedup_group });
         Endpoint {
             server,
             zone: ZoneId(zone),
-            machine_type: MachineTypeId(index_or_hash(&names.kinds, &host.machine_type)),
-            dedup_group: DedupGroupId(host.dedup_group),
+            machine_type: MachineTypeId(index_or_hash(&names.kinds, &record.machine_type)),
+            dedup_group: DedupGroupId(record.dedup_group),
             status,
-            weight: host.weight,
-            started_at: self.local_start(server, host.started_unix_ms),
+            weight: record.weight,
+            started_at: self.local_start(server, record.started_unix_ms),
         }
     }
 
-    /// Marks servers as left, and forgets those that left [`SERVER_NAME_RETENTION`] ago. `listed` holds the servers of a
-    /// complete list; none for changes. Returns the forgotten servers.
+    /// Records which servers are removed, and forgets those whose removal is [`SERVER_NAME_RETENTION`] ago. `listed`
+    /// holds the servers of a snapshot; none for a delta. Returns the forgotten servers.
     fn expire(&mut self, endpoints: &[Endpoint], listed: Option<&HashSet<ServerId>>) -> Vec<ServerId> {
         let now = Instant::now();
         for endpoint in endpoints {
-            self.left.remove(&endpoint.server);
+            self.removed.remove(&endpoint.server);
         }
         if let Some(listed) = listed {
             for &server in self.names.keys().filter(|server| !listed.contains(server)) {
-                self.left.entry(server).or_insert(now);
+                self.removed.entry(server).or_insert(now);
             }
         }
         let gone = endpoints.iter().filter(|endpoint| endpoint.status == Status::Gone);
-        self.left.extend(gone.map(|endpoint| (endpoint.server, now)));
-        let is_expired = |left_at: &Instant| now.duration_since(*left_at) >= SERVER_NAME_RETENTION;
-        let expired = self.left.iter().filter(|(_, left_at)| is_expired(left_at));
+        self.removed.extend(gone.map(|endpoint| (endpoint.server, now)));
+        let is_expired = |removed_at: &Instant| now.duration_since(*removed_at) >= SERVER_NAME_RETENTION;
+        let expired = self.removed.iter().filter(|(_, removed_at)| is_expired(removed_at));
         let expired: Vec<ServerId> = expired.map(|(server, _)| *server).collect();
         expired.iter().for_each(|server| self.forget(*server));
         expired
     }
 
     fn forget(&mut self, server: ServerId) {
-        self.left.remove(&server);
+        self.removed.remove(&server);
         self.groups.remove(&server);
         self.starts.remove(&server);
         if let Some(name) = self.names.remove(&server) {
@@ -218,7 +222,7 @@
         }
     }
 
-    /// Reports the endpoints of a list to the observer, and with a complete list the servers that have left.
+    /// Reports the endpoints of a list to telemetry, and for a snapshot also the removed servers.
     fn report(
         &self,
         telemetry: &Instance,
@@ -241,7 +245,7 @@
             );
         }
         if let Some(listed) = listed {
-            for server in self.left.keys().filter(|server| !listed.contains(server)) {
+            for server in self.removed.keys().filter(|server| !listed.contains(server)) {
                 telemetry.left(now, server.0);
             }
         }
@@ -249,7 +253,7 @@
 }
 
 impl Driver {
-    /// Whether there is a server to send to.
+    /// Whether at least one server is listed as up.
     pub fn is_ready(&self) -> bool {
         self.state.borrow().endpoints.up_count() > 0
     }
@@ -259,31 +263,31 @@
         self.state.borrow().endpoints.counts()
     }
 
-    /// The calls to discovery since the start.
+    /// Counters of the calls to discovery since the process started.
     pub fn discovery_status(&self) -> DiscoveryStatus {
         self.discovery_monitor.borrow().status(self.state.borrow().endpoints.version)
     }
 
-    /// Discovery has moved: its new address is watched, beginning with the complete list. The cached list stays in use
-    /// until that arrives.
+    /// Sets a new address of discovery and starts a watch there, which first requests a snapshot. The cached list
+    /// stays in use until the snapshot arrives.
     pub fn set_discovery_address(self: &Rc<Self>, address: SocketAddr) {
         self.restart_discovery(&mut self.state.borrow_mut(), address);
     }
 
-    /// Cancels the calls in flight, and watches discovery from its complete list on.
+    /// Cancels the calls in flight and starts a watch that first requests a snapshot.
     pub(super) fn restart_discovery(self: &Rc<Self>, state: &mut State, address: SocketAddr) {
         state.endpoints.version = None;
         state.discovery.set_address(address);
         state.discovery.watch(self.clone(), true, None);
     }
 
-    /// Starts or ends the watch, from the cached version on.
+    /// Starts a watch from the cached version on, or ends the present one.
     pub(super) fn watch_discovery(self: &Rc<Self>, state: &mut State, active: bool) {
         let version = state.endpoints.watch_version();
         state.discovery.watch(self.clone(), active, version);
     }
 
-    /// Takes in a list, and returns it in the balancer's terms.
+    /// Applies a list, and returns its entries as the balancer's type.
     pub(super) fn apply_list(&self, state: &mut State, list: EndpointList) -> Vec<Endpoint> {
         let table = &mut state.endpoints;
         table.version = Some(list.version);
@@ -293,16 +297,17 @@
         if list.is_snapshot {
             table.up.clear();
         }
-        // All starts before the first is converted: each may correct the estimate of the clocks' difference.
-        for host in &list.endpoints {
-            let server = table.intern(&host.name);
-            table.on_start(now, server, host.started_unix_ms);
+        // All starts are evaluated before the first is converted, since each may correct the estimate of the clock
+        // skew.
+        for record in &list.endpoints {
+            let server = table.intern(&record.name);
+            table.on_start(now, server, record.started_unix_ms);
         }
         let mut endpoints = Vec::with_capacity(list.endpoints.len());
-        for host in &list.endpoints {
-            let server = table.intern(&host.name);
-            self.upstream.describe(server, host);
-            endpoints.push(table.update(server, host, &names));
+        for record in &list.endpoints {
+            let server = table.intern(&record.name);
+            self.upstream.describe(server, record);
+            endpoints.push(table.update(server, record, &names));
         }
         let listed: Option<HashSet<ServerId>> =
             list.is_snapshot.then(|| endpoints.iter().map(|endpoint| endpoint.server).collect());
@@ -317,7 +322,7 @@
         endpoints
     }
 
-    /// Queues a list before all other events: requests that wait are decided by it.
+    /// Queues a list before all other events, so that decisions about queued requests use it.
     fn update_endpoints(self: &Rc<Self>, update: EndpointUpdate) {
         self.state.borrow_mut().events.push_front(Event::Endpoints(update));
         self.pump();
@@ -367,8 +372,8 @@
     }
 }
 
-/// The index of a name in the settings. A name that they lack gets a number beyond them, so that no two such names are
-/// taken for one.
+/// The index of a name in the settings. A name that the settings lack gets a hash above all indexes, so that two such
+/// names are not treated as the same.
 fn index_or_hash(names: &[String], name: &str) -> u32 {
     let index = names.iter().position(|known| known == name);
     index.unwrap_or_else(|| names.len() + (fnv1a(name) as u32 >> 1) as usize) as u32
--- a/crates/agent/src/driver/mod.rs
+++ b/crates/agent/src/driver/mod.rs
@@ -1,16 +1,17 @@
-//! The driver of the [`Balancer`], a state machine without I/O: it turns what happens on sockets into events, and carries
-//! out the actions that the balancer returns.
+//! The driver of the [`Balancer`], a state machine without I/O: it passes what happens on sockets to the balancer as
+//! events, and carries out the actions that the balancer returns.
 //!
-//! The driver decides nothing. It runs on one thread and handles one event at a time: the actions of an event are carried
-//! out, in their order, before the next event is handled. An action never calls back into the balancer; whatever it leads
-//! to is queued as an event. While an endpoint list is awaited after a stall, only lists are handled.
+//! The driver itself makes no balancing decisions. It runs on one thread and handles one event at a time: the actions
+//! of an event are carried out, in their order, before the next event is handled. An action never calls back into the
+//! balancer; its consequences are queued as events. After a stall of the process, only endpoint lists are handled
+//! until a new one arrives or the wait for it times out.
 //!
 //! - [`requests`]: requests without a final response.
 //! - [`attempts`]: attempts in flight and health checks.
 //! - [`endpoints`]: the servers of discovery's list.
 //! - [`timers`]: the balancer's timers and the detection of stalls.
 //! - [`reload`]: new settings and routes.
-//! - [`peers`]: advice from other instances.
+//! - [`peers`]: hints and fleet state from other instances.
 
 mod attempts;
 mod endpoints;
@@ -50,14 +51,14 @@
 use tokio::sync::Notify;
 use tracing::info;
 
-/// The time in which discovery answers its first call: changes since the configured list arrive at once with it, and have
-/// just happened only if they are learned later.
-const FIRST_ANSWER_TIME: Micros = Micros(500_000);
+/// Time within which discovery responds to the first call. That response contains all changes since the configured
+/// list was written, so only starts that are listed later count as recent.
+const FIRST_RESPONSE_TIME: Micros = Micros(500_000);
 
-/// The balancer and the state of what it controls.
+/// The balancer, and the state of the requests, attempts and servers that it controls.
 struct State {
     balancer: Balancer,
-    /// Events that are not handled yet, in their order.
+    /// Queued events in the order in which they are handled.
     events: VecDeque<Event>,
     /// The buffer for the actions of one event, reused.
     actions: Vec<Action>,
@@ -68,14 +69,14 @@
     discovery: Discovery,
     routes: Rc<RouteTable>,
     route_ids: BudgetIds,
-    /// The former maximum of attempts, while a reload's transition lasts.
+    /// The previous maximum number of attempts, which still applies for some time after a reload.
     attempt_limit: AttemptLimitTransition,
     /// Recent response times by class.
     response_times: Vec<LatencyWindow>,
 }
 
 impl State {
-    /// The next event; only an endpoint list while decisions are deferred.
+    /// Removes the next event from the queue. While decisions are deferred, this is the next endpoint list.
     fn next_event(&mut self, deferred: bool) -> Option<Event> {
         if !deferred {
             return self.events.pop_front();
@@ -85,41 +86,41 @@
     }
 }
 
-/// Drives the balancer.
+/// Connects the balancer with the sockets, timers and peers of this process.
 pub struct Driver {
     /// The balancer's clock.
     pub clock: Clock,
-    /// The names of the settings; their indexes never change.
+    /// The names in the settings. A reload keeps the index of each name.
     names: RefCell<Rc<Names>>,
     class_registry: RefCell<ClassRegistry>,
     upstream: Rc<Upstream>,
     /// Counts and logs the calls to discovery.
     discovery_monitor: RefCell<Monitor>,
-    /// Counts for remote write, if it is configured.
+    /// Telemetry of this instance, if remote write is configured.
     pub telemetry: Option<Rc<Instance>>,
-    /// Checks what is sent and closed against the limits of requests and of the process.
+    /// Checks sent attempts, responses and closed connections against the limits of requests and of the process.
     pub guard: Rc<RefCell<Guard>>,
     /// Logs the events of each request.
     pub request_log: Rc<RequestLog>,
     state: RefCell<State>,
-    /// How late the task of [`Driver::run`] woke.
+    /// Delays with which the task of [`Driver::run`] woke.
     wake_delays: RefCell<WakeDelays>,
     /// Wakes the task of [`Driver::run`] when the earliest timer or the deferral has changed.
     wake: Notify,
-    /// The other instances, if they are configured.
+    /// The connection to the other instances, if peers are configured.
     peers: RefCell<Option<Rc<Peers>>>,
-    /// The number of instances that share the fleet's quotas as membership counts them; 0 before it does.
+    /// The number of instances that share the fleet's quotas, as counted by membership; 0 before the first count.
     fleet_size: Cell<u32>,
-    /// Set with the peers.
+    /// Detects stalls of this process; none without peers.
     stall_detector: Cell<Option<StallDetector>>,
 }
 
 impl Driver {
-    /// Starts with the endpoint list of the configuration.
+    /// Starts the balancer with the endpoint list of the configuration.
     ///
     /// # Errors
     ///
-    /// The balancer cannot work with the settings.
+    /// The settings are invalid for the balancer.
     pub fn start(
         config: Config,
         connections: usize,
@@ -159,50 +160,50 @@
         Ok(driver)
     }
 
-    /// Takes in the configured list, carries out the balancer's first actions, and watches discovery.
+    /// Applies the configured list, carries out the balancer's first actions, and starts the watch of discovery.
     fn start_endpoints(self: &Rc<Self>, known: EndpointList, actions: Vec<Action>) {
         let state = &mut *self.state.borrow_mut();
         let endpoints = self.apply_list(state, known);
         if !endpoints.is_empty() {
-            state.endpoints.set_recent_from(self.clock.now() + FIRST_ANSWER_TIME);
+            state.endpoints.set_recent_from(self.clock.now() + FIRST_RESPONSE_TIME);
         }
         state.events.push_back(Event::Endpoints(EndpointUpdate::SavedSnapshot(endpoints)));
         for action in actions {
             self.carry_out(state, action);
         }
-        // The balancer expects pushed lists without asking for them; over sockets a watch has to be started.
+        // Where lists are pushed, the balancer never starts a watch; over sockets one is needed to receive the lists.
         if state.discovery.restarts_watches() {
             self.watch_discovery(state, true);
         }
     }
 
-    /// The process shuts down: all requests, pending and new, get their responses by the times of this schedule.
+    /// Begins the shutdown: all pending and new requests get their responses by the times of this schedule.
     pub fn begin_shutdown(&self, schedule: ShutdownSchedule) {
         self.guard.borrow_mut().begin_shutdown(schedule);
         self.request_log.on_shutdown();
     }
 
-    /// The number of listed servers that get no requests at present, or fewer than their weight.
+    /// The number of listed servers that at present get no requests, or fewer than their weight entitles them to.
     pub fn avoided_servers(&self) -> usize {
         self.state.borrow().balancer.avoided_servers(self.clock.now())
     }
 
-    /// The number of attempts that were completely written.
+    /// The number of attempts that were completely written to a server.
     pub fn attempts_sent(&self) -> u64 {
         self.upstream.attempts_sent()
     }
 
-    /// Sets the maximum of open connections to servers.
+    /// Sets the maximum number of open connections to servers.
     pub fn set_max_connections(&self, connections: usize) {
         self.upstream.set_max_connections(connections);
     }
 
-    /// The number of open connections to servers, and their maximum.
+    /// The number of open connections to servers, and the maximum number.
     pub fn connections(&self) -> (usize, usize) {
         self.upstream.connections()
     }
 
-    /// Handles the queued events, and those that their actions queue.
+    /// Handles the queued events and the events that their actions queue.
     fn pump(self: &Rc<Self>) {
         let mut state = self.state.borrow_mut();
         let deferred = self.defers_decisions(&mut state);
@@ -230,7 +231,7 @@
             }
             Action::Shed { request, retry_after } => {
                 if let Some(peers) = &*self.peers.borrow() {
-                    peers.on_request_rejected();
+                    peers.on_request_shed();
                 }
                 self.respond(state, request, FinalResponse::Shed(retry_after), ResponseReason::Rejected);
             }
--- a/crates/agent/src/driver/peers.rs
+++ b/crates/agent/src/driver/peers.rs
@@ -1,4 +1,4 @@
-//! What peers contribute to the balancer's decisions, as advice.
+//! Passes hints and fleet state between the balancer and the peers. Both are advice: the balancer works without them.
 
 use super::Driver;
 use crate::peers::{name_hash, PeerEventHandler, Peers};
@@ -7,13 +7,14 @@
 use tracing::warn;
 
 impl Driver {
-    /// Joins the other instances by way of `peers`, and watches for stalls of this process.
+    /// Connects the balancer to the other instances through `peers`, and starts the detection of stalls of this
+    /// process.
     pub fn set_peers(&self, peers: Rc<Peers>) {
         *self.peers.borrow_mut() = Some(peers);
         self.start_stall_detection();
     }
 
-    /// The other instances; none where they are not configured.
+    /// The connection to the other instances; none if no peers are configured.
     pub fn peers(&self) -> Option<Rc<Peers>> {
         self.peers.borrow().clone()
     }
@@ -46,13 +47,14 @@
         let mut settings = state.balancer.settings().clone();
         settings.balancers = instances;
         if let Err(error) = state.balancer.reconfigure(settings, &[]) {
-            warn!(instances, %error, "cannot apply the number of instances to the quotas");
+            warn!(instances, %error, "cannot update the quotas for the number of instances");
         }
     }
 }
 
 impl Driver {
-    /// Sends a peer the balancer's hint about a server; dropped without peers, or if the server is unknown.
+    /// Sends a peer the balancer's hint about a server. The hint is discarded if there are no peers or the server is
+    /// unknown.
     pub(super) fn send_hint(&self, server_name: Option<&str>, to: Option<PeerId>) {
         if let (Some(peers), Some(to), Some(name)) = (&*self.peers.borrow(), to, server_name) {
             peers.send_hint(to, name);
--- a/crates/agent/src/driver/reload.rs
+++ b/crates/agent/src/driver/reload.rs
@@ -1,4 +1,4 @@
-//! New settings and routes at run time; requests that are pending keep the class and route that they began with.
+//! Reloads settings and routes at run time. Pending requests keep the class and the route that they were accepted with.
 
 use super::{duration, Driver, State};
 use crate::daemon::config::Config;
@@ -11,20 +11,21 @@
 use std::sync::Arc;
 
 impl Driver {
-    /// Applies newer settings.
+    /// Applies new settings.
     ///
     /// # Errors
     ///
-    /// The balancer cannot work with them; nothing has changed then.
-    pub fn reconfigure(self: &Rc<Self>, newer: &Config) -> Result<(), SettingsError> {
-        newer.settings.check()?;
+    /// The settings are invalid for the balancer; nothing has changed then.
+    pub fn reconfigure(self: &Rc<Self>, new_config: &Config) -> Result<(), SettingsError> {
+        new_config.settings.check()?;
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
         let former = state.balancer.settings().clone();
-        let (mut settings, names) = self.merge_settings(&former, newer);
+        let (mut settings, names) = self.merge_settings(&former, new_config);
         let mut registry = self.class_registry.borrow_mut();
         let is_free = |index: usize| !state.balancer.references_class(ClassId(index));
-        let changed = registry.reconfigure(now, &newer.names.classes, &newer.settings.classes, is_free);
+        let changed =
+            registry.reconfigure(now, &new_config.names.classes, &new_config.settings.classes, is_free);
         settings.classes = registry.classes();
         if settings.max_attempts != former.max_attempts {
             state.attempt_limit.on_limit_changed(former.max_attempts, now);
@@ -36,44 +37,44 @@
             state.response_times[*index] = LatencyWindow::default();
         }
         self.upstream.reconfigure(
-            duration(newer.names.connect_timeout),
-            duration(newer.names.keepalive),
-            newer.names.report_fields.clone(),
+            duration(new_config.names.connect_timeout),
+            duration(new_config.names.keepalive),
+            new_config.names.report_fields.clone(),
         );
         *self.names.borrow_mut() = Rc::new(names);
         Ok(())
     }
 
-    /// The newer settings and names, in which each tenant, zone and machine type keeps its former index.
-    fn merge_settings(&self, former: &Settings, newer: &Config) -> (Settings, Names) {
-        let old = self.names();
-        let mut settings = newer.settings.clone();
-        let (tenants, indexes) = merge_names(&old.tenants, &newer.names.tenants);
+    /// The new settings and names, in which each tenant, zone and machine type keeps its former index.
+    fn merge_settings(&self, former: &Settings, new_config: &Config) -> (Settings, Names) {
+        let former_names = self.names();
+        let mut settings = new_config.settings.clone();
+        let (tenants, indexes) = merge_names(&former_names.tenants, &new_config.names.tenants);
         settings.tenants = former.tenants.clone();
         settings.tenants.resize(tenants.len(), Tenant::default());
-        for (index, tenant) in indexes.iter().zip(&newer.settings.tenants) {
+        for (index, tenant) in indexes.iter().zip(&new_config.settings.tenants) {
             settings.tenants[*index] = tenant.clone();
         }
-        let (zones, indexes) = merge_names(&old.zones, &newer.names.zones);
+        let (zones, indexes) = merge_names(&former_names.zones, &new_config.names.zones);
         if let Some(index) = indexes.get(settings.zone.0 as usize) {
             settings.zone = ZoneId(*index as u32);
         }
         settings.balancers = settings.balancers.max(self.fleet_size.get());
-        let (kinds, _) = merge_names(&old.kinds, &newer.names.kinds);
-        (settings, Names { tenants, zones, kinds, ..newer.names.clone() })
+        let (kinds, _) = merge_names(&former_names.kinds, &new_config.names.kinds);
+        (settings, Names { tenants, zones, kinds, ..new_config.names.clone() })
     }
 
-    /// Applies the watch policy of the present settings, with a new watch if discovery now restarts it by itself or no
-    /// longer does.
+    /// Applies the watch policy of the present settings. Starts a new watch if the policy changes whether watches
+    /// restart by themselves.
     fn reconfigure_discovery(self: &Rc<Self>, state: &mut State) {
-        let former = state.discovery.restarts_watches();
+        let restarted_watches = state.discovery.restarts_watches();
         state.discovery.reconfigure(watch_policy(state.balancer.settings()));
-        if former != state.discovery.restarts_watches() {
+        if restarted_watches != state.discovery.restarts_watches() {
             self.watch_discovery(state, true);
         }
     }
 
-    /// Applies the routes of a checked configuration to requests that arrive from now on.
+    /// Applies the routes of a validated configuration to requests that arrive from now on.
     pub fn set_routes(&self, config: &Config) {
         let mut state = self.state.borrow_mut();
         let table = RouteTable::unchecked(&config.routes, &mut state.route_ids);
@@ -88,16 +89,16 @@
         routes.lookup(self.class_registry.borrow().name(class.0), tenant, path).cloned()
     }
 
-    /// The names of the settings.
+    /// The names of classes, tenants, zones and machine types in the settings.
     pub fn names(&self) -> Rc<Names> {
         self.names.borrow().clone()
     }
 
-    /// The class whose rules apply to a request of this class name and signature.
+    /// The class whose settings apply to a request with this class name and signature.
     ///
     /// # Errors
     ///
-    /// There is no class of this name, or none that fits the signature.
+    /// There is no class with this name, or none with it that matches the signature.
     pub fn class(&self, name: &str, signature: ClassSignature) -> Result<ClassId, IncompatibleClass> {
         self.class_registry.borrow().find(self.clock.now(), name, signature).map(ClassId)
     }
@@ -108,7 +109,7 @@
     }
 }
 
-/// How these settings have discovery watched.
+/// The policy for calls to discovery under these settings.
 pub(super) fn watch_policy(settings: &Settings) -> WatchPolicy {
     WatchPolicy::new(settings.discovery, duration(settings.drain_grace_period))
 }
--- a/crates/agent/src/driver/requests.rs
+++ b/crates/agent/src/driver/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: accepted from downstream, handed to the balancer, and each given one final response.
+//! Client requests: each is accepted from downstream, passed to the balancer, and gets exactly one final response.
 
 use super::{duration, Driver, State};
 use crate::request_log::ResponseReason;
@@ -20,7 +20,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// The longest time in which a streaming request body may arrive; progress time-outs apply as well.
+/// Maximum time for receiving a streaming request body. Progress timeouts apply as well.
 pub const MAX_UPLOAD_TIME: Duration = Duration::from_secs(900);
 
 /// The body of a request.
@@ -51,7 +51,7 @@
     pub headers: HeaderMap,
     /// The body.
     pub body: RequestBody,
-    /// The class whose rules apply.
+    /// The class whose settings apply.
     pub class: ClassId,
     /// The tenant, if the request names one.
     pub tenant: Option<TenantId>,
@@ -61,22 +61,22 @@
     pub cost_hint: Option<Micros>,
     /// Whether the client marks the request as a retry of its own.
     pub is_retry: bool,
-    /// When the response is due; for a streaming body, when its last byte is due.
+    /// Time by which the response is due; for a streaming body, time by which its last byte is due.
     pub deadline: Instant,
-    /// How long the response may take from the last byte of the request.
+    /// Maximum time from the last byte of the request to the response.
     pub response_timeout: Duration,
-    /// When the request was complete, or the buffered part of a streaming one.
+    /// Time at which the request was complete; for a streaming body, time at which its buffered part was.
     pub received_at: Instant,
-    /// When the client stops waiting.
+    /// Time at which the client stops waiting for the response.
     pub client_deadline: Instant,
-    /// The `X-Request-ID` header.
+    /// The value of the `X-Request-ID` header.
     pub request_id: Rc<str>,
     /// The route that matched when the request arrived; a reload does not change it.
     pub route: Option<Arc<Route>>,
 }
 
 impl IncomingRequest {
-    /// The route's name, as a label.
+    /// The name of the route as a metric label.
     pub(super) fn route_name(&self) -> &str {
         self.route.as_ref().map_or(NO_ROUTE, |route| &route.name)
     }
@@ -86,7 +86,7 @@
 pub enum FinalResponse {
     /// A server's response: its content type and its body.
     Served(Option<HeaderValue>, Content),
-    /// Load was shed; nothing was executed. The client may retry after the given time.
+    /// The request was shed and has not been executed. Holds the time after which the client may retry.
     Shed(Option<Micros>),
     /// The request failed, and may have been executed.
     Failed(StatusCode),
@@ -99,14 +99,14 @@
     pub id: RequestId,
     /// Receives the final response.
     pub response: oneshot::Receiver<FinalResponse>,
-    /// Measures the request until its response is written; none without telemetry.
+    /// Telemetry of the request until its response is written; none without remote write.
     pub timer: Option<PendingTimer>,
 }
 
-/// A request without a final response.
+/// A pending request: one without a final response.
 pub(super) struct PendingRequest {
     pub(super) request: Rc<IncomingRequest>,
-    /// The number of attempts that the balancer has scheduled.
+    /// The number of attempts that have been scheduled so far.
     pub(super) attempts: u32,
     pub(super) history: AttemptHistory,
     /// Whether the attempt that finished last timed out.
@@ -115,7 +115,8 @@
 }
 
 impl PendingRequest {
-    /// Whether a part of a streaming body has been forwarded, so that no further attempt can send it.
+    /// Whether a part of a streaming body has been forwarded and is no longer buffered, so that no further attempt
+    /// can send the body.
     fn is_partly_sent(&self) -> bool {
         self.request.body.upload().is_some_and(|upload| upload.is_partly_sent())
     }
@@ -154,7 +155,7 @@
 }
 
 impl Driver {
-    /// Hands a request to the balancer.
+    /// Passes a request to the balancer.
     pub fn submit(self: &Rc<Self>, incoming: IncomingRequest) -> SubmittedRequest {
         let (sender, response) = oneshot::channel();
         let (id, timer) = self.accept(incoming, sender);
@@ -170,7 +171,7 @@
         let mut state = self.state.borrow_mut();
         let id = state.requests.allocate_id();
         let now = self.clock.now();
-        let time_left = self.answer_by(incoming.deadline).since(now);
+        let time_left = self.response_due_at(incoming.deadline).since(now);
         self.request_log.on_request(&incoming.request_id, incoming.class, duration(time_left));
         let request = state.balancer_request(id, &incoming, time_left, now);
         let timer = self.start_pending_timer(id, &incoming);
@@ -184,7 +185,7 @@
         };
         state.requests.pending.insert(id, pending);
         if self.guard.borrow().must_answer_all(now) {
-            // No attempt of it has been sent, so the rejection is safe to retry.
+            // No attempt of the request has been sent, so the client can safely retry it.
             self.respond(&mut state, id, FinalResponse::Shed(None), ResponseReason::Shutdown);
         } else {
             state.events.push_back(Event::Request(request));
@@ -203,21 +204,21 @@
         Some(PendingTimer::new(telemetry, self.clock, id, incoming.class.0, incoming.received_at))
     }
 
-    /// The last byte of a streaming request body has been received; the response is due by `deadline`.
+    /// Handles the last byte of a streaming request body; the response is due by `deadline`.
     pub fn on_body_complete(self: &Rc<Self>, id: RequestId, deadline: Instant) {
         {
             let mut state = self.state.borrow_mut();
             let Some(attempts) = state.requests.get_mut(id).map(|pending| pending.attempts) else { return };
-            let answer_by = self.answer_by(deadline);
-            state.attempts.set_deadline(id, attempts, self.clock.instant(answer_by));
-            let time_left = answer_by.since(self.clock.now());
+            let due_at = self.response_due_at(deadline);
+            state.attempts.set_deadline(id, attempts, self.clock.instant(due_at));
+            let time_left = due_at.since(self.clock.now());
             state.events.push_back(Event::BodyComplete { request: id, time_left });
         }
         self.pump();
     }
 
-    /// The client has disconnected, or its deadline has passed. Attempts that are completely written go on and their
-    /// outcomes still count; nothing more of the others is written. Does nothing after the final response.
+    /// Handles a client that has disconnected or whose deadline has passed. Completely written attempts continue and
+    /// their outcomes still count; the others are cancelled. Does nothing after the final response.
     pub fn on_client_disconnected(self: &Rc<Self>, id: RequestId) {
         {
             let mut state = self.state.borrow_mut();
@@ -229,7 +230,7 @@
         self.pump();
     }
 
-    /// Fails every pending request: the process ends before their deadlines.
+    /// Fails all pending requests with 504, since the process exits before their deadlines.
     pub fn fail_pending_requests(self: &Rc<Self>) {
         {
             let mut state = self.state.borrow_mut();
@@ -243,23 +244,25 @@
         self.pump();
     }
 
-    /// The number of requests without a final response.
+    /// The number of pending requests.
     pub fn pending_requests(&self) -> usize {
         self.state.borrow().requests.pending.len()
     }
 
-    /// The ids of the requests without a final response.
+    /// The `X-Request-ID` values of the pending requests.
     pub fn pending_request_ids(&self) -> Vec<Rc<str>> {
         let state = self.state.borrow();
         state.requests.pending.values().map(|pending| pending.request.request_id.clone()).collect()
     }
 
-    /// When the response to a request with this deadline is due: no later than the process's shutdown allows.
-    fn answer_by(&self, deadline: Instant) -> Time {
+    /// The time at which the response to a request with this deadline is due. A shutdown of the process may make it
+    /// earlier.
+    fn response_due_at(&self, deadline: Instant) -> Time {
         self.guard.borrow().answer_by(self.clock.at(deadline))
     }
 
-    /// The balancer gives a request up.
+    /// Responds to a request for which the balancer schedules no further attempt: with 504 if its latest outcome is a
+    /// timeout, otherwise with 502.
     pub(super) fn fail(&self, state: &mut State, request: RequestId) {
         let status = match state.requests.last_timed_out(request) {
             true => StatusCode::GATEWAY_TIMEOUT,
@@ -268,7 +271,8 @@
         self.respond(state, request, FinalResponse::Failed(status), ResponseReason::Failed);
     }
 
-    /// Gives a request its final response, and stops the writing of its attempts. Does nothing if it has one.
+    /// Gives a request its final response and cancels its attempts that are not completely written. Does nothing if the
+    /// request already has one.
     pub(super) fn respond(
         &self,
         state: &mut State,
@@ -279,13 +283,13 @@
         let Some(pending) = state.requests.pending.remove(&id) else { return };
         self.request_log.on_response(&pending.request.request_id, reason);
         state.attempts.cancel_unwritten(id, pending.attempts);
-        // The receiver is gone if the client disconnected at this moment.
+        // The receiver has been dropped if the client has just disconnected.
         let _ = pending.response.send(response);
     }
 }
 
 impl State {
-    /// The request in the balancer's terms.
+    /// Converts a request to the balancer's type.
     fn balancer_request(
         &self,
         id: RequestId,
@@ -305,7 +309,7 @@
         }
     }
 
-    /// The limits of a route, with the former maximum of attempts while a reload's transition lasts.
+    /// The limits of a route. For some time after a reload, the previous maximum number of attempts applies too.
     fn limits(&self, route: Option<&Route>, now: Time) -> Option<Arc<Limits>> {
         let limits = route.map(|route| route.limits.clone());
         let Some(max_attempts) = self.attempt_limit.max_attempts(now) else { return limits };
@@ -314,7 +318,7 @@
         Some(Arc::new(Limits { max_attempts, ..limits }))
     }
 
-    /// The time after which a hedged request is sent. None for a streaming body, which only one attempt can read.
+    /// The delay before a hedged request is sent. None for a streaming body, which only one attempt can read.
     fn hedge_delay(&self, incoming: &IncomingRequest) -> Option<Micros> {
         let route = incoming.route.as_ref().filter(|_| incoming.body.upload().is_none())?;
         match route.hedge {
@@ -326,7 +330,7 @@
         }
     }
 
-    /// Whether requests of a class may be executed more than once; at most once for a class without settings.
+    /// The retry safety of a class; requests of a class without settings may be executed at most once.
     fn retry_safety(&self, class: ClassId) -> RetrySafety {
         let class = self.balancer.settings().classes.get(class.0);
         class.map_or(RetrySafety::AtMostOnce, |class| class.retry_safety)
--- a/crates/agent/src/driver/timers.rs
+++ b/crates/agent/src/driver/timers.rs
@@ -1,4 +1,4 @@
-//! Time: the balancer's timers, the sweep of idle connections, and the deferral of decisions after a stall.
+//! The balancer's timers, the periodic closing of idle connections, and the deferral of decisions after a stall.
 
 use super::{duration, Driver, State};
 use bellcroft_agent_core::stall::{StallDetector, LIST_TIMEOUT};
@@ -10,36 +10,37 @@
 use tokio::time::Instant;
 use tracing::warn;
 
-/// The interval between two sweeps of idle connections to servers; they expire after whole seconds.
+/// Interval between two sweeps of idle connections to servers. They expire after whole seconds, so a shorter
+/// interval is not needed.
 const IDLE_SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The processor time that this thread has used.
-fn processor_time() -> Micros {
+/// The CPU time that this thread has used.
+fn thread_cpu_time() -> Micros {
     let used = rustix::time::clock_gettime(rustix::time::ClockId::ThreadCPUTime);
     Micros(used.tv_sec as u64 * 1_000_000 + used.tv_nsec as u64 / 1_000)
 }
 
-/// The balancer's timers, the earliest first. Timers of one time fire in the order of their ids.
+/// The balancer's timers, ordered by time and then by id.
 #[derive(Default)]
 pub(super) struct TimerQueue {
     timers: BinaryHeap<Reverse<(Time, u64)>>,
 }
 
 impl TimerQueue {
-    /// Adds a timer; whether it is the earliest.
-    #[must_use = "the driver's task sleeps until the earliest timer it knows"]
+    /// Adds a timer; returns whether it is now the earliest one.
+    #[must_use = "the driver's task must be woken when the earliest timer changes"]
     pub(super) fn set(&mut self, at: Time, timer: TimerId) -> bool {
         let is_earliest = self.next_due().is_none_or(|next| at < next);
         self.timers.push(Reverse((at, timer.0)));
         is_earliest
     }
 
-    /// When the earliest timer is due.
+    /// The time of the earliest timer.
     fn next_due(&self) -> Option<Time> {
         self.timers.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Removes the earliest timer, if it is due.
+    /// Removes and returns the earliest timer, if it is due.
     fn pop_due(&mut self, now: Time) -> Option<TimerId> {
         self.next_due().filter(|at| *at <= now)?;
         self.timers.pop().map(|Reverse((_, timer))| TimerId(timer))
@@ -47,17 +48,17 @@
 }
 
 impl Driver {
-    /// Fires the balancer's timers and closes expired idle connections; never returns.
+    /// Fires the balancer's timers and closes expired idle connections. Never returns.
     pub async fn run(self: Rc<Self>) {
         let mut next_sweep = Instant::now() + IDLE_SWEEP_INTERVAL;
         loop {
             let due = self.next_wake(next_sweep);
-            self.wake_delays.borrow_mut().on_sleep(self.clock.now(), self.clock.at(due), processor_time);
+            self.wake_delays.borrow_mut().on_sleep(self.clock.now(), self.clock.at(due), thread_cpu_time);
             tokio::select! {
                 () = tokio::time::sleep_until(due) => {}
                 () = self.wake.notified() => {}
             }
-            self.wake_delays.borrow_mut().on_wake(self.clock.now(), processor_time);
+            self.wake_delays.borrow_mut().on_wake(self.clock.now(), thread_cpu_time);
             self.queue_due_timers();
             self.pump();
             if Instant::now() >= next_sweep {
@@ -67,25 +68,26 @@
         }
     }
 
-    /// How long the pause of this process lasted that ended just now; zero if there was none.
+    /// The length of the pause of this process that has just ended; zero if there was none.
     pub fn latest_pause(&self) -> Micros {
-        self.wake_delays.borrow().latest_pause(self.clock.now(), processor_time)
+        self.wake_delays.borrow().latest_pause(self.clock.now(), thread_cpu_time)
     }
 
-    /// Checks a response against its client's deadline, and logs one that is late.
+    /// Checks whether a response is later than its client's deadline permits, and logs it if so.
     pub fn on_response_decided(&self, request_id: &str, connection: u64, client_deadline: Instant) {
         let (now, deadline) = (self.clock.now(), self.clock.at(client_deadline));
         if now <= deadline {
             return;
         }
-        let paused = self.wake_delays.borrow().paused_since(deadline, now, processor_time);
+        let paused = self.wake_delays.borrow().paused_since(deadline, now, thread_cpu_time);
         if let Err(late) = self.guard.borrow_mut().on_answer(now, deadline, paused) {
             self.request_log.on_late_answer(request_id, connection, late);
         }
     }
 
-    /// The end of the deferral while decisions are deferred, since timers cannot be handled before; otherwise the earliest
-    /// timer. The sweep at the latest.
+    /// The next time at which the driver's task has to wake, at the latest for the next sweep. While decisions are
+    /// deferred it is the end of the deferral, since timers are not handled before; otherwise it is the time of the
+    /// earliest timer.
     fn next_wake(&self, next_sweep: Instant) -> Instant {
         let next_timer = self.state.borrow().timers.next_due();
         let deferred_until =
@@ -102,15 +104,16 @@
         }
     }
 
-    /// Detects a stall of this process, and says whether decisions are deferred until a new endpoint list. Called before
-    /// any event is handled: after a stall the kernel may deliver a buffered request before a timer fires.
+    /// Detects a stall of this process, and returns whether decisions are deferred until a new endpoint list arrives.
+    /// Called before any event is handled: after a stall the kernel may deliver a buffered request before a timer
+    /// fires.
     pub(super) fn defers_decisions(self: &Rc<Self>, state: &mut State) -> bool {
         let Some(mut detector) = self.stall_detector.get() else { return false };
         let now = self.clock.now();
         if detector.heartbeat(now) {
             let max_wait = duration(LIST_TIMEOUT);
             warn!(?max_wait, "process stood still: decisions deferred until a new endpoint list");
-            // Calls in flight are cancelled: their answers may be as old as the cached list.
+            // Calls in flight are cancelled, since their responses may be as old as the cached list.
             let address = state.discovery.address();
             self.restart_discovery(state, address);
             self.wake.notify_one();
@@ -119,7 +122,7 @@
         detector.deferred_until(now).is_some()
     }
 
-    /// A list has arrived: decisions are no longer deferred.
+    /// Ends the deferral of decisions, as an endpoint list has arrived.
     pub(super) fn end_deferral(&self) {
         if let Some(mut detector) = self.stall_detector.get() {
             detector.on_endpoint_list();
@@ -131,7 +134,7 @@
         self.stall_detector.set(Some(StallDetector::new(self.clock.now())));
     }
 
-    /// The number of stalls of this process; 0 where peers are not configured, since nothing is detected there.
+    /// The number of stalls of this process; always 0 without configured peers, where stalls are not detected.
     pub fn stalls(&self) -> u64 {
         self.stall_detector.get().map_or(0, |detector| detector.stalls())
     }
--- a/crates/agent/src/peers/mod.rs
+++ b/crates/agent/src/peers/mod.rs
@@ -219,13 +219,13 @@
         });
     }
 
-    /// Records a request that this instance received.
+    /// Records a received request in the digest.
     pub fn on_request_received(&self) {
         self.record(Digest::record_request);
     }
 
-    /// Records that one of those was rejected.
-    pub fn on_request_rejected(&self) {
+    /// Records in the digest that a received request was shed.
+    pub fn on_request_shed(&self) {
         self.record(Digest::record_rejection);
     }
 
