--- a/crates/agent/src/peers/change_log.rs
+++ b/crates/agent/src/peers/change_log.rs
@@ -1,11 +1,11 @@
-//! Log lines of membership: one for each [`Change`], with target `bellcroft::membership`.
+//! Logs membership changes: one line for each [`Change`], with the target `bellcroft::membership`.
 
 use super::status::quorum_reason;
 use bellcroft_membership::Change;
 use tracing::{info, warn};
 
 /// Logs a change; `instance` is this instance's name.
-pub(super) fn write(instance: &str, change: &Change) {
+pub(super) fn log_change(instance: &str, change: &Change) {
     match change {
         Change::Member { id, from, to, reported_by, restarted } => info!(
             target: "bellcroft::membership",
--- a/crates/agent/src/peers/mod.rs
+++ b/crates/agent/src/peers/mod.rs
@@ -1,6 +1,6 @@
 //! Group membership over UDP: runs the [`bellcroft_membership`] state machine on a socket and a clock.
 //!
-//! No request waits for a peer: a datagram that the kernel does not accept at once is dropped and counted.
+//! No request waits for a peer: a datagram that the kernel does not accept immediately is discarded and counted.
 
 mod change_log;
 mod hints;
@@ -18,48 +18,49 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::sleep_until;
 
-/// Bytes of the receive buffer. Longer than any valid datagram: a truncated one is still rejected for its length.
+/// Size of the receive buffer. It exceeds the longest valid datagram, so that a datagram that is truncated to it is
+/// still rejected for its length.
 const RECEIVE_BUFFER_BYTES: usize = 512;
-/// Pause after a failed receive, so that a persistent failure does not spin.
+/// Delay after a failed receive, which prevents a busy loop on a persistent error.
 const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 pub use hints::name_hash;
 
-/// Receives what other members contribute to this instance's decisions. All of it is advice.
+/// Receives hints and fleet state from other members. Both are advice for this instance's decisions.
 pub trait PeerEventHandler {
-    /// The number of servers that the list calls up: bounds how many may count as reported.
+    /// The number of servers that are listed as up. It limits how many servers may count as reported.
     fn listed_servers(&self) -> usize;
-    /// A peer reports the server with this [`name_hash`]; `unconfirmed` if no other peer does.
+    /// Called when a peer reports the server with this [`name_hash`]; `unconfirmed` if no other peer has reported it.
     fn on_hint(self: Rc<Self>, from: PeerId, server: u64, unconfirmed: bool);
-    /// The state of the fleet's servers has changed.
+    /// Called with the new state when the state of the fleet's servers has changed.
     fn on_fleet_state(self: Rc<Self>, state: FleetState);
-    /// Limits of the whole fleet are to be shared by this number of instances.
+    /// Called when the number of instances that share the limits of the fleet has changed.
     fn on_fleet_size(&self, instances: u32);
 }
 
-/// Counters besides those of the protocol.
+/// Counters of sent datagrams and of hints, in addition to the counters of the protocol.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct PeerCounters {
     /// Datagrams that the kernel did not accept.
     pub unsent_datagrams: u64,
-    /// Hints sent.
+    /// Hints that were sent.
     pub hints_sent: u64,
-    /// Hints dropped, as their receiver was not reachable.
+    /// Hints that were discarded because the receiver was not reachable.
     pub hints_undelivered: u64,
-    /// Received hints, by [`ReportVerdict`].
+    /// Received hints, indexed by [`ReportVerdict`].
     pub hint_verdicts: [u64; 4],
 }
 
-/// What [`Peers::start`] needs to know.
+/// Configuration for [`Peers::start`].
 #[derive(Debug)]
 pub struct PeersConfig {
     /// The instance's name, for log lines.
     pub instance: String,
-    /// The address to bind.
+    /// The address to which the socket is bound.
     pub listen: SocketAddr,
     /// The protocol's configuration.
     pub membership: Config,
-    /// The seed of the protocol's random draws.
+    /// The seed of the protocol's random number generator.
     pub seed: u64,
 }
 
@@ -73,9 +74,9 @@
     clock: Clock,
     handler: Weak<dyn PeerEventHandler>,
     counters: Cell<PeerCounters>,
-    /// The effective size that the handler got last.
+    /// The last effective size that was passed to the handler.
     effective_size: Cell<u32>,
-    /// Wakes the task when a deadline may have come closer from outside of it.
+    /// Wakes the task when a call from elsewhere may have moved the next deadline forward.
     deadline_changed: tokio::sync::Notify,
 }
 
@@ -140,8 +141,8 @@
         }
     }
 
-    /// Runs one step of the protocol, then carries out its outputs. The membership is not borrowed meanwhile, as the handler
-    /// may answer a hint by sending one.
+    /// Runs one step of the protocol, then carries out its outputs. The membership is not borrowed during the second
+    /// part, since the handler may send a hint in response to one.
     fn process(&self, step: impl FnOnce(&mut Membership, Time, &mut Vec<Output>)) {
         let mut outputs = Vec::new();
         let now = self.clock.now();
@@ -149,7 +150,7 @@
         for output in outputs {
             match output {
                 Output::Send(to, bytes) => self.send(to, &bytes),
-                Output::Change(change) => change_log::write(&self.instance, &change),
+                Output::Change(change) => change_log::log_change(&self.instance, &change),
                 Output::Hint(from, payload) => self.on_hint(from, &payload),
                 Output::Fleet(state) => {
                     if let Some(handler) = self.handler.upgrade() {
@@ -166,8 +167,8 @@
         }
     }
 
-    /// Passes a changed effective size to the handler. Not called from within a decision, which has its state borrowed: from
-    /// there only [`Peers::process`] runs.
+    /// Passes a changed effective size to the handler. Must not be called while the driver handles an event, since the
+    /// driver's state is borrowed then; hints that the driver sends in that time use only [`Peers::process`].
     fn update_effective_size(&self) {
         let size = self.membership.borrow().effective_size(self.clock.now());
         if self.effective_size.replace(size) != size {
@@ -185,7 +186,7 @@
 
     fn on_hint(&self, from: Id, payload: &[u8]) {
         let Some(handler) = self.handler.upgrade() else { return };
-        // Another encoding, perhaps of a newer version: ignored.
+        // A payload of another length is ignored: it may come from a newer version.
         let Some(server) = hints::decode(payload) else { return };
         let listed = handler.listed_servers();
         let verdict = self.reports.borrow_mut().on_report(self.clock.now(), from, payload, listed);
@@ -195,7 +196,7 @@
         }
     }
 
-    /// Sends a hint about the server of this name to a peer's decisions, if the peer is reachable.
+    /// Sends a peer a hint about the server with this name, if the peer is reachable.
     pub fn send_hint(&self, to: PeerId, name: &str) {
         let payload = hints::encode(name_hash(name));
         let mut sent = false;
@@ -206,9 +207,9 @@
         });
     }
 
-    /// Records the signals of this instance's decisions in the digest.
+    /// Records the signals of this instance's balancer in the digest.
     pub fn record_responses(&self, signals: impl ExactSizeIterator<Item = Signal>) {
-        // Most events have none.
+        // Most events have no signals.
         if signals.len() == 0 {
             return;
         }
@@ -232,7 +233,7 @@
     fn record(&self, record: impl FnOnce(&mut Digest, Time, u8)) {
         let mut membership = self.membership.borrow_mut();
         let (now, site) = (self.clock.now(), membership.config().site);
-        // An empty digest has no exchange deadline, so the task has to learn of the first record.
+        // An empty digest has no exchange deadline, so the task has to be woken for the first record.
         let was_empty = membership.digest().is_empty();
         record(membership.digest(), now, site);
         if was_empty && !membership.digest().is_empty() {
@@ -252,19 +253,19 @@
         self.process(Membership::leave);
     }
 
-    /// The counters of the protocol, and those of this module.
+    /// The counters of the protocol and of this module.
     pub fn stats(&self) -> (Stats, PeerCounters) {
         (self.membership.borrow().stats(), self.counters.get())
     }
 
-    /// The number of other members in each [`bellcroft_membership::State`].
+    /// The number of other members by [`bellcroft_membership::State`].
     pub fn states(&self) -> [usize; 5] {
         let mut states = [0; 5];
         self.membership.borrow().members().for_each(|member| states[member.state as usize] += 1);
         states
     }
 
-    /// The status for operators.
+    /// The membership part of `status.json`.
     pub fn status(&self) -> MembershipStatus {
         let listen = self.address().map(|address| address.to_string()).unwrap_or_default();
         MembershipStatus::new(&self.membership.borrow(), self.clock.now(), listen)
--- a/crates/agent/src/peers/status.rs
+++ b/crates/agent/src/peers/status.rs
@@ -1,5 +1,5 @@
-//! The membership part of `status.json` and of the control socket's replies. The serialized names are external:
-//! they stay, and the fields have the names of the protocol.
+//! The membership part of `status.json` and of the control socket's replies. The serialized names are an external
+//! interface and must not change; the fields are named after the protocol's terms.
 
 use bellcroft_balancer::{FleetState, Time};
 use bellcroft_membership::{Member, Membership, QuorumState, Role};
@@ -8,36 +8,36 @@
 /// An instance's quorum state and its view of the other members.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MembershipStatus {
-    /// The cluster.
+    /// The name of the cluster.
     pub cluster: String,
-    /// This instance's number.
+    /// This instance's member number.
     pub number: u32,
-    /// The address that its socket is bound to.
+    /// The address to which this instance's socket is bound.
     pub listen: String,
-    /// Its quorum state: `waking`, `alone`, `minority`, `majority`, `degraded` or `whole`.
+    /// The quorum state: `waking`, `alone`, `minority`, `majority`, `degraded` or `whole`.
     #[serde(rename = "stance")]
     pub quorum_state: String,
-    /// The counts behind the quorum state, as text.
+    /// The reason for the quorum state, as text with the counts.
     pub reason: String,
-    /// Reachable members, this one included.
+    /// The number of reachable members, including this one.
     #[serde(rename = "here")]
     pub reachable: u32,
-    /// The relative standard error of `reachable`; none where the view holds all members.
+    /// The relative standard error of `reachable`; none if the view contains all members.
     pub size_error: Option<f64>,
-    /// Expected number of instances.
+    /// The expected number of instances.
     #[serde(rename = "roster")]
     pub expected_size: u32,
-    /// The effective size: the number of instances that share limits of the whole fleet.
+    /// The effective size: the number of instances among which the limits of the fleet are divided.
     #[serde(rename = "reckoned")]
     pub effective_size: u32,
     /// The local health score: 0 (healthy) to 3.
     #[serde(rename = "doubt")]
     pub local_health: u32,
-    /// The digest of all servers, as known here.
+    /// The fleet digest over all servers, as known to this instance.
     pub fleet: DigestStatus,
-    /// The same by site.
+    /// The fleet digest by site.
     pub sites: Vec<SiteStatus>,
-    /// The other members that the view holds.
+    /// The other members in the view.
     pub members: Vec<MemberStatus>,
 }
 
@@ -47,20 +47,20 @@
     /// The effective number of responses, up to 32.
     #[serde(rename = "answers")]
     pub responses: f64,
-    /// Latency of responses, as a share of the latency target.
+    /// The latency of responses as a fraction of the latency objective.
     #[serde(rename = "took")]
     pub latency: f64,
-    /// Latency that the servers' load predicts, likewise.
+    /// The latency that the servers' load predicts, as a fraction of the latency objective.
     #[serde(rename = "full")]
     pub load: f64,
-    /// The share of requests that instances reject.
+    /// The fraction of requests that instances shed.
     #[serde(rename = "refused")]
     pub shed_ratio: f64,
 }
 
 impl DigestStatus {
-    /// Rounded to three decimals.
-    pub fn of(state: FleetState) -> Self {
+    /// The status of a fleet state, rounded to three decimals.
+    pub fn new(state: FleetState) -> Self {
         let round = |value: f64| (value * 1e3).round() / 1e3;
         DigestStatus {
             responses: round(state.weight),
@@ -74,17 +74,18 @@
 /// The averages of one site.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SiteStatus {
-    /// Its number in the platform's settings. Responses count for their server's site, rejections for the instance's.
+    /// The number of the site in the platform's settings. Responses count for the server's site, shed requests for the
+    /// instance's site.
     pub site: u8,
     /// The averages.
     #[serde(flatten)]
     pub digest: DigestStatus,
 }
 
-/// A member, as this instance holds it.
+/// A member as known to this instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its number.
+    /// The member number.
     pub number: u32,
     /// `absent`, `alive`, `suspect`, `dead` or `left`.
     pub state: String,
@@ -93,20 +94,20 @@
     /// The member whose observation led to the state.
     #[serde(rename = "by")]
     pub reported_by: u32,
-    /// Its address.
+    /// The member's address.
     pub address: String,
-    /// Its site.
+    /// The member's site.
     pub site: u8,
-    /// Its role: `agent` or `observer`.
+    /// The member's role: `agent` or `observer`.
     #[serde(rename = "duty")]
     pub role: String,
-    /// The epoch of its incarnation: its start by its own clock, in Unix milliseconds ...
+    /// The epoch of the member's incarnation: its start by its own clock, in Unix milliseconds.
     #[serde(rename = "life")]
     pub epoch: u64,
-    /// ... and the counter.
+    /// The counter of the member's incarnation.
     #[serde(rename = "round")]
     pub counter: u32,
-    /// Milliseconds since it last acked a probe of this instance.
+    /// Milliseconds since the member last acknowledged a probe of this instance.
     #[serde(rename = "answered_ms")]
     pub ms_since_ack: Option<u64>,
 }
@@ -129,10 +130,10 @@
             expected_size,
             effective_size: membership.effective_size(now),
             local_health: membership.local_health(),
-            fleet: DigestStatus::of(membership.fleet(now)),
+            fleet: DigestStatus::new(membership.fleet(now)),
             sites: membership
                 .sites()
-                .map(|(site, state)| SiteStatus { site, digest: DigestStatus::of(state) })
+                .map(|(site, state)| SiteStatus { site, digest: DigestStatus::new(state) })
                 .collect(),
             members: membership.members().map(|member| MemberStatus::new(member, now)).collect(),
         }
@@ -157,7 +158,7 @@
     }
 }
 
-/// A role's external name.
+/// The external name of a role.
 fn role_name(role: Role) -> &'static str {
     match role {
         Role::Agent => "agent",
@@ -165,15 +166,17 @@
     }
 }
 
-/// Why an instance has its quorum state, for `status.json` and the log.
+/// The reason for a quorum state, for `status.json` and the log.
 pub(super) fn quorum_reason(state: QuorumState, reachable: u32, expected: u32) -> String {
-    let counts = format!("{reachable} of {expected} are here");
+    let counts = format!("{reachable} of {expected} instances are reachable");
     match state {
-        QuorumState::Recovering => format!("just started, or stood still; {counts} by what it holds"),
-        QuorumState::Isolated if expected <= 1 => "there is to be one".to_owned(),
-        QuorumState::Isolated => format!("nobody else is heard, of {expected}"),
-        QuorumState::Minority => format!("{counts}, half or less"),
-        QuorumState::Majority => format!("{counts}, more than half, and a quarter or more is missing"),
+        QuorumState::Recovering => {
+            format!("started or stalled recently; {counts} by a view that is not reliable yet")
+        }
+        QuorumState::Isolated if expected <= 1 => "only one instance is expected".to_owned(),
+        QuorumState::Isolated => format!("no other of the {expected} expected instances is reachable"),
+        QuorumState::Minority => format!("{counts}, half or fewer"),
+        QuorumState::Majority => format!("{counts}, more than half; a quarter or more is missing"),
         QuorumState::Degraded | QuorumState::Complete => counts,
     }
 }
