--- a/crates/agent/src/discovery/schedule.rs
+++ b/crates/agent/src/discovery/schedule.rs
@@ -108,7 +108,7 @@
     silent_at: Option<Duration>,
     /// Number of calls for an immediate response since the schedule last started.
     immediate_calls: u32,
-    /// Time of the next call for an immediate response, unless one arrives before.
+    /// Time of the next call for an immediate response if no response arrives before.
     hedge_at: Option<Duration>,
     /// Time of the restart after a failure, where the schedule restarts by itself.
     restart_at: Option<Duration>,
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Cancels all open calls and sends the first one: a watch, or a request for a snapshot if no version is known.
+    /// Cancels all open calls and sends a new one: a watch, or a request for a snapshot if no version is known.
     pub fn start(&mut self, now: Duration, steps: &mut Vec<Step>) {
         self.cancel_all(steps);
         match self.version {
@@ -157,7 +157,7 @@
         while let Some(call) = self.calls.iter().find(|call| call.deadline <= now) {
             let id = call.id;
             steps.push(Step::Cancel(id));
-            self.on_response(now, id, Err(CallError::Timeout), steps);
+            self.on_result(now, id, Err(CallError::Timeout), steps);
         }
         if take_due(&mut self.restart_at, now) {
             self.start(now, steps);
@@ -165,7 +165,7 @@
     }
 
     /// Handles the result of a call. Results of cancelled calls are ignored.
-    pub fn on_response(
+    pub fn on_result(
         &mut self,
         now: Duration,
         id: CallId,
@@ -181,8 +181,7 @@
         });
         match response {
             Err(error) => self.on_failure(now, &call, error, steps),
-            // The service has restarted with lower versions: the delta is based on a list that this agent does not
-            // have.
+            // The service has restarted with lower versions: this agent does not have the list that the delta changes.
             Ok(response)
                 if !response.is_snapshot && self.version.is_some_and(|known| response.version < known) =>
             {
--- a/crates/agent/src/discovery/watch.rs
+++ b/crates/agent/src/discovery/watch.rs
@@ -80,7 +80,7 @@
         if list.is_some() {
             self.reusable_connection = finished.connection;
         }
-        self.schedule.on_response(self.started_at.elapsed(), finished.id, result, steps);
+        self.schedule.on_result(self.started_at.elapsed(), finished.id, result, steps);
         list
     }
 
--- a/crates/agent/src/driver/attempts.rs
+++ b/crates/agent/src/driver/attempts.rs
@@ -82,7 +82,8 @@
         let now = self.clock.now();
         let window = self.guard.borrow().window(write_by, timeout_at);
         let Some(pending) = state.requests.get_mut(key.request) else {
-            // The request was completed while decisions were deferred, and the balancer has not handled that event yet.
+            // The request got its response, or its client disconnected, while decisions were deferred. The balancer has
+            // not handled the event for that yet.
             return state.on_not_sent(key);
         };
         pending.attempts = key.attempt + 1;
--- a/crates/agent/src/driver/timers.rs
+++ b/crates/agent/src/driver/timers.rs
@@ -10,8 +10,8 @@
 use tokio::time::Instant;
 use tracing::warn;
 
-/// Interval between two sweeps of idle connections to servers. They expire after whole seconds, so a shorter
-/// interval is not needed.
+/// Interval between two sweeps of idle connections to servers. Idle connections expire after whole seconds, so a
+/// shorter interval is not needed.
 const IDLE_SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The CPU time that this thread has used.
--- a/crates/agent/src/peers/mod.rs
+++ b/crates/agent/src/peers/mod.rs
@@ -76,7 +76,7 @@
     counters: Cell<PeerCounters>,
     /// The last effective size that was passed to the handler.
     effective_size: Cell<u32>,
-    /// Wakes the task when a call from elsewhere may have moved the next deadline forward.
+    /// Wakes the task when a call from elsewhere may have made the next deadline earlier.
     deadline_changed: tokio::sync::Notify,
 }
 
--- a/crates/agent/tests/watch_schedule.rs
+++ b/crates/agent/tests/watch_schedule.rs
@@ -204,7 +204,7 @@
             });
             let version = answer.as_ref().ok().map(|answer| answer.version);
             let mut steps = Vec::new();
-            self.schedule.on_response(self.now, id, answer, &mut steps);
+            self.schedule.on_result(self.now, id, answer, &mut steps);
             if steps.contains(&Step::Deliver(id)) {
                 self.learned = version.filter(|version| *version >= 2).map(|_| self.now);
                 self.tell_balancer(EndpointUpdate::Delta(Vec::new()));
