--- a/crates/agent-core/src/body_limits.rs
+++ b/crates/agent-core/src/body_limits.rs
@@ -7,9 +7,9 @@
 /// The maximum of a body in either direction, in bytes.
 pub const MAX_BODY_BYTES: u64 = 32 << 20;
 /// The first bytes of a request body that are always buffered, however little memory is free.
-pub const MIN_REPLAY_BYTES: usize = 4 << 10;
+pub const MIN_BUFFER_BYTES: usize = 4 << 10;
 /// The memory of the process is divided by this for the buffers of all request bodies.
-pub const POOL_MEMORY_PARTS: usize = 4;
+pub const POOL_MEMORY_DIVISOR: usize = 4;
 /// How long a response of unknown length is buffered, from its head on: its client may be waiting for the first bytes.
 pub const MAX_BUFFERING_TIME: Micros = Micros(40_000);
 
@@ -157,7 +157,7 @@
 impl BufferPool {
     /// The pool of a process with this memory, in bytes.
     pub fn new(memory: usize) -> Self {
-        BufferPool { capacity: memory / POOL_MEMORY_PARTS, in_use: 0 }
+        BufferPool { capacity: memory / POOL_MEMORY_DIVISOR, in_use: 0 }
     }
 
     /// Reserves a buffer for the next body and returns its size. With a small buffer a body is streamed sooner and its
@@ -167,7 +167,7 @@
         let granted = if self.in_use + MAX_BUFFERED_BODY_BYTES <= self.capacity {
             MAX_BUFFERED_BODY_BYTES
         } else {
-            MIN_REPLAY_BYTES
+            MIN_BUFFER_BYTES
         };
         self.in_use += granted;
         granted
--- a/crates/agent-core/src/chunks.rs
+++ b/crates/agent-core/src/chunks.rs
@@ -36,19 +36,19 @@
 
 /// Finds the end of a chunked body.
 #[derive(Debug, Clone, Copy)]
-pub struct Chunks(State);
+pub struct ChunkedBodyScanner(State);
 
 /// The bytes are not a valid chunked body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct NotChunked;
+pub struct InvalidChunkedBody;
 
-impl Default for Chunks {
+impl Default for ChunkedBodyScanner {
     fn default() -> Self {
-        Chunks(State::Size(0, 0))
+        ChunkedBodyScanner(State::Size(0, 0))
     }
 }
 
-impl Chunks {
+impl ChunkedBodyScanner {
     /// Whether the last byte of the body has been read.
     pub fn is_complete(&self) -> bool {
         self.0 == State::Complete
@@ -59,7 +59,7 @@
     /// # Errors
     ///
     /// They are not a valid chunked body.
-    pub fn advance(&mut self, bytes: &[u8]) -> Result<usize, NotChunked> {
+    pub fn advance(&mut self, bytes: &[u8]) -> Result<usize, InvalidChunkedBody> {
         let mut at = 0;
         while at < bytes.len() && !self.is_complete() {
             if let State::Data(left) = self.0 {
@@ -68,7 +68,7 @@
                 self.0 = if left == here { State::DataCr } else { State::Data(left - here) };
                 continue;
             }
-            self.0 = step(self.0, bytes[at]).ok_or(NotChunked)?;
+            self.0 = step(self.0, bytes[at]).ok_or(InvalidChunkedBody)?;
             at += 1;
         }
         Ok(at)
--- a/crates/agent-core/src/guard.rs
+++ b/crates/agent-core/src/guard.rs
@@ -8,7 +8,7 @@
 use bellcroft_balancer::{DedupScope, Micros, Outcome, RetrySafety, Time};
 
 /// How late a response may be before it counts as a violation: the platform's own allowance for sockets and clocks.
-const ANSWER_SLACK: Micros = Micros(50_000);
+const RESPONSE_SLACK: Micros = Micros(50_000);
 
 /// The time in which an attempt may start, and its end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     /// The zone.
     pub zone: u32,
     /// The deduplication group, numbered by discovery.
-    pub cell: u32,
+    pub dedup_group: u32,
 }
 
 /// The attempts of one request that may have been executed, or still may be.
@@ -100,7 +100,7 @@
 
 /// A response that was decided too late.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LateAnswer {
+pub struct LateResponse {
     /// How long after its client's deadline.
     pub late_by: Micros,
     /// How long the process was paused in that time.
@@ -159,13 +159,13 @@
     }
 
     /// When a response is due: by its deadline, and before the process ends.
-    pub fn answer_by(&self, deadline: Time) -> Time {
-        self.shutdown.map_or(deadline, |shutdown| deadline.min(shutdown.answer_by()))
+    pub fn respond_by(&self, deadline: Time) -> Time {
+        self.shutdown.map_or(deadline, |shutdown| deadline.min(shutdown.respond_by()))
     }
 
     /// The window of an attempt, limited by the shutdown.
     pub fn window(&self, start_by: Time, end_by: Time) -> AttemptWindow<Time> {
-        let end_by = self.answer_by(end_by);
+        let end_by = self.respond_by(end_by);
         AttemptWindow { start_by: start_by.min(end_by), end_by }
     }
 
@@ -180,7 +180,7 @@
         history: &AttemptHistory,
         groups: ServerGroups,
     ) -> Result<(), SendDenied> {
-        if self.shutdown.is_some_and(|shutdown| now >= shutdown.answer_by()) {
+        if self.shutdown.is_some_and(|shutdown| now >= shutdown.respond_by()) {
             return Err(SendDenied::ProcessEnding);
         }
         let denial = |prior| may_repeat(now, history.retry_safety, prior, groups).err();
@@ -205,13 +205,13 @@
     }
 
     /// Whether the process must exit now, even with pending requests.
-    pub fn must_end(&self, now: Time) -> bool {
+    pub fn must_exit(&self, now: Time) -> bool {
         self.shutdown.is_some_and(|shutdown| now >= shutdown.exit_by())
     }
 
     /// Whether all pending requests must get their final responses now.
-    pub fn must_answer_all(&self, now: Time) -> bool {
-        self.shutdown.is_some_and(|shutdown| now >= shutdown.answer_by())
+    pub fn must_respond_to_all(&self, now: Time) -> bool {
+        self.shutdown.is_some_and(|shutdown| now >= shutdown.respond_by())
     }
 
     /// A response has been decided; its client waits until `client_deadline`, and the process has been paused for `paused`
@@ -220,12 +220,17 @@
     /// # Errors
     ///
     /// The response is late. It counts as a violation.
-    pub fn on_answer(&mut self, now: Time, client_deadline: Time, paused: Micros) -> Result<(), LateAnswer> {
-        if now <= client_deadline + ANSWER_SLACK + paused.min(MAX_STALL) {
+    pub fn on_response(
+        &mut self,
+        now: Time,
+        client_deadline: Time,
+        paused: Micros,
+    ) -> Result<(), LateResponse> {
+        if now <= client_deadline + RESPONSE_SLACK + paused.min(MAX_STALL) {
             return Ok(());
         }
         self.record(Violation::LateAnswer);
-        Err(LateAnswer { late_by: now.since(client_deadline), paused })
+        Err(LateResponse { late_by: now.since(client_deadline), paused })
     }
 
     /// A client's connection in this state is closed by this process. Returns whether that is a violation.
@@ -239,7 +244,7 @@
     }
 
     /// The process exits with this number of pending requests.
-    pub fn on_end(&mut self, pending: usize) {
+    pub fn on_exit(&mut self, pending: usize) {
         self.violations[Violation::EndedWhilePending as usize] += pending as u64;
     }
 
@@ -270,7 +275,7 @@
             let shared = match scope {
                 DedupScope::All => true,
                 DedupScope::Zone => groups.zone == prior.groups.zone,
-                DedupScope::Group => groups.cell == prior.groups.cell,
+                DedupScope::Group => groups.dedup_group == prior.groups.dedup_group,
             };
             if shared {
                 Ok(())
--- a/crates/agent-core/src/handover.rs
+++ b/crates/agent-core/src/handover.rs
@@ -24,7 +24,7 @@
     /// It has transferred the listening sockets.
     ListenerTransferred,
     /// It has exited, or the connection to it has ended.
-    SuccessorExited,
+    OtherProcessExited,
 }
 
 /// The state of this process in a handover.
@@ -50,10 +50,10 @@
                 self.role = HandoverRole::Predecessor;
             }
             HandoverEvent::ListenerTransferred => self.role = HandoverRole::Successor,
-            HandoverEvent::SuccessorExited if self.role == HandoverRole::Successor => {
+            HandoverEvent::OtherProcessExited if self.role == HandoverRole::Successor => {
                 self.role = HandoverRole::Standalone;
             }
-            HandoverEvent::SuccessorExited => {
+            HandoverEvent::OtherProcessExited => {
                 self.successors = self.successors.saturating_sub(1);
                 if self.successors == 0 {
                     self.role = HandoverRole::Standalone;
--- a/crates/agent-core/src/shutdown.rs
+++ b/crates/agent-core/src/shutdown.rs
@@ -39,24 +39,24 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShutdownSchedule {
     signalled: Time,
-    answer_by: Time,
+    respond_by: Time,
 }
 
 impl ShutdownSchedule {
     /// The schedule after a signal, with the longest deadline of the settings at that time. An operator may shorten the
     /// shutdown: `operator_limit` counts from the end of accepting.
     pub fn new(signal: ShutdownSignal, longest_deadline: Micros, operator_limit: Option<Micros>) -> Self {
-        let answer_by = |sent_at: Time| {
+        let respond_by = |sent_at: Time| {
             let killed_at = sent_at + longest_deadline.min(MAX_PLATFORM_DEADLINE) + PLATFORM_KILL_MARGIN;
             killed_at - MAX_STALL - MAX_STALL - WRITE_RESERVE
         };
         let signalled = signal.read_at;
         // The signal may have been sent at the beginning of the pause, or at its end: then new connections still arrive.
         let earliest_sent = signalled - signal.paused.saturating_sub(MAX_STALL);
-        let accepted = answer_by(signalled).min(signalled + ACCEPT_TIMEOUT);
-        let platform = answer_by(earliest_sent).max(accepted);
+        let accepted = respond_by(signalled).min(signalled + ACCEPT_TIMEOUT);
+        let platform = respond_by(earliest_sent).max(accepted);
         let operator = operator_limit.map_or(platform, |limit| signalled + ACCEPT_TIMEOUT + limit);
-        ShutdownSchedule { signalled, answer_by: platform.min(operator) }
+        ShutdownSchedule { signalled, respond_by: platform.min(operator) }
     }
 
     /// When the signal was read.
@@ -70,12 +70,12 @@
     }
 
     /// When the responses to all accepted requests are due; later requests are rejected at once.
-    pub fn answer_by(&self) -> Time {
-        self.answer_by
+    pub fn respond_by(&self) -> Time {
+        self.respond_by
     }
 
     /// When the process exits at the latest.
     pub fn exit_by(&self) -> Time {
-        self.answer_by + EXIT_RESERVE
+        self.respond_by + EXIT_RESERVE
     }
 }
--- a/crates/agent-core/tests/body_limits.rs
+++ b/crates/agent-core/tests/body_limits.rs
@@ -110,8 +110,8 @@
     let memory = 32 << 20;
     let mut store = BufferPool::new(memory);
     let granted: Vec<usize> = (0..500).map(|_| store.acquire()).collect();
-    assert!(store.in_use() <= memory / POOL_MEMORY_PARTS + 500 * MIN_REPLAY_BYTES);
-    assert_eq!((granted[0], granted[499]), (MAX_BUFFERED_BODY_BYTES, MIN_REPLAY_BYTES));
+    assert!(store.in_use() <= memory / POOL_MEMORY_DIVISOR + 500 * MIN_BUFFER_BYTES);
+    assert_eq!((granted[0], granted[499]), (MAX_BUFFERED_BODY_BYTES, MIN_BUFFER_BYTES));
     granted.into_iter().for_each(|one| store.release(one));
     assert_eq!((store.in_use(), store.acquire()), (0, MAX_BUFFERED_BODY_BYTES));
 }
--- a/crates/agent-core/tests/chunks.rs
+++ b/crates/agent-core/tests/chunks.rs
@@ -19,7 +19,7 @@
         let all = [body, behind].concat();
         for cut in 1..all.len() {
             for second in cut..all.len() {
-                let mut chunks = Chunks::default();
+                let mut chunks = ChunkedBodyScanner::default();
                 let mut taken = 0;
                 for piece in [&all[..cut], &all[cut..second], &all[second..]] {
                     if !chunks.is_complete() {
@@ -50,22 +50,22 @@
         b"5;a\nb\r\nhello\r\n0\r\n\r\n",
         b"g\r\n",
     ] {
-        let mut chunks = Chunks::default();
+        let mut chunks = ChunkedBodyScanner::default();
         let taken = chunks.advance(body);
-        assert_eq!(taken, Err(NotChunked), "{:?}", String::from_utf8_lossy(body));
+        assert_eq!(taken, Err(InvalidChunkedBody), "{:?}", String::from_utf8_lossy(body));
     }
 }
 
 #[test]
 fn endless_extensions_and_trailers_are_rejected() {
     for begin in ["5;", "0\r\nA: "] {
-        let mut chunks = Chunks::default();
+        let mut chunks = ChunkedBodyScanner::default();
         let text = begin.to_owned() + &"x".repeat(2 * MAX_TRAILERS_BYTES);
-        assert_eq!(chunks.advance(text.as_bytes()), Err(NotChunked), "{begin}");
+        assert_eq!(chunks.advance(text.as_bytes()), Err(InvalidChunkedBody), "{begin}");
     }
-    let mut chunks = Chunks::default();
+    let mut chunks = ChunkedBodyScanner::default();
     let many = "0\r\n".to_owned() + &"A: b\r\n".repeat(MAX_TRAILERS_BYTES);
-    assert_eq!(chunks.advance(many.as_bytes()), Err(NotChunked), "trailers by the thousand");
+    assert_eq!(chunks.advance(many.as_bytes()), Err(InvalidChunkedBody), "trailers by the thousand");
 }
 
 /// Whatever comes, the end is one place: taken in one piece or byte by byte.
@@ -83,9 +83,9 @@
     for _ in 0..20_000 {
         let mut text = b"1\r\nx\r\n".to_vec();
         (0..6).for_each(|_| text.extend(parts[(next() % parts.len() as u64) as usize].as_bytes()));
-        let mut whole = Chunks::default();
+        let mut whole = ChunkedBodyScanner::default();
         let at_once = whole.advance(&text);
-        let mut chunks = Chunks::default();
+        let mut chunks = ChunkedBodyScanner::default();
         let mut taken = Ok(0);
         for byte in &text {
             taken = taken.and_then(|n| chunks.advance(std::slice::from_ref(byte)).map(|more| n + more));
--- a/crates/agent-core/tests/guard.rs
+++ b/crates/agent-core/tests/guard.rs
@@ -5,9 +5,9 @@
 use bellcroft_balancer::{DedupScope, Micros, Outcome, RetrySafety, Time};
 
 const MS: Micros = Micros(1_000);
-const HERE: ServerGroups = ServerGroups { zone: 1, cell: 1 };
-const OTHER_CELL: ServerGroups = ServerGroups { zone: 1, cell: 2 };
-const OTHER_ZONE: ServerGroups = ServerGroups { zone: 2, cell: 2 };
+const HERE: ServerGroups = ServerGroups { zone: 1, dedup_group: 1 };
+const OTHER_CELL: ServerGroups = ServerGroups { zone: 1, dedup_group: 2 };
+const OTHER_ZONE: ServerGroups = ServerGroups { zone: 2, dedup_group: 2 };
 
 fn at(ms: f64) -> Time {
     Time::from_ms(1_000_000.0 + ms)
@@ -22,13 +22,13 @@
         let killed = sent + MS * deadline_ms.min(3_000.0) + MS * 700.0;
         let schedule =
             ShutdownSchedule::new(ShutdownSignal::read_at(sent + MAX_STALL), MS * deadline_ms, None);
-        assert!(schedule.answer_by() + MAX_STALL < killed, "{deadline_ms} ms: answers held up");
+        assert!(schedule.respond_by() + MAX_STALL < killed, "{deadline_ms} ms: answers held up");
         assert!(schedule.exit_by() < killed, "{deadline_ms} ms: exit");
         assert!(schedule.accept_until() <= schedule.exit_by());
         // Clients connect for 0.4 s; what they then ask has its time, but for what the hold-ups take.
         assert!(schedule.accept_until() >= sent + MS * 400.0, "{deadline_ms} ms: accepting");
         let from_before = sent + MS * deadline_ms.min(3_000.0);
-        assert!(schedule.answer_by() > from_before, "{deadline_ms} ms: what was open has its deadline");
+        assert!(schedule.respond_by() > from_before, "{deadline_ms} ms: what was open has its deadline");
     }
 }
 
@@ -40,7 +40,7 @@
         let signal = ShutdownSignal { read_at, paused: MS * paused_ms };
         let schedule = ShutdownSchedule::new(signal, MS * 3_000.0, None);
         let killed = at(3_700.0);
-        assert!(schedule.answer_by() + MAX_STALL < killed, "paused for {paused_ms} ms");
+        assert!(schedule.respond_by() + MAX_STALL < killed, "paused for {paused_ms} ms");
         assert!(schedule.exit_by() < killed, "paused for {paused_ms} ms");
         assert!(schedule.accept_until() >= read_at + MS * 400.0, "paused for {paused_ms} ms: accepting");
     }
@@ -67,28 +67,28 @@
     let platform = ShutdownSchedule::new(ShutdownSignal::read_at(at(0.0)), MS * 2_500.0, None);
     let shorter = ShutdownSchedule::new(ShutdownSignal::read_at(at(0.0)), MS * 2_500.0, Some(MS * 200.0));
     let longer = ShutdownSchedule::new(ShutdownSignal::read_at(at(0.0)), MS * 2_500.0, Some(MS * 60_000.0));
-    assert_eq!(shorter.answer_by(), at(850.0));
+    assert_eq!(shorter.respond_by(), at(850.0));
     assert_eq!(longer, platform);
 }
 
 #[test]
 fn first_shutdown_limits_all_deadlines_and_windows() {
     let mut guard = Guard::default();
-    assert_eq!(guard.answer_by(at(60_000.0)), at(60_000.0));
+    assert_eq!(guard.respond_by(at(60_000.0)), at(60_000.0));
     let schedule = ShutdownSchedule::new(ShutdownSignal::read_at(at(0.0)), MS * 2_000.0, None);
     guard.begin_shutdown(schedule);
     guard.begin_shutdown(ShutdownSchedule::new(ShutdownSignal::read_at(at(500.0)), MS * 2_000.0, None));
     assert_eq!(guard.shutdown(), Some(schedule));
-    assert_eq!(guard.answer_by(at(60_000.0)), schedule.answer_by());
-    assert_eq!(guard.answer_by(at(100.0)), at(100.0));
+    assert_eq!(guard.respond_by(at(60_000.0)), schedule.respond_by());
+    assert_eq!(guard.respond_by(at(100.0)), at(100.0));
     let window = guard.window(at(50_000.0), at(60_000.0));
-    assert_eq!((window.start_by, window.end_by), (schedule.answer_by(), schedule.answer_by()));
-    let just_before = schedule.answer_by() - Micros(1);
-    assert!(!guard.must_answer_all(just_before) && guard.must_answer_all(schedule.answer_by()));
-    assert!(!guard.must_end(schedule.answer_by()) && guard.must_end(schedule.exit_by()));
+    assert_eq!((window.start_by, window.end_by), (schedule.respond_by(), schedule.respond_by()));
+    let just_before = schedule.respond_by() - Micros(1);
+    assert!(!guard.must_respond_to_all(just_before) && guard.must_respond_to_all(schedule.respond_by()));
+    assert!(!guard.must_exit(schedule.respond_by()) && guard.must_exit(schedule.exit_by()));
     let history = AttemptHistory::new(RetrySafety::Idempotent);
     assert_eq!(guard.may_send(just_before, &history, HERE), Ok(()));
-    assert_eq!(guard.may_send(schedule.answer_by(), &history, HERE), Err(SendDenied::ProcessEnding));
+    assert_eq!(guard.may_send(schedule.respond_by(), &history, HERE), Err(SendDenied::ProcessEnding));
 }
 
 #[test]
@@ -138,15 +138,15 @@
 #[test]
 fn violations_are_counted_by_kind() {
     let mut guard = Guard::default();
-    assert_eq!(guard.on_answer(at(1_050.0), at(1_000.0), Micros::ZERO), Ok(()));
+    assert_eq!(guard.on_response(at(1_050.0), at(1_000.0), Micros::ZERO), Ok(()));
     assert_eq!(guard.violations().map(|(_, count)| count).sum::<u64>(), 0, "within the slack");
-    let late = LateAnswer { late_by: MS * 51.0, paused: Micros::ZERO };
-    assert_eq!(guard.on_answer(at(1_051.0), at(1_000.0), Micros::ZERO), Err(late));
+    let late = LateResponse { late_by: MS * 51.0, paused: Micros::ZERO };
+    assert_eq!(guard.on_response(at(1_051.0), at(1_000.0), Micros::ZERO), Err(late));
     for state in [ConnectionState::Unused, ConnectionState::ReceivingHead, ConnectionState::Idle] {
         assert!(!guard.on_close(state));
     }
     assert!(guard.on_close(ConnectionState::Pending));
-    guard.on_end(2);
+    guard.on_exit(2);
     let counted: Vec<(&str, u64)> = guard.violations().map(|(v, count)| (v.name(), count)).collect();
     let expected =
         [("late_answer", 1), ("unsafe_repeat", 0), ("closed_while_pending", 1), ("ended_while_pending", 2)];
@@ -158,7 +158,7 @@
 fn pause_excuses_its_own_length_up_to_the_longest_allowed() {
     let late = |late_ms: f64, paused_ms: f64| {
         let mut guard = Guard::default();
-        let answer = guard.on_answer(at(1_000.0 + late_ms), at(1_000.0), MS * paused_ms);
+        let answer = guard.on_response(at(1_000.0 + late_ms), at(1_000.0), MS * paused_ms);
         let counted = guard.violations().map(|(_, count)| count).sum::<u64>();
         assert_eq!(counted, u64::from(answer.is_err()));
         answer.is_err()
--- a/crates/agent-core/tests/handover.rs
+++ b/crates/agent-core/tests/handover.rs
@@ -12,7 +12,7 @@
     );
     assert!(old.is_replaced() && !new.is_replaced());
     assert!(old.connection_limit(385) + new.connection_limit(385) <= 385);
-    assert!(new.handle_event(HandoverEvent::SuccessorExited));
+    assert!(new.handle_event(HandoverEvent::OtherProcessExited));
     assert_eq!((new.connection_limit(385), new.role()), (385, HandoverRole::Standalone));
 }
 
@@ -20,7 +20,7 @@
 fn failed_successor_restores_the_full_limit() {
     let mut old = Handover::default();
     old.handle_event(HandoverEvent::ListenerRequested);
-    assert!(old.handle_event(HandoverEvent::SuccessorExited));
+    assert!(old.handle_event(HandoverEvent::OtherProcessExited));
     assert!(!old.is_replaced(), "its clients have nobody else");
     assert_eq!(old.connection_limit(10), 10);
 }
@@ -30,9 +30,9 @@
     let mut old = Handover::default();
     old.handle_event(HandoverEvent::ListenerRequested);
     assert!(!old.handle_event(HandoverEvent::ListenerRequested));
-    assert!(!old.handle_event(HandoverEvent::SuccessorExited));
+    assert!(!old.handle_event(HandoverEvent::OtherProcessExited));
     assert!(old.is_replaced());
-    assert!(old.handle_event(HandoverEvent::SuccessorExited));
+    assert!(old.handle_event(HandoverEvent::OtherProcessExited));
     assert_eq!(old.role(), HandoverRole::Standalone);
 }
 
--- a/crates/agent/src/daemon/config/validate.rs
+++ b/crates/agent/src/daemon/config/validate.rs
@@ -29,7 +29,7 @@
     if let Err(source) = settings.check() {
         errors.push(ConfigError::Settings { location: file.location("settings"), source });
     }
-    for (key, reason) in bellcroft_platform_settings::faults(&file.contents.settings) {
+    for (key, reason) in bellcroft_platform_settings::validation_errors(&file.contents.settings) {
         // A missing key has no line of its own.
         let name = key.rsplit('.').next().unwrap_or(key);
         let location = file.location(if file.mentions(name) { name } else { "settings" });
--- a/crates/agent/src/daemon/handover.rs
+++ b/crates/agent/src/daemon/handover.rs
@@ -179,7 +179,7 @@
             if matches!(timeout(EXCHANGE_TIMEOUT, transfer(&stream, copy)).await, Ok(Ok(()))) {
                 on_event(HandoverEvent::ListenerRequested);
                 HandoverStream(Stream::local(stream)).closed().await;
-                on_event(HandoverEvent::SuccessorExited);
+                on_event(HandoverEvent::OtherProcessExited);
             }
         });
     }
--- a/crates/agent/src/daemon/serve.rs
+++ b/crates/agent/src/daemon/serve.rs
@@ -233,7 +233,7 @@
             ListenerOrigin::Predecessor(stream) => {
                 self.instance.on_handover_event(HandoverEvent::ListenerTransferred);
                 let observer = self.instance.clone();
-                stream.watch(move || observer.on_handover_event(HandoverEvent::SuccessorExited));
+                stream.watch(move || observer.on_handover_event(HandoverEvent::OtherProcessExited));
             }
             ListenerOrigin::Bound | ListenerOrigin::Inherited => self.accept_clients(),
         }
--- a/crates/agent/src/daemon/shutdown.rs
+++ b/crates/agent/src/daemon/shutdown.rs
@@ -38,7 +38,7 @@
         instance = %instance.name(),
         paused = ?Duration::from_micros(signal.paused.0),
         accept_for = ?after(schedule.accept_until()),
-        answer_within = ?after(schedule.answer_by()),
+        answer_within = ?after(schedule.respond_by()),
         exit_within = ?after(schedule.exit_by()),
         pending = instance.driver.pending(),
         connections = instance.server.connections(),
@@ -78,7 +78,7 @@
         }
     }
     if let Some(accept_task) = accept_task {
-        let stopped = timeout_at(clock.instant(schedule.answer_by()), accept_task).await;
+        let stopped = timeout_at(clock.instant(schedule.respond_by()), accept_task).await;
         if stopped.is_err() {
             warn!(
                 instance = %instance.name(),
@@ -107,10 +107,10 @@
     loop {
         let next_check = Instant::now() + FLUSH_TIMEOUT;
         let wake =
-            if deadline_reached { next_check } else { next_check.min(clock.instant(schedule.answer_by())) };
+            if deadline_reached { next_check } else { next_check.min(clock.instant(schedule.respond_by())) };
         sleep_until(wake).await;
         let now = clock.now();
-        if instance.driver.guard.borrow().must_answer_all(now) && !deadline_reached {
+        if instance.driver.guard.borrow().must_respond_to_all(now) && !deadline_reached {
             deadline_reached = true;
             idle_at_last_check = false;
             info!(
@@ -128,7 +128,7 @@
             break;
         }
         idle_at_last_check = !busy;
-        if instance.driver.guard.borrow().must_end(now) {
+        if instance.driver.guard.borrow().must_exit(now) {
             break;
         }
     }
@@ -140,13 +140,13 @@
 async fn finish_last_responses(instance: &Instance) {
     let clock = instance.driver.clock;
     while instance.server.busy() {
-        let must_end = instance.driver.guard.borrow().must_end(clock.now());
+        let must_end = instance.driver.guard.borrow().must_exit(clock.now());
         // Requests that arrived since have been refused; their responses still have to be written.
         sleep(FLUSH_TIMEOUT).await;
         if must_end {
             return;
         }
-        if instance.driver.guard.borrow().must_answer_all(clock.now()) {
+        if instance.driver.guard.borrow().must_respond_to_all(clock.now()) {
             instance.driver.fail_pending_requests();
             instance.server.refuse_incomplete();
         }
@@ -158,7 +158,7 @@
     let pending = instance.driver.pending_ids();
     instance.driver.request_log.on_ended_while_pending(&pending);
     let mut guard = instance.driver.guard.borrow_mut();
-    guard.on_end(pending.len());
+    guard.on_exit(pending.len());
     for (violation, count) in guard.violations().filter(|(_, count)| *count > 0) {
         warn!(instance = %instance.name(), violation = violation.name(), count, "rule violations in total");
     }
--- a/crates/agent/src/downstream/framing.rs
+++ b/crates/agent/src/downstream/framing.rs
@@ -8,7 +8,7 @@
 use super::connection::ClientConnection;
 use super::head::{frame, Frame};
 use bellcroft_agent_core::body_limits::{ProgressTimeout, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES};
-use bellcroft_agent_core::chunks::{Chunks, NotChunked};
+use bellcroft_agent_core::chunks::{ChunkedBodyScanner, InvalidChunkedBody};
 use bellcroft_agent_core::guard::ConnectionState;
 use bellcroft_net::Stream;
 use bytes::{Buf, BytesMut};
@@ -38,7 +38,7 @@
     /// This much of its body is yet to be passed on.
     Body(u64),
     /// Its body comes in chunks.
-    Chunked(Chunks),
+    Chunked(ChunkedBodyScanner),
     /// It is whole; what comes now belongs to the next one, or is the client's leaving.
     Whole,
     /// Nothing that comes is a request any more.
@@ -125,7 +125,7 @@
             }
             Frame::Chunked(head) => {
                 self.client.patience.take();
-                (self.pass, self.stage) = (head, Stage::Chunked(Chunks::default()));
+                (self.pass, self.stage) = (head, Stage::Chunked(ChunkedBodyScanner::default()));
                 self.client.enter(ConnectionState::ReceivingBody);
             }
         }
@@ -212,7 +212,7 @@
                             }
                         }
                         // hyper may read it otherwise, and must not get the chance.
-                        Err(NotChunked) => {
+                        Err(InvalidChunkedBody) => {
                             this.stage = Stage::Shut;
                             return Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
                         }
--- a/crates/agent/src/driver/endpoints.rs
+++ b/crates/agent/src/driver/endpoints.rs
@@ -28,7 +28,7 @@
 const SERVER_NAME_RETENTION: Duration = Duration::from_secs(30);
 
 /// The groups of a server that no list has described; no server shares them.
-const UNKNOWN_GROUPS: ServerGroups = ServerGroups { zone: u32::MAX, cell: u32::MAX };
+const UNKNOWN_GROUPS: ServerGroups = ServerGroups { zone: u32::MAX, dedup_group: u32::MAX };
 
 /// When a server last started.
 #[derive(Debug, Clone, Copy)]
@@ -176,11 +176,11 @@
             self.up.remove(&server);
         }
         let zone = index_or_hash(&names.zones, &host.site);
-        self.groups.insert(server, ServerGroups { zone, cell: host.block });
+        self.groups.insert(server, ServerGroups { zone, dedup_group: host.block });
         Endpoint {
             server,
             zone: ZoneId(zone),
-            machine_type: MachineTypeId(index_or_hash(&names.kinds, &host.kind)),
+            machine_type: MachineTypeId(index_or_hash(&names.machine_types, &host.kind)),
             dedup_group: DedupGroupId(host.block),
             status,
             weight: host.share,
--- a/crates/agent/src/driver/reload.rs
+++ b/crates/agent/src/driver/reload.rs
@@ -59,8 +59,8 @@
             settings.zone = ZoneId(*index as u32);
         }
         settings.balancers = settings.balancers.max(self.fleet_size.get());
-        let (kinds, _) = merge_names(&old.kinds, &newer.names.kinds);
-        (settings, Names { tenants, zones, kinds, ..newer.names.clone() })
+        let (machine_types, _) = merge_names(&old.machine_types, &newer.names.machine_types);
+        (settings, Names { tenants, zones, machine_types, ..newer.names.clone() })
     }
 
     /// Applies the watch policy of the present settings, with a new watch if discovery now restarts it by itself or no
--- a/crates/agent/src/driver/requests.rs
+++ b/crates/agent/src/driver/requests.rs
@@ -183,7 +183,7 @@
             response,
         };
         state.requests.pending.insert(id, pending);
-        if self.guard.borrow().must_answer_all(now) {
+        if self.guard.borrow().must_respond_to_all(now) {
             // No attempt of it has been sent, so the rejection is safe to retry.
             self.respond(&mut state, id, FinalResponse::Rejected(None), ResponseReason::Shutdown);
         } else {
@@ -256,7 +256,7 @@
 
     /// When the response to a request with this deadline is due: no later than the process's shutdown allows.
     fn answer_by(&self, deadline: Instant) -> Time {
-        self.guard.borrow().answer_by(self.clock.at(deadline))
+        self.guard.borrow().respond_by(self.clock.at(deadline))
     }
 
     /// The balancer gives a request up.
--- a/crates/agent/src/driver/timers.rs
+++ b/crates/agent/src/driver/timers.rs
@@ -79,7 +79,7 @@
             return;
         }
         let paused = self.wake_delays.borrow().paused_since(deadline, now, processor_time);
-        if let Err(late) = self.guard.borrow_mut().on_answer(now, deadline, paused) {
+        if let Err(late) = self.guard.borrow_mut().on_response(now, deadline, paused) {
             self.request_log.on_late_answer(request_id, connection, late);
         }
     }
--- a/crates/agent/src/request_log.rs
+++ b/crates/agent/src/request_log.rs
@@ -4,7 +4,7 @@
 //! from the start of a shutdown: that is short, and its pending requests cannot be traced afterwards. A denied attempt is a
 //! warning, unless the shutdown denies it.
 
-use bellcroft_agent_core::guard::{ConnectionState, LateAnswer, SendDenied, Violation};
+use bellcroft_agent_core::guard::{ConnectionState, LateResponse, SendDenied, Violation};
 use bellcroft_balancer::{ClassId, Outcome, ServerId};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -134,7 +134,7 @@
     }
 
     /// A response was decided after its client's deadline.
-    pub fn on_late_answer(&self, id: &str, connection: u64, late: LateAnswer) {
+    pub fn on_late_answer(&self, id: &str, connection: u64, late: LateResponse) {
         let Some(count) = self.late_answers.next() else { return };
         let rule = Violation::LateAnswer.name();
         let late_by = Duration::from_micros(late.late_by.0);
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -9,7 +9,7 @@
 pub use convert::settings;
 pub use names::{names, Names};
 pub use params::Params;
-pub use validation::faults;
+pub use validation::validation_errors;
 
 /// The 64-bit FNV-1a hash of a text: equal in every process and version, and only good enough to distinguish keys.
 pub fn fnv1a(text: &str) -> u64 {
--- a/crates/platform-settings/src/names.rs
+++ b/crates/platform-settings/src/names.rs
@@ -18,7 +18,7 @@
     /// The zones, by [`ZoneId`].
     pub zones: Vec<String>,
     /// The machine types, by [`MachineTypeId`].
-    pub kinds: Vec<String>,
+    pub machine_types: Vec<String>,
     /// The fields of a load report, in the order of [`Settings::report_fields`].
     pub report_fields: Vec<String>,
     /// The timeout for establishing a connection.
@@ -34,7 +34,7 @@
         classes: params.classes.iter().map(|class| class.name.clone()).collect(),
         tenants: params.tenants.iter().map(|tenant| tenant.name.clone()).collect(),
         zones: params.zones.clone(),
-        kinds: params.machine_types.clone(),
+        machine_types: params.machine_types.clone(),
         report_fields: params.load_reports.fields.clone(),
         connect_timeout: duration(params.limits.connect_timeout_ms, DEFAULT_CONNECT_TIMEOUT_MS),
         keepalive: duration(params.limits.keepalive_ms, DEFAULT_KEEPALIVE_MS),
--- a/crates/platform-settings/src/validation.rs
+++ b/crates/platform-settings/src/validation.rs
@@ -5,7 +5,7 @@
 /// The settings that an agent can't run with, as pairs of key and description: required limits and durations that are missing,
 /// and negative values. Defaults are no substitute here, as they would be those of another deployment; the simulator always
 /// gives all of them.
-pub fn faults(params: &Params) -> Vec<(&'static str, String)> {
+pub fn validation_errors(params: &Params) -> Vec<(&'static str, String)> {
     let (limits, rules) = (&params.limits, &params.rules);
     let is_polled = matches!(params.discovery, Some(DiscoveryMode::OnRequest));
     let checks = [
