--- a/crates/agent-core/src/admin.rs
+++ b/crates/agent-core/src/admin.rs
@@ -1,35 +1,36 @@
-//! The admin console: one command line per connection, one reply; and the statistics that `show-stat` returns.
+//! The protocol of the admin console: each connection carries one command line and one reply. The module also formats the
+//! statistics that `show-stat` returns.
 //!
-//! The console listens on the instance's second address. Its words, replies and figures are an outer form.
+//! The console listens on the instance's second address. Its commands, replies and statistics are a public interface.
 
 use bellcroft_balancer::{Micros, Time};
 use std::fmt;
 use std::fmt::Write;
 
-/// The maximum length of a command line, in bytes, without its end.
+/// Maximum length of a command line, without its line ending.
 pub const MAX_LINE_BYTES: usize = 256;
-/// The maximum of concurrent sessions. Health checks connect every second or two; the rest is capacity for idle sessions.
+/// Maximum number of concurrent sessions. Health checks connect every second or two; the rest is capacity for idle sessions.
 pub const MAX_SESSIONS: usize = 12;
-/// The time for completing the command line; a session without one is closed then.
+/// Time after which a session without a complete command line is closed.
 pub const REQUEST_TIMEOUT: Micros = Micros(6_000_000);
-/// The prefix of every figure.
+/// Prefix of every statistic's name.
 const STATS_PREFIX: &str = "svc";
 
-/// A command.
+/// A command of the console.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdminRequest {
-    /// Whether this process accepts clients.
+    /// Reports whether this process accepts clients.
     Ready,
-    /// Show the statistics.
+    /// Shows the statistics.
     ShowStat,
-    /// Start draining.
+    /// Starts draining.
     Drain,
-    /// End draining.
+    /// Ends draining.
     Resume,
 }
 
 impl AdminRequest {
-    /// Every command, with its word.
+    /// All commands with their names.
     pub const ALL: [(&'static str, AdminRequest); 4] = [
         ("ready", AdminRequest::Ready),
         ("show-stat", AdminRequest::ShowStat),
@@ -38,43 +39,43 @@
     ];
 }
 
-/// A line that is no command.
+/// Why a line is not a valid command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdminRequestError {
     /// The line is blank.
     Empty,
-    /// The line is longer than [`MAX_LINE_BYTES`], or the connection ended before it did.
+    /// The line is longer than [`MAX_LINE_BYTES`], or the connection was closed before the line was complete.
     LineTooLong,
     /// The line is not UTF-8.
     NotUtf8,
-    /// No command has this word.
+    /// There is no command of this name.
     UnknownCommand(String),
-    /// This command takes no arguments.
+    /// The command of this name takes no arguments.
     UnexpectedArgument(&'static str),
 }
 
 impl fmt::Display for AdminRequestError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let commands = || AdminRequest::ALL.map(|(word, _)| word).join(", ");
+        let commands = || AdminRequest::ALL.map(|(name, _)| name).join(", ");
         match self {
             AdminRequestError::Empty => write!(f, "empty; {} can be asked", commands()),
             AdminRequestError::LineTooLong => write!(f, "no line of at most {MAX_LINE_BYTES} bytes"),
             AdminRequestError::NotUtf8 => f.write_str("not text"),
-            AdminRequestError::UnknownCommand(word) => {
-                write!(f, "no call {word:?}; {} can be asked", commands())
+            AdminRequestError::UnknownCommand(name) => {
+                write!(f, "no call {name:?}; {} can be asked", commands())
             }
-            AdminRequestError::UnexpectedArgument(word) => write!(f, "{word} takes no further words"),
+            AdminRequestError::UnexpectedArgument(name) => write!(f, "{name} takes no further words"),
         }
     }
 }
 
 impl std::error::Error for AdminRequestError {}
 
-/// Parses a line, with or without its end.
+/// Parses a command line, with or without its line ending.
 ///
 /// # Errors
 ///
-/// The line is no command.
+/// Returns the reason why the line is not a valid command.
 pub fn parse(line: &[u8]) -> Result<AdminRequest, AdminRequestError> {
     let text = std::str::from_utf8(line).map_err(|_| AdminRequestError::NotUtf8)?;
     if text.len() > MAX_LINE_BYTES + "\r\n".len() {
@@ -82,25 +83,25 @@
     }
     let mut words = text.split_ascii_whitespace();
     let first = words.next().ok_or(AdminRequestError::Empty)?;
-    let known = AdminRequest::ALL.iter().find(|(word, _)| *word == first);
-    let (word, request) =
+    let known = AdminRequest::ALL.iter().find(|(name, _)| *name == first);
+    let (name, request) =
         known.ok_or_else(|| AdminRequestError::UnknownCommand(first.chars().take(32).collect()))?;
     match words.next() {
         None => Ok(*request),
-        Some(_) => Err(AdminRequestError::UnexpectedArgument(word)),
+        Some(_) => Err(AdminRequestError::UnexpectedArgument(name)),
     }
 }
 
-/// Whether a command has succeeded.
+/// Status of a reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplyStatus {
-    /// It has: `200`.
+    /// The command has succeeded: `200`.
     Done,
-    /// It has not, or the answer is no: `400`.
+    /// The command has been rejected, or its result is negative: `400`.
     Rejected,
 }
 
-/// An answer: a line that begins with `200` or `400`, and what follows it.
+/// Formats a reply: its first line begins with the status code, `200` or `400`.
 pub fn format_reply(status: ReplyStatus, text: impl fmt::Display) -> String {
     let code = match status {
         ReplyStatus::Done => 200,
@@ -109,50 +110,50 @@
     format!("{code} {text}\n")
 }
 
-/// The finished requests of a class.
+/// Counts of the finished requests of a class.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ClassStats {
-    /// The name of the class.
+    /// Name of the class.
     pub name: String,
-    /// Requests with a response from a server.
+    /// Number of requests with a response from a server.
     pub passed: u64,
-    /// Rejected requests.
+    /// Number of shed requests.
     pub dropped: u64,
-    /// Failed requests.
+    /// Number of failed requests.
     pub bad_gateway: u64,
 }
 
-/// The statistics of an instance. Counts are of this process, from its start.
+/// Statistics of an instance, counted since the start of this process.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Requests by class.
+    /// Finished requests by class.
     pub classes: Vec<ClassStats>,
-    /// Attempts that were completely written to a server.
+    /// Number of attempts that were completely written to a server.
     pub upstream_tries: u64,
-    /// Accepted requests that are not finished.
+    /// Number of accepted requests that are not finished.
     pub in_progress: u64,
-    /// Listed servers.
+    /// Number of listed servers.
     pub known_backends: u64,
-    /// Listed servers that get no requests at present, or fewer than their weight.
+    /// Number of listed servers that get no requests at present, or fewer than their weight.
     pub skipped_backends: u64,
-    /// Successful reloads.
+    /// Number of successful reloads.
     pub loads: u64,
-    /// Rejected reloads.
+    /// Number of rejected reloads.
     pub load_errors: u64,
 }
 
 impl fmt::Display for Stats {
-    /// One figure a line, in the form `svc.name=value`.
+    /// Writes one line for each statistic, in the form `svc.name=value`.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for class in &self.classes {
             let name = &class.name;
-            for (word, value) in
+            for (counter, value) in
                 [("passed", class.passed), ("dropped", class.dropped), ("bad_gateway", class.bad_gateway)]
             {
-                writeln!(f, "{STATS_PREFIX}.handled.{name}.{word}={value}")?;
+                writeln!(f, "{STATS_PREFIX}.handled.{name}.{counter}={value}")?;
             }
         }
-        for (word, value) in [
+        for (counter, value) in [
             ("upstream_tries", self.upstream_tries),
             ("in_progress", self.in_progress),
             ("known_backends", self.known_backends),
@@ -160,14 +161,14 @@
             ("loads", self.loads),
             ("load_errors", self.load_errors),
         ] {
-            writeln!(f, "{STATS_PREFIX}.{word}={value}")?;
+            writeln!(f, "{STATS_PREFIX}.{counter}={value}")?;
         }
         Ok(())
     }
 }
 
 impl Stats {
-    /// The complete reply to `show-stat`: the status line, the figures, `EOF`.
+    /// The complete reply to `show-stat`: the status line, the statistics, and `EOF`.
     pub fn reply(&self) -> String {
         let mut text = format_reply(ReplyStatus::Done, "figures");
         // Writing to a string cannot fail.
@@ -182,26 +183,26 @@
     opened_at: Time,
 }
 
-/// The open sessions. Idle sessions cannot keep others out: the oldest is evicted if all are taken.
+/// The open sessions. Idle sessions cannot block new ones: at the maximum, the oldest session is evicted for a new one.
 #[derive(Debug, Default)]
 pub struct AdminSessions {
-    /// The sessions by age, the oldest first.
+    /// The open sessions, the oldest first.
     sessions: Vec<Session>,
-    next: u64,
+    next_number: u64,
 }
 
 impl AdminSessions {
-    /// Opens a session and returns its number, with the number of the session that is evicted for it, if any.
+    /// Opens a session. Returns its number, and the number of the session that is evicted for it, if any.
     #[must_use = "an evicted session has to be closed"]
     pub fn open(&mut self, now: Time) -> (u64, Option<u64>) {
         let evicted = (self.sessions.len() >= MAX_SESSIONS).then(|| self.sessions.remove(0).number);
-        let number = self.next;
-        self.next += 1;
+        let number = self.next_number;
+        self.next_number += 1;
         self.sessions.push(Session { number, opened_at: now });
         (number, evicted)
     }
 
-    /// A session has been answered, or its client has disconnected.
+    /// Records that a session's reply has been sent, or that its client has disconnected.
     pub fn close(&mut self, number: u64) {
         self.sessions.retain(|session| session.number != number);
     }
--- a/crates/agent-core/src/body_limits.rs
+++ b/crates/agent-core/src/body_limits.rs
@@ -1,16 +1,18 @@
-//! Limits of bodies: which are buffered and which streamed, how long a peer may make no progress, and the memory of buffers.
+//! Limits of request and response bodies: which ones are buffered and which are streamed, timeouts without progress, and
+//! the memory for buffers.
 
 use bellcroft_balancer::{Micros, Time};
 
-/// The maximum of a buffered body, in bytes; a request with one can be retried. Longer bodies are streamed.
+/// Maximum size of a buffered body. A request whose body is buffered can be retried; longer bodies are streamed.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
-/// The maximum of a body in either direction, in bytes.
+/// Maximum size of a body in either direction.
 pub const MAX_BODY_BYTES: u64 = 32 << 20;
-/// The first bytes of a request body that are always buffered, however little memory is free.
+/// Size of the smallest buffer: this much of a request body is always buffered, however little memory is free.
 pub const MIN_BUFFER_BYTES: usize = 4 << 10;
-/// The memory of the process is divided by this for the buffers of all request bodies.
+/// Divisor of the memory of the process that gives the share for the buffers of all request bodies.
 pub const POOL_MEMORY_DIVISOR: usize = 4;
-/// How long a response of unknown length is buffered, from its head on: its client may be waiting for the first bytes.
+/// Maximum time from a response's head for which a body of unknown length is buffered: its client may be waiting for the
+/// first bytes.
 pub const MAX_BUFFERING_TIME: Micros = Micros(40_000);
 
 /// A body exceeds [`MAX_BODY_BYTES`].
@@ -20,17 +22,17 @@
 /// How a body is forwarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ForwardingMode {
-    /// Buffered up to [`MAX_BUFFERED_BODY_BYTES`]; streamed from there if it is longer.
+    /// Buffered up to [`MAX_BUFFERED_BODY_BYTES`]; a longer body is streamed from there.
     Buffered,
     /// Streamed from the first byte: its declared length exceeds the buffer.
     Streamed,
 }
 
-/// How a body of this declared length is forwarded.
+/// Selects how a body of this declared length is forwarded.
 ///
 /// # Errors
 ///
-/// The declared length exceeds [`MAX_BODY_BYTES`].
+/// Returns [`BodyTooLarge`] if the declared length exceeds [`MAX_BODY_BYTES`].
 pub fn forwarding_mode(length: Option<u64>) -> Result<ForwardingMode, BodyTooLarge> {
     match length {
         Some(length) if length > MAX_BODY_BYTES => Err(BodyTooLarge),
@@ -39,55 +41,59 @@
     }
 }
 
-/// The phase in which a response's body is buffered: until it is complete, or has to be streamed.
+/// The phase in which a response's body is buffered. It lasts until the body is complete or has to be streamed.
 #[derive(Debug, Clone, Copy)]
 pub struct BufferingPhase {
-    length: Option<u64>,
-    head_at: Time,
-    buffered: usize,
+    declared_length: Option<u64>,
+    head_received_at: Time,
+    buffered_bytes: usize,
 }
 
 impl BufferingPhase {
-    /// The phase of a response whose head has just been received.
-    pub fn new(length: Option<u64>, now: Time) -> Self {
-        BufferingPhase { length, head_at: now, buffered: 0 }
+    /// Starts the phase of a response whose head has just been received.
+    pub fn new(declared_length: Option<u64>, now: Time) -> Self {
+        BufferingPhase { declared_length, head_received_at: now, buffered_bytes: 0 }
     }
 
-    /// More bytes have been received, or the deadline has passed. Returns whether the body is streamed from here on; then
-    /// the request can no longer be retried.
+    /// Records that more bytes have been received, or that the deadline has passed. Returns whether the body is streamed
+    /// from here on; then the request can no longer be retried.
     ///
     /// A response with a long declared length is streamed from its first byte. One that may be short is buffered, since a
     /// request can be retried after a broken response only while its client has received nothing.
     #[must_use = "a body that is not streamed in time keeps its client waiting"]
-    pub fn on_bytes(&mut self, more: usize, now: Time) -> bool {
-        self.buffered += more;
-        let is_long = self.length.is_some_and(|length| length > MAX_BUFFERED_BODY_BYTES as u64);
-        (is_long && self.buffered > 0) || self.buffered > MAX_BUFFERED_BODY_BYTES || self.is_overdue(now)
+    pub fn on_bytes(&mut self, received: usize, now: Time) -> bool {
+        self.buffered_bytes += received;
+        let is_long = self.declared_length.is_some_and(|length| length > MAX_BUFFERED_BODY_BYTES as u64);
+        (is_long && self.buffered_bytes > 0)
+            || self.buffered_bytes > MAX_BUFFERED_BODY_BYTES
+            || self.is_overdue(now)
     }
 
-    /// The end of the phase; none for a response with a declared length.
+    /// The end of the phase; `None` for a response with a declared length.
     pub fn deadline(&self) -> Option<Time> {
-        self.length.is_none().then(|| self.head_at + MAX_BUFFERING_TIME)
+        self.declared_length.is_none().then(|| self.head_received_at + MAX_BUFFERING_TIME)
     }
 
     fn is_overdue(&self, now: Time) -> bool {
-        self.buffered > 0 && self.deadline().is_some_and(|until| now >= until)
+        self.buffered_bytes > 0 && self.deadline().is_some_and(|until| now >= until)
     }
 }
 
-/// The longest time without a byte of a body that is being received.
+/// Maximum time between two bytes of a body that is being received.
 pub const PROGRESS_TIMEOUT: Micros = Micros(2_000_000);
-/// The rate, in bytes per second, at which a body earns further waiting time beyond its time-out. A slow line is about ten
-/// times faster; a slower peer only occupies a connection.
+/// Rate at which the received bytes of a body extend the total time that may be spent waiting for it. A slow line is about
+/// ten times faster; a slower peer only occupies a connection.
 const MIN_BYTES_PER_SECOND: u64 = 4 << 10;
 
-/// The time-out of a body that is being received. Only the time counts in which its reader had capacity for more: a client
-/// is not responsible for a slow server.
+/// Progress timeout of a body that is being received. Only time in which the reader had capacity for more bytes counts: a
+/// client is not responsible for a slow server.
 #[derive(Debug, Clone, Copy)]
 pub struct ProgressTimeout {
     timeout: Micros,
-    received: u64,
+    received_bytes: u64,
+    /// Total time spent waiting before `waiting_since`.
     waited: Micros,
+    /// Start of the present wait; `None` while the reader is not waiting.
     waiting_since: Option<Time>,
 }
 
@@ -98,41 +104,41 @@
 }
 
 impl ProgressTimeout {
-    /// A time-out after this time without a byte.
+    /// Creates a timeout that expires after this time without a byte.
     pub fn new(timeout: Micros) -> Self {
-        ProgressTimeout { timeout, received: 0, waited: Micros::ZERO, waiting_since: None }
+        ProgressTimeout { timeout, received_bytes: 0, waited: Micros::ZERO, waiting_since: None }
     }
 
-    /// The reader has capacity for more, and no byte is available.
+    /// Records that the reader has capacity for more bytes and none is available.
     pub fn on_wait(&mut self, now: Time) {
         self.waiting_since.get_or_insert(now);
     }
 
-    /// More bytes have been received.
-    pub fn on_bytes(&mut self, more: usize, now: Time) {
-        self.received += more as u64;
+    /// Records that more bytes have been received.
+    pub fn on_bytes(&mut self, received: usize, now: Time) {
+        self.received_bytes += received as u64;
         if let Some(since) = self.waiting_since.take() {
             self.waited = Micros(self.waited.0 + now.since(since).0);
         }
     }
 
-    /// When the body has timed out; none while its reader does not wait.
+    /// The time at which the body times out; `None` while its reader is not waiting.
     pub fn deadline(&self) -> Option<Time> {
-        let earned = Micros(self.timeout.0 + self.received * 1_000_000 / MIN_BYTES_PER_SECOND);
-        self.waiting_since.map(|since| since + earned.saturating_sub(self.waited).min(self.timeout))
+        let allowance = Micros(self.timeout.0 + self.received_bytes * 1_000_000 / MIN_BYTES_PER_SECOND);
+        self.waiting_since.map(|since| since + allowance.saturating_sub(self.waited).min(self.timeout))
     }
 }
 
-/// The bytes of a streamed body, counted against [`MAX_BODY_BYTES`].
+/// Byte count of a streamed body, limited to [`MAX_BODY_BYTES`].
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ForwardedBytes(u64);
 
 impl ForwardedBytes {
-    /// More bytes are forwarded.
+    /// Adds bytes that are forwarded.
     ///
     /// # Errors
     ///
-    /// The body exceeds the maximum, whatever its declared length.
+    /// Returns [`BodyTooLarge`] if the body exceeds the maximum, whatever its declared length.
     pub fn add(&mut self, more: usize) -> Result<(), BodyTooLarge> {
         self.0 += more as u64;
         if self.0 > MAX_BODY_BYTES {
@@ -147,7 +153,7 @@
     }
 }
 
-/// The memory for the buffered beginnings of all request bodies.
+/// Memory for the buffered leading bytes of all request bodies.
 #[derive(Debug)]
 pub struct BufferPool {
     capacity: usize,
@@ -155,13 +161,13 @@
 }
 
 impl BufferPool {
-    /// The pool of a process with this memory, in bytes.
-    pub fn new(memory: usize) -> Self {
-        BufferPool { capacity: memory / POOL_MEMORY_DIVISOR, in_use: 0 }
+    /// Creates the pool of a process with this memory, in bytes.
+    pub fn new(memory_bytes: usize) -> Self {
+        BufferPool { capacity: memory_bytes / POOL_MEMORY_DIVISOR, in_use: 0 }
     }
 
-    /// Reserves a buffer for the next body and returns its size. With a small buffer a body is streamed sooner and its
-    /// request cannot be retried as long; no request waits for memory.
+    /// Reserves a buffer for the next body and returns its size. No request waits for memory: if little is free, the buffer
+    /// is small, so that the body is streamed sooner and its request can be retried for a shorter time.
     #[must_use = "the buffer has to be released"]
     pub fn acquire(&mut self) -> usize {
         let granted = if self.in_use + MAX_BUFFERED_BODY_BYTES <= self.capacity {
@@ -173,12 +179,12 @@
         granted
     }
 
-    /// Returns a buffer of this size.
+    /// Returns a buffer of this size to the pool.
     pub fn release(&mut self, granted: usize) {
         self.in_use = self.in_use.saturating_sub(granted);
     }
 
-    /// The size of all reserved buffers.
+    /// The total size of all reserved buffers.
     pub fn in_use(&self) -> usize {
         self.in_use
     }
--- a/crates/agent-core/src/chunks.rs
+++ b/crates/agent-core/src/chunks.rs
@@ -1,44 +1,45 @@
-//! The end of a chunked body (RFC 9112, section 7.1), found without decoding it: bytes behind it belong to the next message.
+//! Finds the end of a chunked body (RFC 9112, section 7.1) without decoding it: the bytes after it belong to the next
+//! message.
 //!
-//! Stricter than the grammar where implementations are known to differ, against request smuggling: a line ends with CR and
-//! LF, and a size has only hexadecimal digits. A body that is rejected here ends its connection.
+//! The scanner is stricter than the grammar where implementations are known to differ, to prevent request smuggling: a line
+//! must end with CR LF, and a chunk size must consist of hexadecimal digits. A rejected body closes its connection.
 
-/// The maximum length of a chunk extension, and of a trailer line, in bytes.
+/// Maximum length of a chunk extension, and of a trailer line.
 const MAX_LINE_BYTES: usize = 4 << 10;
-/// The maximum length of all trailers, in bytes.
+/// Maximum total length of all trailers.
 pub const MAX_TRAILERS_BYTES: usize = 16 << 10;
-/// The maximum of digits of a chunk size; larger chunks exceed every limit of a body.
+/// Maximum number of digits of a chunk size; larger chunks exceed every limit of a body.
 const MAX_SIZE_DIGITS: usize = 12;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
-    /// In a chunk size: its value, and the number of its digits.
+    /// In a chunk size: its value so far, and the number of digits so far.
     Size(u64, usize),
-    /// In a chunk extension: the chunk size, and the length of the extension.
+    /// In a chunk extension: the chunk size, and the length of the extension so far.
     Extension(u64, usize),
     /// Before the LF of a chunk size line.
     SizeEnd(u64),
-    /// In a chunk: the number of bytes that follow.
+    /// In a chunk: the number of its remaining bytes.
     Data(u64),
-    /// Before the CR behind a chunk.
+    /// Before the CR after a chunk.
     DataCr,
-    /// Before the LF behind a chunk.
+    /// Before the LF after a chunk.
     DataLf,
-    /// In a trailer: the length of its line, and of all trailers.
+    /// In a trailer line: the length so far of the line, and of all trailers.
     Trailer(usize, usize),
-    /// Before the LF of a trailer line: the length of all trailers.
+    /// Before the LF of a trailer line: the length of all trailers so far.
     TrailerEnd(usize),
     /// Before the LF of the empty line that ends the body.
     LastLineEnd,
-    /// Behind the body.
+    /// After the body.
     Complete,
 }
 
-/// Finds the end of a chunked body.
+/// Incremental scanner that finds the end of a chunked body.
 #[derive(Debug, Clone, Copy)]
 pub struct ChunkedBodyScanner(State);
 
-/// The bytes are not a valid chunked body.
+/// The scanned bytes are not a valid chunked body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InvalidChunkedBody;
 
@@ -54,28 +55,29 @@
         self.0 == State::Complete
     }
 
-    /// Reads the next bytes; returns how many of them belong to the body.
+    /// Scans the next bytes; returns how many of them belong to the body.
     ///
     /// # Errors
     ///
-    /// They are not a valid chunked body.
+    /// Returns [`InvalidChunkedBody`] if the bytes are not a valid chunked body.
     pub fn advance(&mut self, bytes: &[u8]) -> Result<usize, InvalidChunkedBody> {
         let mut at = 0;
         while at < bytes.len() && !self.is_complete() {
-            if let State::Data(left) = self.0 {
-                let here = left.min((bytes.len() - at) as u64);
-                at += here as usize;
-                self.0 = if left == here { State::DataCr } else { State::Data(left - here) };
+            if let State::Data(remaining) = self.0 {
+                let scanned = remaining.min((bytes.len() - at) as u64);
+                at += scanned as usize;
+                self.0 = if remaining == scanned { State::DataCr } else { State::Data(remaining - scanned) };
                 continue;
             }
-            self.0 = step(self.0, bytes[at]).ok_or(InvalidChunkedBody)?;
+            self.0 = next_state(self.0, bytes[at]).ok_or(InvalidChunkedBody)?;
             at += 1;
         }
         Ok(at)
     }
 }
 
-fn step(state: State, byte: u8) -> Option<State> {
+/// The state after a byte; `None` if the byte is invalid in this state.
+fn next_state(state: State, byte: u8) -> Option<State> {
     Some(match (state, byte) {
         (State::Size(size, digits), _) if byte.is_ascii_hexdigit() && digits < MAX_SIZE_DIGITS => {
             State::Size(size * 16 + u64::from((byte as char).to_digit(16)?), digits + 1)
@@ -91,12 +93,14 @@
         (State::DataCr, b'\r') => State::DataLf,
         (State::DataLf, b'\n') => State::Size(0, 0),
         (State::Trailer(0, _), b'\r') => State::LastLineEnd,
-        (State::Trailer(_, all), b'\r') => State::TrailerEnd(all),
-        (State::Trailer(n, all), _) if n < MAX_LINE_BYTES && all < MAX_TRAILERS_BYTES && byte != b'\n' => {
-            State::Trailer(n + 1, all + 1)
+        (State::Trailer(_, total), b'\r') => State::TrailerEnd(total),
+        (State::Trailer(n, total), _)
+            if n < MAX_LINE_BYTES && total < MAX_TRAILERS_BYTES && byte != b'\n' =>
+        {
+            State::Trailer(n + 1, total + 1)
         }
         (State::LastLineEnd, b'\n') => State::Complete,
-        (State::TrailerEnd(all), b'\n') => State::Trailer(0, all),
+        (State::TrailerEnd(total), b'\n') => State::Trailer(0, total),
         _ => return None,
     })
 }
--- a/crates/agent-core/src/guard.rs
+++ b/crates/agent-core/src/guard.rs
@@ -1,21 +1,21 @@
 //! The guard: checks every send, retry, close and exit against the limits, and counts violations.
 //!
 //! All limits are derived here: from the client's deadline, the latest time for a new attempt to a server, the retry safety
-//! of the request, and the shutdown of the process. The earliest one binds. Whatever is done against a limit nevertheless
-//! is counted as a [`Violation`].
+//! of the request, and the shutdown of the process. The earliest limit applies. An action that exceeds a limit is counted as
+//! a [`Violation`].
 
 use crate::shutdown::{ShutdownSchedule, MAX_STALL};
 use bellcroft_balancer::{DedupScope, Micros, Outcome, RetrySafety, Time};
 
-/// How late a response may be before it counts as a violation: the platform's own allowance for sockets and clocks.
+/// Delay of a response after its deadline that is no violation: the platform's own allowance for sockets and clocks.
 const RESPONSE_SLACK: Micros = Micros(50_000);
 
-/// The time in which an attempt may start, and its end.
+/// The time within which an attempt may start, and the time at which it ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptWindow<T> {
-    /// The latest time for its first byte; later nothing is written.
+    /// Latest time for writing the attempt's first byte.
     pub start_by: T,
-    /// When the attempt ends.
+    /// Time at which the attempt ends.
     pub end_by: T,
 }
 
@@ -26,16 +26,16 @@
     }
 }
 
-/// The groups of servers that recognise the same repeated requests as a server.
+/// The groups of servers that recognise the same repeated requests as one server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerGroups {
-    /// The zone.
+    /// Number of the server's zone.
     pub zone: u32,
-    /// The deduplication group, numbered by discovery.
+    /// Number of the server's dedup group, assigned by discovery.
     pub dedup_group: u32,
 }
 
-/// The attempts of one request that may have been executed, or still may be.
+/// The attempts of one request that may have been executed, or may still be.
 #[derive(Debug, Clone, Default)]
 pub struct AttemptHistory {
     retry_safety: RetrySafety,
@@ -45,24 +45,24 @@
 #[derive(Debug, Clone, Copy)]
 struct PriorAttempt {
     number: u32,
-    sent: Time,
+    sent_at: Time,
     groups: ServerGroups,
 }
 
 impl AttemptHistory {
-    /// The history of a request that has not been sent.
+    /// Creates the history of a request that has not been sent.
     pub fn new(retry_safety: RetrySafety) -> Self {
         AttemptHistory { retry_safety, attempts: Vec::new() }
     }
 
-    /// An attempt is sent.
-    pub fn on_sent(&mut self, number: u32, sent: Time, groups: ServerGroups) {
+    /// Records that an attempt is sent.
+    pub fn on_sent(&mut self, number: u32, sent_at: Time, groups: ServerGroups) {
         if self.retry_safety != RetrySafety::Idempotent {
-            self.attempts.push(PriorAttempt { number, sent, groups });
+            self.attempts.push(PriorAttempt { number, sent_at, groups });
         }
     }
 
-    /// An attempt has its outcome. One that was never executed does not restrict later ones.
+    /// Records the outcome of an attempt. An attempt that was never executed does not restrict later ones.
     pub fn on_outcome(&mut self, number: u32, outcome: Outcome) {
         if outcome.never_ran() {
             self.attempts.retain(|attempt| attempt.number != number);
@@ -73,13 +73,13 @@
 /// Why an attempt is not sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendDenied {
-    /// The request may only be executed once, and an earlier attempt may have been.
+    /// The request may be executed only once, and an earlier attempt may have been executed.
     MayRunTwice,
-    /// The time in which servers recognise a repeat is over.
+    /// The dedup window, in which servers recognise a repeat, has expired.
     OutsideDedupWindow,
-    /// The server does not recognise repeats of a request that an earlier attempt sent to another group.
+    /// An earlier attempt was sent to another dedup group, whose requests this server does not recognise.
     OutsideDedupGroup,
-    /// The process ends before a response could arrive.
+    /// The process exits before a response could arrive.
     ProcessEnding,
 }
 
@@ -92,31 +92,31 @@
     ReceivingHead,
     /// A request's body is being received.
     ReceivingBody,
-    /// A request is complete, and its response is not.
+    /// A complete request has been received, and its response is not complete.
     Pending,
-    /// All requests have their responses.
+    /// All requests have their complete responses.
     Idle,
 }
 
-/// A response that was decided too late.
+/// Error of a response that was decided too late.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LateResponse {
-    /// How long after its client's deadline.
+    /// Time since the client's deadline.
     pub late_by: Micros,
-    /// How long the process was paused in that time.
+    /// Time for which the process was paused since the client's deadline.
     pub paused: Micros,
 }
 
-/// A limit that was broken.
+/// A violated limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
-    /// A response was decided after its client's deadline, by more than a pause of the process explains.
+    /// A response was decided later after its client's deadline than a pause of the process explains.
     LateAnswer,
-    /// The balancer scheduled an attempt that could have executed a request twice; it was not sent.
+    /// The balancer scheduled an attempt that could have executed a request twice; the guard denied it.
     UnsafeRepeat,
-    /// A connection with a complete request was closed without a response.
+    /// A connection with a pending request was closed without a response.
     ClosedWhilePending,
-    /// The process ended with pending requests.
+    /// The process exited with pending requests.
     EndedWhilePending,
 }
 
@@ -129,7 +129,7 @@
         Violation::EndedWhilePending,
     ];
 
-    /// The name in the status and in the log.
+    /// The name of the violation in the status and in the log.
     pub fn name(self) -> &'static str {
         match self {
             Violation::LateAnswer => "late_answer",
@@ -140,7 +140,7 @@
     }
 }
 
-/// The guard of one process: running, or shutting down by a [`ShutdownSchedule`].
+/// The guard of one process. During a shutdown it applies a [`ShutdownSchedule`] in addition.
 #[derive(Debug, Default)]
 pub struct Guard {
     shutdown: Option<ShutdownSchedule>,
@@ -148,7 +148,7 @@
 }
 
 impl Guard {
-    /// The process shuts down. The first schedule stays.
+    /// Starts the shutdown of the process. If it has been started before, the first schedule remains in effect.
     pub fn begin_shutdown(&mut self, schedule: ShutdownSchedule) {
         self.shutdown.get_or_insert(schedule);
     }
@@ -158,12 +158,12 @@
         self.shutdown
     }
 
-    /// When a response is due: by its deadline, and before the process ends.
+    /// The time at which a response is due: its deadline, or the earlier time that the shutdown sets.
     pub fn respond_by(&self, deadline: Time) -> Time {
         self.shutdown.map_or(deadline, |shutdown| deadline.min(shutdown.respond_by()))
     }
 
-    /// The window of an attempt, limited by the shutdown.
+    /// Limits the window of an attempt by the shutdown.
     pub fn window(&self, start_by: Time, end_by: Time) -> AttemptWindow<Time> {
         let end_by = self.respond_by(end_by);
         AttemptWindow { start_by: start_by.min(end_by), end_by }
@@ -173,7 +173,8 @@
     ///
     /// # Errors
     ///
-    /// It must not be sent. Unless the process is ending, this counts as a violation by the balancer.
+    /// Returns the reason why the attempt must not be sent. Unless the process is shutting down, this counts as a violation
+    /// by the balancer.
     pub fn may_send(
         &mut self,
         now: Time,
@@ -204,22 +205,22 @@
         }
     }
 
-    /// Whether the process must exit now, even with pending requests.
+    /// Whether the process must exit now, even if requests are pending.
     pub fn must_exit(&self, now: Time) -> bool {
         self.shutdown.is_some_and(|shutdown| now >= shutdown.exit_by())
     }
 
-    /// Whether all pending requests must get their final responses now.
+    /// Whether final responses must be sent for all pending requests now.
     pub fn must_respond_to_all(&self, now: Time) -> bool {
         self.shutdown.is_some_and(|shutdown| now >= shutdown.respond_by())
     }
 
-    /// A response has been decided; its client waits until `client_deadline`, and the process has been paused for `paused`
-    /// since then. A pause of up to [`MAX_STALL`] is not the process's fault.
+    /// Records that a response has been decided. Its client waits until `client_deadline`; since then the process has been
+    /// paused for `paused`. A pause of up to [`MAX_STALL`] is not held against the process.
     ///
     /// # Errors
     ///
-    /// The response is late. It counts as a violation.
+    /// Returns [`LateResponse`] if the response is late, which counts as a violation.
     pub fn on_response(
         &mut self,
         now: Time,
@@ -233,7 +234,7 @@
         Err(LateResponse { late_by: now.since(client_deadline), paused })
     }
 
-    /// A client's connection in this state is closed by this process. Returns whether that is a violation.
+    /// Records that this process closes a client's connection in this state. Returns whether that is a violation.
     #[must_use = "a violation is logged"]
     pub fn on_close(&mut self, state: ConnectionState) -> bool {
         let is_violation = state == ConnectionState::Pending;
@@ -243,7 +244,7 @@
         is_violation
     }
 
-    /// The process exits with this number of pending requests.
+    /// Records that the process exits with this number of pending requests.
     pub fn on_exit(&mut self, pending: usize) {
         self.violations[Violation::EndedWhilePending as usize] += pending as u64;
     }
@@ -258,7 +259,7 @@
     }
 }
 
-/// Whether a request may be sent though an earlier attempt may have been executed.
+/// Checks whether a request may be sent although an earlier attempt may have been executed.
 fn may_repeat(
     now: Time,
     retry_safety: RetrySafety,
@@ -268,16 +269,16 @@
     match retry_safety {
         RetrySafety::Idempotent => Ok(()),
         RetrySafety::AtMostOnce => Err(SendDenied::MayRunTwice),
-        RetrySafety::Deduplicated { window, .. } if now > prior.sent + window => {
+        RetrySafety::Deduplicated { window, .. } if now > prior.sent_at + window => {
             Err(SendDenied::OutsideDedupWindow)
         }
         RetrySafety::Deduplicated { scope, .. } => {
-            let shared = match scope {
+            let is_recognised = match scope {
                 DedupScope::All => true,
                 DedupScope::Zone => groups.zone == prior.groups.zone,
                 DedupScope::Group => groups.dedup_group == prior.groups.dedup_group,
             };
-            if shared {
+            if is_recognised {
                 Ok(())
             } else {
                 Err(SendDenied::OutsideDedupGroup)
--- a/crates/agent-core/src/handover.rs
+++ b/crates/agent-core/src/handover.rs
@@ -1,29 +1,29 @@
-//! A rolling restart: the old process of an agent, which serves, and its successor. Together they stay within the limits of
-//! one process.
+//! Connection limits during a rolling restart: the old process of an agent and its successor together stay within the
+//! limits of one process.
 //!
-//! A process starts as [`HandoverRole::Standalone`]. A process that asks for its listening sockets makes it the predecessor;
-//! receiving another process's sockets makes it the successor, until that process has exited.
+//! A process starts as [`HandoverRole::Standalone`]. It becomes the predecessor when another process requests its listening
+//! sockets, and the successor when it receives another process's sockets, until that process has exited.
 
 /// The role of this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum HandoverRole {
-    /// There is no other process.
+    /// There is no other process of this agent.
     #[default]
     Standalone,
-    /// A successor has asked for the listening sockets and runs.
+    /// A running successor has requested the listening sockets.
     Predecessor,
-    /// It has the listening sockets of a predecessor that still runs.
+    /// This process has the listening sockets of a predecessor that is still running.
     Successor,
 }
 
-/// A change of the other process.
+/// An event of the other process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HandoverEvent {
-    /// It has asked for the listening sockets.
+    /// The other process has requested the listening sockets.
     ListenerRequested,
-    /// It has transferred the listening sockets.
+    /// The other process has transferred its listening sockets to this one.
     ListenerTransferred,
-    /// It has exited, or the connection to it has ended.
+    /// The other process has exited, or the connection to it has been closed.
     OtherProcessExited,
 }
 
@@ -31,7 +31,8 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Handover {
     role: HandoverRole,
-    /// The running processes that have asked: the next may ask before the exit of one that failed is noticed.
+    /// Number of running processes that have requested the listening sockets. A second one may request them before the exit
+    /// of a failed one is noticed.
     successors: usize,
 }
 
@@ -41,9 +42,9 @@
         self.role
     }
 
-    /// Takes in a change; returns whether the role, and with it the connection limit, has changed.
+    /// Handles an event; returns whether the role, and with it the connection limit, has changed.
     pub fn handle_event(&mut self, event: HandoverEvent) -> bool {
-        let former = self.role;
+        let former_role = self.role;
         match event {
             HandoverEvent::ListenerRequested => {
                 self.successors += 1;
@@ -60,16 +61,16 @@
                 }
             }
         }
-        self.role != former
+        self.role != former_role
     }
 
-    /// Whether a successor accepts new connections. A process that shuts down goes on accepting only without one.
+    /// Whether a successor accepts new connections. A process that shuts down continues to accept only without a successor.
     pub fn is_replaced(&self) -> bool {
         self.role == HandoverRole::Predecessor
     }
 
-    /// The part of a limit of both processes that this one may use. Half each: the predecessor keeps its connections, and
-    /// the successor has to be able to take over at any time.
+    /// The part of an agent's limit that this process may use. During a handover each process gets half: the predecessor
+    /// keeps its connections, and the successor has to be able to take over at any time.
     pub fn connection_limit(&self, limit: usize) -> usize {
         match self.role {
             HandoverRole::Standalone => limit,
--- a/crates/agent-core/src/lib.rs
+++ b/crates/agent-core/src/lib.rs
@@ -4,11 +4,11 @@
 //! - [`shutdown`]: the times of a graceful shutdown.
 //! - [`serving`]: serving, draining and shutting down.
 //! - [`handover`]: the limits of two processes during a rolling restart.
-//! - [`stall`]: the deferral of decisions after the process stood still.
-//! - [`wake_delay`]: pauses of the process, told from its own work.
+//! - [`stall`]: detection of stalls of the process, and the deferral of decisions after one.
+//! - [`wake_delay`]: detection of pauses of the process, as distinct from its own work.
 //! - [`clock_skew`]: the difference between the wall clocks of this machine and the platform.
-//! - [`body_limits`] and [`chunks`]: buffering, time-outs and framing of bodies.
-//! - [`reconfigure`]: the rules that apply while new settings take over.
+//! - [`body_limits`] and [`chunks`]: buffering, timeouts and framing of bodies.
+//! - [`reconfigure`]: the rules that apply while new settings take effect.
 //! - [`admin`]: commands and statistics of the admin console.
 //!
 //! Nothing here owns a clock, a socket or a file. Times are [`bellcroft_balancer::Time`], on the caller's clock; durations
--- a/crates/agent-core/src/reconfigure/classes.rs
+++ b/crates/agent-core/src/reconfigure/classes.rs
@@ -1,20 +1,20 @@
-//! The classes of requests by their indexes in the balancer's table.
+//! The registry of request classes, by their indexes in the balancer's table.
 
 use super::TRANSITION_PERIOD;
 use bellcroft_balancer::{Class, DedupScope, Micros, RetrySafety, Time};
 
-/// How long the classes of the former settings still apply to requests with their signature: clients change over some time
-/// after the reload, and the slowest take seconds to send a request's head.
+/// Time for which the classes of the former settings still apply to requests with their signature: clients switch to the
+/// new settings some time after the reload, and the slowest take seconds to send a request's head.
 pub const FORMER_CLASS_RETENTION: Micros = Micros(6_000_000);
 
-/// What a request shows of the retry safety that its client expects.
+/// The properties of a request that indicate which retry safety its client expects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClassSignature {
     /// `GET`.
     SafeMethod,
     /// `POST` with an idempotency key.
     WithIdempotencyKey,
-    /// `POST` without one.
+    /// `POST` without an idempotency key.
     WithoutIdempotencyKey,
 }
 
@@ -28,7 +28,8 @@
         }
     }
 
-    /// Whether a request of this signature may have this retry safety. A key that the class does not use is harmless.
+    /// Whether a request of this signature may have this retry safety. An idempotency key that the class does not use is
+    /// harmless.
     fn fits(self, retry_safety: RetrySafety) -> bool {
         let expected = ClassSignature::of(retry_safety);
         self == expected
@@ -36,14 +37,14 @@
     }
 }
 
-/// Which settings a class is from.
+/// The settings that a class comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Origin {
-    /// The present settings.
+    /// The class is from the present settings.
     Present,
-    /// The narrower rules of the former and the present settings, for requests whose signature fits both.
+    /// The class has the narrower rules of the former and the present settings, for requests whose signature fits both.
     Transition { until: Time },
-    /// Former settings.
+    /// The class is from former settings.
     Former { until: Time },
 }
 
@@ -55,7 +56,7 @@
 }
 
 impl Entry {
-    /// The order in which classes of one name are chosen, the lowest first; none if this one no longer applies.
+    /// The rank among classes of the same name, the lowest of which is chosen; `None` if the class no longer applies.
     fn precedence(&self, now: Time) -> Option<u32> {
         match self.origin {
             Origin::Transition { until } if now < until => Some(0),
@@ -74,12 +75,12 @@
     }
 }
 
-/// No class applies to a request.
+/// Why no class applies to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IncompatibleClass {
     /// There is no class of this name.
     Unknown,
-    /// The class has this retry safety, which does not fit the request's signature.
+    /// The class has this retry safety, and the request's signature does not fit it.
     Signature(RetrySafety),
 }
 
@@ -90,7 +91,7 @@
 }
 
 impl ClassRegistry {
-    /// The classes of the first settings, in their order.
+    /// Creates a registry with the classes of the first settings, in their order.
     pub fn new(names: &[String], classes: &[Class]) -> Self {
         let entry = |(name, class): (&String, &Class)| Entry {
             name: name.clone(),
@@ -100,7 +101,7 @@
         ClassRegistry { entries: names.iter().zip(classes).map(entry).collect() }
     }
 
-    /// The classes of all indexes, for the balancer.
+    /// The classes of all indexes, as the balancer's table.
     pub fn classes(&self) -> Vec<Class> {
         self.entries.iter().map(|entry| entry.class.clone()).collect()
     }
@@ -109,7 +110,7 @@
     ///
     /// # Panics
     ///
-    /// There is no such index.
+    /// Panics if there is no such index.
     pub fn name(&self, index: usize) -> &str {
         &self.entries[index].name
     }
@@ -128,10 +129,10 @@
     ///
     /// # Errors
     ///
-    /// No class of this name applies at present, or none of this signature.
+    /// Returns an error if no class of this name applies at present, or none that fits the signature.
     pub fn find(&self, now: Time, name: &str, signature: ClassSignature) -> Result<usize, IncompatibleClass> {
         let named = || self.entries.iter().enumerate().filter(|(_, entry)| entry.name == name);
-        // An exact signature first; of those the narrower rules of a transition, the present rules, the former rules.
+        // Classes with exactly this signature come first; among them the order is transition, present, former.
         let rank = |entry: &Entry| {
             let is_exact = signature == ClassSignature::of(entry.class.retry_safety);
             Some((!is_exact, entry.precedence(now)?))
@@ -149,8 +150,9 @@
         }
     }
 
-    /// Takes in the classes of newer settings. An index is reused only if `is_free` says that nothing refers to it.
-    /// Returns the indexes that are new or another class's, each with the index whose statistics it starts from, if any.
+    /// Replaces the present classes by those of newer settings. An index is reused only if `is_free` reports that nothing
+    /// refers to it. Returns the indexes that are new or have another class now, each with the index whose statistics it
+    /// starts from, if any.
     pub fn reconfigure(
         &mut self,
         now: Time,
@@ -186,7 +188,7 @@
         self.entries.iter().position(|entry| entry.name == name && entry.origin == Origin::Present)
     }
 
-    /// A second reload within a transition ends it: its rules are of neither the former nor the present settings.
+    /// Ends the transitions of an earlier reload: their rules are of neither the former nor the present settings.
     fn end_transitions(&mut self, now: Time) {
         for entry in &mut self.entries {
             if matches!(entry.origin, Origin::Transition { .. }) {
@@ -195,7 +197,7 @@
         }
     }
 
-    /// Classes that the newer settings lack apply for a while longer.
+    /// Marks classes that the newer settings lack as former ones.
     fn retire_removed(&mut self, now: Time, names: &[String]) {
         for entry in &mut self.entries {
             if entry.origin == Origin::Present && !names.contains(&entry.name) {
@@ -204,14 +206,15 @@
         }
     }
 
-    /// The rules during the transition from a class to a newer one, if a request's signature does not tell them apart.
+    /// The rules during the transition from a class to a newer one; `None` if a request's signature distinguishes the two,
+    /// or if their rules are equal.
     fn transition_rules(&self, old: usize, newer: &Class) -> Option<RetrySafety> {
         let (former, present) = (self.entries[old].class.retry_safety, newer.retry_safety);
         let is_ambiguous = former != present && ClassSignature::of(former) == ClassSignature::of(present);
         is_ambiguous.then(|| narrower(former, present))
     }
 
-    /// Stores an entry at an index that is free, or at a new one.
+    /// Stores an entry at a reusable index, or else at a new one.
     fn insert(
         &mut self,
         now: Time,
@@ -235,7 +238,7 @@
     }
 }
 
-/// What both of two retry safeties with one signature allow.
+/// The rules that satisfy both of two retry safeties with the same signature.
 fn narrower(one: RetrySafety, other: RetrySafety) -> RetrySafety {
     let reach = |scope: DedupScope| match scope {
         DedupScope::Group => 0,
--- a/crates/agent-core/src/reconfigure/keys.rs
+++ b/crates/agent-core/src/reconfigure/keys.rs
@@ -1,10 +1,11 @@
-//! Keys that a new settings file lacks.
+//! Detection of keys that a new settings file lacks.
 
 use serde_json::Value;
 use std::mem::discriminant;
 
-/// The keys of the present file that a newer one lacks, as paths such as `settings.classes[1].deadlineMs`, and those whose
-/// value has another type. A file that was truncated, or edited without one of its lines, must not fall back to defaults.
+/// Returns the keys of the present file that the newer one lacks or that have a value of another type there, as paths such
+/// as `settings.classes[1].deadlineMs`. A file that was truncated, or has lost a line in an edit, must not make the process
+/// fall back to defaults.
 ///
 /// In a list of objects, each new element needs the keys that all present elements have.
 pub fn missing_keys(present: &Value, newer: &Value) -> Vec<String> {
@@ -33,11 +34,12 @@
             }
         }
         _ if discriminant(present) == discriminant(newer) => {}
-        _ => missing.push(format!("{path} (another kind of value)")),
+        _ => missing.push(format!("{path} (value of another type)")),
     }
 }
 
-/// The keys that all objects of a list have with one type of value; none if the list is empty or has other elements.
+/// The keys that all objects of a list have with the same type of value; `None` if the list is empty or has an element that
+/// is not an object.
 fn common_keys(list: &[Value]) -> Option<Value> {
     let mut objects = list.iter().map(Value::as_object);
     let mut common = objects.next()??.clone();
--- a/crates/agent-core/src/reconfigure/mod.rs
+++ b/crates/agent-core/src/reconfigure/mod.rs
@@ -1,8 +1,8 @@
-//! New settings at run time: what a new file must contain, and which rules apply to a request while clients still change
-//! over to the new ones.
+//! Reloads of the settings: what a new file must contain, and which rules apply to a request while clients still switch to
+//! the new settings.
 //!
-//! An index in the tables of classes, tenants, zones and machine types is never given to another name while anything refers
-//! to it, so a pending request keeps its class and its rules, whatever the newest file contains.
+//! An index in the tables of classes, tenants, zones and machine types is never assigned to another name while anything
+//! refers to it, so a pending request keeps its class and its rules, whatever the newest file contains.
 
 mod attempt_limits;
 mod classes;
@@ -16,6 +16,6 @@
 
 use bellcroft_balancer::Micros;
 
-/// How long two rules bind together after a reload, where a request does not show for which of them it was made: the
-/// narrower retry safety, and the smaller number of attempts.
+/// Time after a reload for which the former and the present rules both apply to a request that may have been made for
+/// either: it gets the narrower retry safety and the lower maximum of attempts.
 pub const TRANSITION_PERIOD: Micros = Micros(2_000_000);
--- a/crates/agent-core/src/reconfigure/names.rs
+++ b/crates/agent-core/src/reconfigure/names.rs
@@ -1,6 +1,7 @@
 //! Indexes of names across reloads.
 
-/// The union of two lists of names, in which each old name keeps its index, and the index of each new name in it.
+/// Merges two lists of names so that each old name keeps its index. Returns the merged list, and the index in it of each
+/// new name.
 pub fn merge_names(old: &[String], new: &[String]) -> (Vec<String>, Vec<usize>) {
     let mut merged = old.to_vec();
     let index = |name: &String| {
--- a/crates/agent-core/src/serving.rs
+++ b/crates/agent-core/src/serving.rs
@@ -1,22 +1,24 @@
-//! The serving state of an instance: serving, draining, or shutting down, and what follows for its clients.
+//! The serving state of an instance (serving, draining or shutting down) and its effect on clients.
 //!
-//! Serving and draining alternate by the operator's commands; a shutdown is final.
+//! An operator's commands switch between serving and draining; a shutdown is final.
 
 use bellcroft_balancer::{Micros, Time};
 
-/// From the start of draining to the closing of idle connections. New connections arrive for a moment after the first
-/// negative health check; their requests are served.
+/// Time from the start of draining to the closing of idle connections. New connections arrive for a moment after the first
+/// failed health check; their requests are served.
 ///
-/// The platform expects no connection that is idle, or has served a request lately, 4 s after the command. Each response
-/// during draining closes its connection, so the remaining ones have been idle since before the command.
+/// The platform expects that 4 s after the command no connection is left that is idle or has recently served a request.
+/// Each response during draining closes its connection, so the remaining connections have been idle since before the
+/// command.
 const DRAIN_IDLE_TIMEOUT: Micros = Micros(1_500_000);
-/// The same for a process that shuts down with a successor: it is killed once the longest deadline has passed.
+/// Time from the start of a shutdown to the closing of idle connections of a process that has a successor: the process is
+/// killed once the longest deadline has passed.
 const REPLACED_IDLE_TIMEOUT: Micros = Micros(450_000);
 
 /// What follows a process that shuts down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShutdownKind {
-    /// Nothing: its application ends too.
+    /// Nothing: its application exits too.
     Final,
     /// A successor, which accepts new connections.
     Replaced,
@@ -27,11 +29,11 @@
 pub enum ServingState {
     /// Clients are served.
     Serving,
-    /// Draining since this time; [`Service::resume`] ends it.
+    /// Draining since this time, until [`Service::resume`].
     Draining(Time),
-    /// Shutting down; nothing ends it.
+    /// Shutting down; this state is final.
     ShuttingDown {
-        /// When the shutdown began.
+        /// Time at which the shutdown began.
         since: Time,
         /// What follows this process.
         kind: ShutdownKind,
@@ -56,7 +58,7 @@
         self.state
     }
 
-    /// Starts draining; false if the instance drains already, or shuts down.
+    /// Starts draining; returns false if the instance is already draining or is shutting down.
     pub fn drain(&mut self, now: Time) -> bool {
         let allowed = self.state == ServingState::Serving;
         if allowed {
@@ -65,7 +67,7 @@
         allowed
     }
 
-    /// Serves again; false if the instance shuts down.
+    /// Resumes serving; returns false if the instance is shutting down.
     pub fn resume(&mut self) -> bool {
         let allowed = !matches!(self.state, ServingState::ShuttingDown { .. });
         if allowed {
@@ -74,7 +76,7 @@
         allowed
     }
 
-    /// Starts the shutdown. A second call changes nothing.
+    /// Starts the shutdown. A second call has no effect.
     pub fn shut_down(&mut self, now: Time, kind: ShutdownKind) {
         if !matches!(self.state, ServingState::ShuttingDown { .. }) {
             self.state = ServingState::ShuttingDown { since: now, kind };
@@ -91,10 +93,10 @@
         self.state != ServingState::Serving
     }
 
-    /// When idle connections are closed; none while the instance serves.
+    /// The time at which idle connections are closed; `None` while the instance is serving.
     ///
-    /// Closing a connection can cross a request on it, which its client has to send again. So where time allows, the client
-    /// can use the connection once more, and learns from the response that it closes.
+    /// A request that crosses the close of its connection has to be sent again by its client. Where time allows, the client
+    /// can therefore use the connection once more; the response then announces the close.
     pub fn close_idle_at(&self) -> Option<Time> {
         match self.state {
             ServingState::Serving => None,
@@ -102,7 +104,7 @@
             ServingState::ShuttingDown { since, kind: ShutdownKind::Replaced } => {
                 Some(since + REPLACED_IDLE_TIMEOUT)
             }
-            // The application ends too; no further request arrives.
+            // The application exits too; no further request arrives.
             ServingState::ShuttingDown { since, kind: ShutdownKind::Final } => Some(since),
         }
     }
--- a/crates/agent-core/src/wake_delay.rs
+++ b/crates/agent-core/src/wake_delay.rs
@@ -1,21 +1,21 @@
-//! How late the event loop woke, and how much of that time the process was not running.
+//! Measures how late the event loop woke, and for how much of that time the process was not running.
 //!
-//! The loop says when it has to wake ([`WakeDelays::on_sleep`]) and that it woke ([`WakeDelays::on_wake`]). Of a wake that is
-//! late, the part in which the loop's thread used no processor is a pause: the process was stopped, or the machine had no
+//! The loop records when it has to wake ([`WakeDelays::on_sleep`]) and that it woke ([`WakeDelays::on_wake`]). The part of a
+//! delay in which the loop's thread used no processor time is a pause: the process was stopped, or the machine had no
 //! processor for it. The rest is the process's own work.
 //!
-//! The loop has to wake at short intervals for a pause to be seen from near its beginning.
+//! A pause is measured from the time at which the loop was due to wake, so the loop has to wake at short intervals.
 
 use bellcroft_balancer::{Micros, Time};
 use std::collections::VecDeque;
 
-/// The number of pauses that are remembered.
+/// Number of pauses that are kept.
 const MAX_PAUSES: usize = 8;
-/// Shorter pauses are those of any scheduler.
+/// Shortest delay that counts as a pause; shorter ones are usual scheduling delays.
 const MIN_PAUSE: Micros = Micros(1_000);
-/// After a pause, what happened during it is known within this time.
+/// Time after the end of a pause within which this process learns what happened during the pause.
 const JUST_ENDED: Micros = Micros(20_000);
-/// A sample of the processor time is used again for so long: reading it is a system call.
+/// Time for which a sample of the processor time is reused: reading the processor time is a system call.
 const SAMPLE_INTERVAL: Micros = Micros(5_000);
 
 /// A reading of the processor time that the loop's thread has used.
@@ -25,66 +25,70 @@
     used: Micros,
 }
 
-/// A wake that was late.
+/// A late wake of the loop.
 #[derive(Debug, Clone, Copy)]
 struct Pause {
-    due: Time,
-    woke: Time,
-    /// The time within it in which the thread used no processor.
+    due_at: Time,
+    woke_at: Time,
+    /// Time between `due_at` and `woke_at` in which the thread used no processor.
     idle: Micros,
 }
 
 impl Pause {
+    /// The length of the pause between `from` and `until`.
     fn within(&self, from: Time, until: Time) -> Micros {
-        self.woke.min(until).since(self.due.max(from)).min(self.idle)
+        self.woke_at.min(until).since(self.due_at.max(from)).min(self.idle)
     }
 }
 
-/// The late wakes of an event loop.
+/// Recent late wakes of an event loop.
 #[derive(Debug, Default)]
 pub struct WakeDelays {
-    due: Option<Time>,
+    /// Time at which the sleeping loop has to wake; `None` while the loop is running.
+    due_at: Option<Time>,
     sample: Option<ProcessorSample>,
+    /// The newest pause comes first.
     pauses: VecDeque<Pause>,
 }
 
 impl WakeDelays {
-    /// The loop sleeps from now on, and has to wake at `due`. `processor_time` reads what its thread has used.
-    pub fn on_sleep(&mut self, now: Time, due: Time, processor_time: impl FnOnce() -> Micros) {
-        self.due = Some(due);
+    /// Records that the loop starts to sleep and has to wake at `due_at`. `processor_time` reads the processor time that the
+    /// loop's thread has used.
+    pub fn on_sleep(&mut self, now: Time, due_at: Time, processor_time: impl FnOnce() -> Micros) {
+        self.due_at = Some(due_at);
         if self.sample.is_none_or(|sample| now.since(sample.at) >= SAMPLE_INTERVAL) {
             self.sample = Some(ProcessorSample { at: now, used: processor_time() });
         }
     }
 
-    /// The loop woke.
+    /// Records that the loop woke.
     pub fn on_wake(&mut self, now: Time, processor_time: impl FnOnce() -> Micros) {
-        let pause = self.current(now, processor_time);
-        self.due = None;
+        let pause = self.current_pause(now, processor_time);
+        self.due_at = None;
         if let Some(pause) = pause.filter(|pause| pause.idle >= MIN_PAUSE) {
             self.pauses.truncate(MAX_PAUSES - 1);
             self.pauses.push_front(pause);
         }
     }
 
-    /// How long the process was paused between `from` and now, as far as late wakes show it. A loop that has not woken
-    /// although it is due is paused at present.
+    /// The total length of the pauses between `from` and now that late wakes reveal. A loop that is due and has not woken
+    /// counts as paused.
     pub fn paused_since(&self, from: Time, now: Time, processor_time: impl FnOnce() -> Micros) -> Micros {
-        let pauses = self.current(now, processor_time).into_iter().chain(self.pauses.iter().copied());
+        let pauses = self.current_pause(now, processor_time).into_iter().chain(self.pauses.iter().copied());
         Micros(pauses.map(|pause| pause.within(from, now).0).sum())
     }
 
-    /// How long the pause lasted that ended just now.
+    /// The length of the pause that has just ended; zero if there is none.
     pub fn latest_pause(&self, now: Time, processor_time: impl FnOnce() -> Micros) -> Micros {
-        let pause = self.current(now, processor_time).or_else(|| self.pauses.front().copied());
-        pause.filter(|pause| now.since(pause.woke) < JUST_ENDED).map_or(Micros::ZERO, |pause| pause.idle)
+        let pause = self.current_pause(now, processor_time).or_else(|| self.pauses.front().copied());
+        pause.filter(|pause| now.since(pause.woke_at) < JUST_ENDED).map_or(Micros::ZERO, |pause| pause.idle)
     }
 
-    /// The pause that ends now, if the loop is late. Work that was done between the sample and the due time counts as work
-    /// of the late wake, so the pause is never overestimated.
-    fn current(&self, now: Time, processor_time: impl FnOnce() -> Micros) -> Option<Pause> {
-        let due = self.due.filter(|due| now.since(*due) >= MIN_PAUSE)?;
+    /// The pause that ends now, if the loop is late. Work done between the sample and the due time counts as work after the
+    /// due time, so a pause is never overestimated.
+    fn current_pause(&self, now: Time, processor_time: impl FnOnce() -> Micros) -> Option<Pause> {
+        let due_at = self.due_at.filter(|due_at| now.since(*due_at) >= MIN_PAUSE)?;
         let worked = processor_time().saturating_sub(self.sample?.used);
-        Some(Pause { due, woke: now, idle: now.since(due).saturating_sub(worked) })
+        Some(Pause { due_at, woke_at: now, idle: now.since(due_at).saturating_sub(worked) })
     }
 }
--- a/crates/agent-core/tests/reconfigure.rs
+++ b/crates/agent-core/tests/reconfigure.rs
@@ -31,14 +31,14 @@
         missing_keys(&present, &less),
         [
             "a",
-            "b.c (another kind of value)",
+            "b.c (value of another type)",
             "b.d",
             "l[0].m",
-            "l[1].n (another kind of value)",
-            "p (another kind of value)"
+            "l[1].n (value of another type)",
+            "p (value of another type)"
         ]
     );
-    assert_eq!(missing_keys(&present, &json!([])), [" (another kind of value)"]);
+    assert_eq!(missing_keys(&present, &json!([])), [" (value of another type)"]);
 }
 
 #[test]
