--- a/crates/agent-core/tests/body_limits.rs
+++ b/crates/agent-core/tests/body_limits.rs
@@ -1,4 +1,4 @@
-//! Buffering, progress time-outs and the memory of bodies.
+//! Buffering, progress timeouts and buffer memory of bodies.
 
 use bellcroft_agent_core::body_limits::*;
 use bellcroft_balancer::{Micros, Time};
@@ -15,59 +15,60 @@
 }
 
 #[test]
-fn long_response_streams_and_short_one_is_buffered() {
+fn long_response_is_streamed_and_short_one_is_buffered() {
     let mut long = BufferingPhase::new(Some(MAX_BUFFERED_BODY_BYTES as u64 + 1), Time(0));
-    assert!(!long.on_bytes(0, Time(u64::MAX)), "a head alone is nothing to pass on");
+    assert!(!long.on_bytes(0, Time(u64::MAX)), "without body bytes there is nothing to stream");
     assert!(long.on_bytes(1, Time(1)));
     let mut short = BufferingPhase::new(Some(MAX_BUFFERED_BODY_BYTES as u64), Time(0));
     assert!(
         !short.on_bytes(MAX_BUFFERED_BODY_BYTES, Time(u64::MAX)),
-        "however slow it is, it can be asked for again"
+        "a short body is buffered however slow it is, so that its request can be retried"
     );
 }
 
 #[test]
 fn response_of_unknown_length_is_buffered_briefly() {
-    let mut begin = BufferingPhase::new(None, Time(0));
-    assert!(!begin.on_bytes(1000, MAX_BUFFERING_TIME.before()));
-    assert!(begin.on_bytes(0, Time(MAX_BUFFERING_TIME.0)));
-    let mut nothing = BufferingPhase::new(None, Time(0));
-    assert!(!nothing.on_bytes(0, Time(u64::MAX)), "there is nothing to pass on");
-    let mut quick = BufferingPhase::new(None, Time(0));
-    assert!(!quick.on_bytes(MAX_BUFFERED_BODY_BYTES, Time(1)));
-    assert!(quick.on_bytes(1, Time(1)), "it is long");
+    let mut slow = BufferingPhase::new(None, Time(0));
+    assert!(!slow.on_bytes(1000, MAX_BUFFERING_TIME.just_before()));
+    assert!(slow.on_bytes(0, Time(MAX_BUFFERING_TIME.0)));
+    let mut empty = BufferingPhase::new(None, Time(0));
+    assert!(!empty.on_bytes(0, Time(u64::MAX)), "without body bytes there is nothing to stream");
+    let mut long = BufferingPhase::new(None, Time(0));
+    assert!(!long.on_bytes(MAX_BUFFERED_BODY_BYTES, Time(1)));
+    assert!(long.on_bytes(1, Time(1)), "the body exceeds the buffer");
 }
 
-trait Before {
-    fn before(self) -> Time;
+trait JustBefore {
+    /// The latest time at which less than this duration has passed since time zero.
+    fn just_before(self) -> Time;
 }
 
-impl Before for Micros {
-    fn before(self) -> Time {
+impl JustBefore for Micros {
+    fn just_before(self) -> Time {
         Time(self.0 - 1)
     }
 }
 
 #[test]
 fn body_beyond_the_maximum_is_rejected() {
-    let mut passed = ForwardedBytes::default();
+    let mut forwarded = ForwardedBytes::default();
     for _ in 0..MAX_BODY_BYTES / 1024 {
-        assert_eq!(passed.add(1024), Ok(()));
+        assert_eq!(forwarded.add(1024), Ok(()));
     }
-    assert_eq!(passed.add(1), Err(BodyTooLarge));
+    assert_eq!(forwarded.add(1), Err(BodyTooLarge));
 }
 
 #[test]
-fn slow_body_progresses_and_trickling_body_times_out() {
+fn slow_body_is_accepted_and_trickling_body_times_out() {
     let mut slow = ProgressTimeout::default();
     let mut now = Time(0);
     for _ in 0..1000 {
         slow.on_wait(now);
         now = now + Micros(100_000);
-        assert!(slow.deadline().is_some_and(|until| until > now), "64 kB/s are enough");
+        assert!(slow.deadline().is_some_and(|until| until > now), "64 kB/s is fast enough");
         slow.on_bytes(6400, now);
-        assert_eq!(slow.deadline(), None, "its reader has enough");
-        // A server that takes its time is not its client's fault.
+        assert_eq!(slow.deadline(), None, "no timeout applies while the reader does not wait");
+        // The time in which the server does not read does not count against the client.
         now = now + Micros(5_000_000);
     }
     slow.on_wait(now);
@@ -83,14 +84,14 @@
         trickle.on_bytes(1, now);
         bytes += 1;
     }
-    assert!(bytes <= 4, "a byte now and then holds no place");
+    assert!(bytes <= 4, "single bytes do not keep a connection open");
 }
 
-/// A side that is given more time at once trickles no longer for it.
+/// With a longer timeout, a trickling peer still gets the timeout only once in total, not once for each byte.
 #[test]
-fn trickling_body_times_out_with_a_long_gap() {
-    let gap = Micros(30_000_000);
-    let (mut trickle, mut now, mut bytes) = (ProgressTimeout::new(gap), Time(0), 0);
+fn trickling_body_times_out_with_a_long_timeout() {
+    let timeout = Micros(30_000_000);
+    let (mut trickle, mut now, mut bytes) = (ProgressTimeout::new(timeout), Time(0), 0);
     loop {
         trickle.on_wait(now);
         let next = now + Micros(1_000_000);
@@ -101,17 +102,17 @@
         trickle.on_bytes(1, now);
         bytes += 1;
     }
-    assert!((25..=30).contains(&bytes), "{bytes}: silent for the gap in all, not each time");
+    assert!((25..=30).contains(&bytes), "{bytes} bytes; the timeout applies to all waits together");
 }
 
-/// However many bodies there are, what they keep is bounded by a little each beyond the share.
+/// The memory in use is bounded by the pool's share plus one minimum buffer for each body.
 #[test]
 fn buffer_pool_is_bounded_by_its_share_of_memory() {
     let memory = 32 << 20;
-    let mut store = BufferPool::new(memory);
-    let granted: Vec<usize> = (0..500).map(|_| store.acquire()).collect();
-    assert!(store.in_use() <= memory / POOL_MEMORY_DIVISOR + 500 * MIN_BUFFER_BYTES);
+    let mut pool = BufferPool::new(memory);
+    let granted: Vec<usize> = (0..500).map(|_| pool.acquire()).collect();
+    assert!(pool.in_use() <= memory / POOL_MEMORY_DIVISOR + 500 * MIN_BUFFER_BYTES);
     assert_eq!((granted[0], granted[499]), (MAX_BUFFERED_BODY_BYTES, MIN_BUFFER_BYTES));
-    granted.into_iter().for_each(|one| store.release(one));
-    assert_eq!((store.in_use(), store.acquire()), (0, MAX_BUFFERED_BODY_BYTES));
+    granted.into_iter().for_each(|size| pool.release(size));
+    assert_eq!((pool.in_use(), pool.acquire()), (0, MAX_BUFFERED_BODY_BYTES));
 }
--- a/crates/agent-core/tests/chunks.rs
+++ b/crates/agent-core/tests/chunks.rs
@@ -1,8 +1,8 @@
-//! The end of chunked bodies, and what is refused as ambiguous.
+//! Finding the end of chunked bodies, and the rejection of ambiguous ones.
 
 use bellcroft_agent_core::chunks::*;
 
-const GOOD: [&[u8]; 6] = [
+const VALID_BODIES: [&[u8]; 6] = [
     b"0\r\n\r\n",
     b"5\r\nhello\r\n0\r\n\r\n",
     b"005;a=b;c=\"d e\"\r\nhello\r\nA\r\n0123456789\r\n000\r\n\r\n",
@@ -11,23 +11,24 @@
     b"2 \r\nab\r\n0\r\n\r\n",
 ];
 
-/// However it is cut into pieces, the end is found, and nothing behind it is taken.
+/// Splits each body and a following message into three fragments at all positions: the end is found, and no byte of the
+/// following message is consumed.
 #[test]
 fn end_of_body_is_found_at_every_fragmentation() {
-    let behind = b"GET /read HTTP/1.1\r\n";
-    for body in GOOD {
-        let all = [body, behind].concat();
-        for cut in 1..all.len() {
-            for second in cut..all.len() {
-                let mut chunks = ChunkedBodyScanner::default();
-                let mut taken = 0;
-                for piece in [&all[..cut], &all[cut..second], &all[second..]] {
-                    if !chunks.is_complete() {
-                        taken += chunks.advance(piece).expect("it is good");
+    let next_message = b"GET /read HTTP/1.1\r\n";
+    for body in VALID_BODIES {
+        let input = [body, next_message].concat();
+        for first in 1..input.len() {
+            for second in first..input.len() {
+                let mut scanner = ChunkedBodyScanner::default();
+                let mut consumed = 0;
+                for fragment in [&input[..first], &input[first..second], &input[second..]] {
+                    if !scanner.is_complete() {
+                        consumed += scanner.advance(fragment).expect("valid body");
                     }
                 }
-                assert!(chunks.is_complete(), "{body:?} at {cut} and {second}");
-                assert_eq!(taken, body.len(), "{body:?} at {cut} and {second}");
+                assert!(scanner.is_complete(), "{body:?} split at {first} and {second}");
+                assert_eq!(consumed, body.len(), "{body:?} split at {first} and {second}");
             }
         }
     }
@@ -50,27 +51,27 @@
         b"5;a\nb\r\nhello\r\n0\r\n\r\n",
         b"g\r\n",
     ] {
-        let mut chunks = ChunkedBodyScanner::default();
-        let taken = chunks.advance(body);
-        assert_eq!(taken, Err(InvalidChunkedBody), "{:?}", String::from_utf8_lossy(body));
+        let mut scanner = ChunkedBodyScanner::default();
+        let consumed = scanner.advance(body);
+        assert_eq!(consumed, Err(InvalidChunkedBody), "{:?}", String::from_utf8_lossy(body));
     }
 }
 
 #[test]
 fn endless_extensions_and_trailers_are_rejected() {
-    for begin in ["5;", "0\r\nA: "] {
-        let mut chunks = ChunkedBodyScanner::default();
-        let text = begin.to_owned() + &"x".repeat(2 * MAX_TRAILERS_BYTES);
-        assert_eq!(chunks.advance(text.as_bytes()), Err(InvalidChunkedBody), "{begin}");
+    for prefix in ["5;", "0\r\nA: "] {
+        let mut scanner = ChunkedBodyScanner::default();
+        let text = prefix.to_owned() + &"x".repeat(2 * MAX_TRAILERS_BYTES);
+        assert_eq!(scanner.advance(text.as_bytes()), Err(InvalidChunkedBody), "{prefix}");
     }
-    let mut chunks = ChunkedBodyScanner::default();
+    let mut scanner = ChunkedBodyScanner::default();
     let many = "0\r\n".to_owned() + &"A: b\r\n".repeat(MAX_TRAILERS_BYTES);
-    assert_eq!(chunks.advance(many.as_bytes()), Err(InvalidChunkedBody), "trailers by the thousand");
+    assert_eq!(scanner.advance(many.as_bytes()), Err(InvalidChunkedBody), "thousands of short trailers");
 }
 
-/// Whatever comes, the end is one place: taken in one piece or byte by byte.
+/// Scans random input at once and byte by byte, and compares the results.
 #[test]
-fn random_input_parses_alike_however_fragmented() {
+fn random_input_scans_alike_however_fragmented() {
     let mut state = 0x2545_f491_4f6c_dd1d_u64;
     let mut next = || {
         state ^= state << 13;
@@ -79,19 +80,20 @@
         state
     };
     let parts = ["0\r\n", "1\r\n", "\r\n", "x", "\n", ";a", "\r"];
-    let mut ended = 0;
+    let mut complete = 0;
     for _ in 0..20_000 {
         let mut text = b"1\r\nx\r\n".to_vec();
         (0..6).for_each(|_| text.extend(parts[(next() % parts.len() as u64) as usize].as_bytes()));
-        let mut whole = ChunkedBodyScanner::default();
-        let at_once = whole.advance(&text);
-        let mut chunks = ChunkedBodyScanner::default();
-        let mut taken = Ok(0);
+        let mut at_once = ChunkedBodyScanner::default();
+        let consumed_at_once = at_once.advance(&text);
+        let mut bytewise = ChunkedBodyScanner::default();
+        let mut consumed = Ok(0);
         for byte in &text {
-            taken = taken.and_then(|n| chunks.advance(std::slice::from_ref(byte)).map(|more| n + more));
+            consumed =
+                consumed.and_then(|n| bytewise.advance(std::slice::from_ref(byte)).map(|more| n + more));
         }
-        assert_eq!((at_once, whole.is_complete()), (taken, chunks.is_complete()), "{text:?}");
-        ended += usize::from(whole.is_complete());
+        assert_eq!((consumed_at_once, at_once.is_complete()), (consumed, bytewise.is_complete()), "{text:?}");
+        complete += usize::from(at_once.is_complete());
     }
-    assert!(ended > 0, "some of it ends");
+    assert!(complete > 0, "some inputs are complete bodies");
 }
--- a/crates/agent-core/tests/guard.rs
+++ b/crates/agent-core/tests/guard.rs
@@ -1,4 +1,4 @@
-//! The guard and the times of a shutdown, against the platform's rules.
+//! The guard and the schedule of a shutdown, checked against the platform's rules.
 
 use bellcroft_agent_core::guard::*;
 use bellcroft_agent_core::shutdown::*;
@@ -6,15 +6,15 @@
 
 const MS: Micros = Micros(1_000);
 const HERE: ServerGroups = ServerGroups { zone: 1, dedup_group: 1 };
-const OTHER_CELL: ServerGroups = ServerGroups { zone: 1, dedup_group: 2 };
+const OTHER_GROUP: ServerGroups = ServerGroups { zone: 1, dedup_group: 2 };
 const OTHER_ZONE: ServerGroups = ServerGroups { zone: 2, dedup_group: 2 };
 
 fn at(ms: f64) -> Time {
     Time::from_ms(1_000_000.0 + ms)
 }
 
-/// SIGKILL comes the longest deadline, 3 s at most, and 0.7 s after SIGTERM; the signal may be read 0.15 s late and the answers
-/// written 0.15 s late.
+/// The platform sends SIGKILL after the longest deadline (3 s at most) and another 0.7 s after SIGTERM. SIGTERM may be read
+/// 0.15 s late, and the responses may be written 0.15 s late.
 #[test]
 fn responses_and_exit_precede_sigkill_for_all_deadlines() {
     for deadline_ms in (10..20_000).step_by(10).map(f64::from) {
@@ -22,19 +22,28 @@
         let killed = sent + MS * deadline_ms.min(3_000.0) + MS * 700.0;
         let schedule =
             ShutdownSchedule::new(ShutdownSignal::read_at(sent + MAX_STALL), MS * deadline_ms, None);
-        assert!(schedule.respond_by() + MAX_STALL < killed, "{deadline_ms} ms: answers held up");
-        assert!(schedule.exit_by() < killed, "{deadline_ms} ms: exit");
+        assert!(
+            schedule.respond_by() + MAX_STALL < killed,
+            "deadline {deadline_ms} ms: responses are too late"
+        );
+        assert!(schedule.exit_by() < killed, "deadline {deadline_ms} ms: exit is too late");
         assert!(schedule.accept_until() <= schedule.exit_by());
-        // Clients connect for 0.4 s; what they then ask has its time, but for what the hold-ups take.
-        assert!(schedule.accept_until() >= sent + MS * 400.0, "{deadline_ms} ms: accepting");
-        let from_before = sent + MS * deadline_ms.min(3_000.0);
-        assert!(schedule.respond_by() > from_before, "{deadline_ms} ms: what was open has its deadline");
+        // Clients connect for 0.4 s after SIGTERM; their requests get the remaining time.
+        assert!(
+            schedule.accept_until() >= sent + MS * 400.0,
+            "deadline {deadline_ms} ms: accepts too briefly"
+        );
+        let deadline_of_pending = sent + MS * deadline_ms.min(3_000.0);
+        assert!(
+            schedule.respond_by() > deadline_of_pending,
+            "deadline {deadline_ms} ms: pending requests do not get all of it"
+        );
     }
 }
 
-/// A signal that was read after a longer pause may have been sent at its beginning, or at its end.
+/// A signal that was read after a longer pause may have been sent at the start of the pause, or at its end.
 #[test]
-fn responses_precede_sigkill_after_a_signal_that_a_pause_delayed() {
+fn responses_precede_sigkill_after_a_delayed_signal() {
     for paused_ms in [0.0, 150.0, 151.0, 400.0, 1_000.0] {
         let read_at = at(paused_ms);
         let signal = ShutdownSignal { read_at, paused: MS * paused_ms };
@@ -42,13 +51,17 @@
         let killed = at(3_700.0);
         assert!(schedule.respond_by() + MAX_STALL < killed, "paused for {paused_ms} ms");
         assert!(schedule.exit_by() < killed, "paused for {paused_ms} ms");
-        assert!(schedule.accept_until() >= read_at + MS * 400.0, "paused for {paused_ms} ms: accepting");
+        assert!(
+            schedule.accept_until() >= read_at + MS * 400.0,
+            "paused for {paused_ms} ms: accepts too briefly"
+        );
     }
 }
 
-/// However long the pause was, new connections are accepted for as long as they arrive after a signal that was sent at its end.
+/// The signal may have been sent at the end of a pause, so new connections are accepted for the full 0.4 s after it,
+/// however long the pause was.
 #[test]
-fn connections_are_accepted_after_a_signal_that_any_pause_delayed() {
+fn connections_are_accepted_after_a_delayed_signal() {
     for deadline_ms in [10.0, 400.0, 625.0, 3_000.0] {
         for paused_ms in [151.0, 700.0, 1_200.0, 60_000.0] {
             let signal = ShutdownSignal { read_at: at(0.0), paused: MS * paused_ms };
@@ -99,13 +112,13 @@
     assert!(window.may_start(at(20.0)) && !window.may_start(at(20.1)));
 }
 
-/// Which repeats pass, by effect, what the earlier attempt may have done, server and time.
+/// Whether a second attempt is allowed, by retry safety, outcome of the first attempt, server and time.
 #[test]
 fn retry_is_allowed_only_if_it_cannot_run_twice() {
     let dedup = |group| RetrySafety::Deduplicated { scope: group, window: MS * 500.0 };
     let (ran, never) = (Outcome::ConnectionReset, Outcome::ConnectFailed);
     let twice = Err(SendDenied::MayRunTwice);
-    let (late, elsewhere) = (Err(SendDenied::OutsideDedupWindow), Err(SendDenied::OutsideDedupGroup));
+    let (too_late, other_group) = (Err(SendDenied::OutsideDedupWindow), Err(SendDenied::OutsideDedupGroup));
     let cases = [
         (RetrySafety::Idempotent, Some(ran), 10_000.0, OTHER_ZONE, Ok(())),
         (RetrySafety::Idempotent, None, 10_000.0, OTHER_ZONE, Ok(())),
@@ -113,23 +126,23 @@
         (RetrySafety::AtMostOnce, Some(ran), 10.0, HERE, twice),
         (RetrySafety::AtMostOnce, None, 10.0, HERE, twice),
         (dedup(DedupScope::All), Some(ran), 500.0, OTHER_ZONE, Ok(())),
-        (dedup(DedupScope::All), Some(ran), 500.1, HERE, late),
+        (dedup(DedupScope::All), Some(ran), 500.1, HERE, too_late),
         (dedup(DedupScope::All), Some(never), 500.1, HERE, Ok(())),
-        (dedup(DedupScope::Zone), None, 400.0, OTHER_CELL, Ok(())),
-        (dedup(DedupScope::Zone), None, 400.0, OTHER_ZONE, elsewhere),
+        (dedup(DedupScope::Zone), None, 400.0, OTHER_GROUP, Ok(())),
+        (dedup(DedupScope::Zone), None, 400.0, OTHER_ZONE, other_group),
         (dedup(DedupScope::Group), Some(ran), 400.0, HERE, Ok(())),
-        (dedup(DedupScope::Group), Some(ran), 400.0, OTHER_CELL, elsewhere),
+        (dedup(DedupScope::Group), Some(ran), 400.0, OTHER_GROUP, other_group),
     ];
-    for (effect, outcome, ms, groups, expected) in cases {
+    for (retry_safety, outcome, ms, groups, expected) in cases {
         let mut guard = Guard::default();
-        let mut history = AttemptHistory::new(effect);
+        let mut history = AttemptHistory::new(retry_safety);
         assert_eq!(guard.may_send(at(0.0), &history, HERE), Ok(()));
         history.on_sent(0, at(0.0), HERE);
         if let Some(outcome) = outcome {
             history.on_outcome(0, outcome);
         }
-        let sent = guard.may_send(at(ms), &history, groups);
-        assert_eq!(sent, expected, "{effect:?} {outcome:?} after {ms} ms to {groups:?}");
+        let result = guard.may_send(at(ms), &history, groups);
+        assert_eq!(result, expected, "{retry_safety:?} {outcome:?} after {ms} ms to {groups:?}");
         let counted = guard.violations().map(|(_, count)| count).sum::<u64>();
         assert_eq!(counted, u64::from(expected.is_err()), "an unsafe repeat is counted");
     }
@@ -153,15 +166,15 @@
     assert_eq!(counted, expected);
 }
 
-/// A pause of the process excuses as much lateness as it lasted, and 0.15 s at the most.
+/// The allowed delay of a response grows by the length of a pause of the process, by 0.15 s at most.
 #[test]
-fn pause_excuses_its_own_length_up_to_the_longest_allowed() {
-    let late = |late_ms: f64, paused_ms: f64| {
+fn pause_extends_the_allowed_delay_up_to_a_maximum() {
+    let is_late = |late_ms: f64, paused_ms: f64| {
         let mut guard = Guard::default();
-        let answer = guard.on_response(at(1_000.0 + late_ms), at(1_000.0), MS * paused_ms);
+        let result = guard.on_response(at(1_000.0 + late_ms), at(1_000.0), MS * paused_ms);
         let counted = guard.violations().map(|(_, count)| count).sum::<u64>();
-        assert_eq!(counted, u64::from(answer.is_err()));
-        answer.is_err()
+        assert_eq!(counted, u64::from(result.is_err()));
+        result.is_err()
     };
     for (late_ms, paused_ms, expected) in [
         (51.0, 0.0, true),
@@ -171,7 +184,7 @@
         (200.0, 1_000.0, false),
         (201.0, 1_000.0, true),
     ] {
-        assert_eq!(late(late_ms, paused_ms), expected, "{late_ms} ms late, paused for {paused_ms} ms");
+        assert_eq!(is_late(late_ms, paused_ms), expected, "{late_ms} ms late, paused for {paused_ms} ms");
     }
 }
 
--- a/crates/agent-core/tests/handover.rs
+++ b/crates/agent-core/tests/handover.rs
@@ -21,12 +21,12 @@
     let mut old = Handover::default();
     old.handle_event(HandoverEvent::ListenerRequested);
     assert!(old.handle_event(HandoverEvent::OtherProcessExited));
-    assert!(!old.is_replaced(), "its clients have nobody else");
+    assert!(!old.is_replaced(), "no other process accepts connections");
     assert_eq!(old.connection_limit(10), 10);
 }
 
 #[test]
-fn failed_successor_leaves_its_own_successor_in_place() {
+fn exit_of_one_successor_leaves_the_other_in_place() {
     let mut old = Handover::default();
     old.handle_event(HandoverEvent::ListenerRequested);
     assert!(!old.handle_event(HandoverEvent::ListenerRequested));
--- a/crates/agent-core/tests/reconfigure.rs
+++ b/crates/agent-core/tests/reconfigure.rs
@@ -1,4 +1,4 @@
-//! New settings: missing keys, stable indexes, and the rules that bind during a transition.
+//! Reloads of the settings: missing keys, stable indexes, and the rules that apply during a transition.
 
 use bellcroft_agent_core::reconfigure::*;
 use bellcroft_balancer::{Class, DedupScope, Micros, RetrySafety, Time};
@@ -6,12 +6,12 @@
 
 const KEYED: RetrySafety = RetrySafety::Deduplicated { scope: DedupScope::All, window: Micros(7_500_000) };
 
-fn class(effect: RetrySafety) -> Class {
-    Class { retry_safety: effect, ..Class::default() }
+fn class(retry_safety: RetrySafety) -> Class {
+    Class { retry_safety, ..Class::default() }
 }
 
-fn names(words: &[&str]) -> Vec<String> {
-    words.iter().map(|word| (*word).to_owned()).collect()
+fn names(names: &[&str]) -> Vec<String> {
+    names.iter().map(|name| (*name).to_owned()).collect()
 }
 
 fn registry() -> ClassRegistry {
@@ -46,16 +46,17 @@
     let mut registry = registry();
     let classes = [RetrySafety::Idempotent, KEYED, RetrySafety::AtMostOnce].map(class);
     assert!(registry.reconfigure(Time(1), &names(&["read", "log", "pay"]), &classes, |_| true).is_empty());
-    let turned = [KEYED, RetrySafety::Idempotent, RetrySafety::AtMostOnce].map(class);
-    assert!(registry.reconfigure(Time(2), &names(&["log", "read", "pay"]), &turned, |_| true).is_empty());
+    let reordered = [KEYED, RetrySafety::Idempotent, RetrySafety::AtMostOnce].map(class);
+    assert!(registry.reconfigure(Time(2), &names(&["log", "read", "pay"]), &reordered, |_| true).is_empty());
     assert_eq!(
         registry.find(Time(3), "log", ClassSignature::WithIdempotencyKey),
         Ok(1),
-        "whatever the order"
+        "the order in the file does not matter"
     );
 }
 
-/// Old clients and new ones at the same time, each by the rules that it goes by.
+/// Clients that follow the former settings and clients that follow the present ones are served at the same time, each by
+/// its own rules.
 #[test]
 fn request_signature_selects_former_or_present_class() {
     let mut registry = registry();
@@ -68,7 +69,7 @@
     assert_eq!(
         registry.find(soon, "log", ClassSignature::WithIdempotencyKey),
         Ok(1),
-        "it has been dropped, and clients will hear so"
+        "a removed class applies until clients have switched to the new settings"
     );
     let later = Time(10) + FORMER_CLASS_RETENTION * 1.1;
     assert_eq!(
@@ -79,7 +80,11 @@
         registry.find(later, "log", ClassSignature::WithIdempotencyKey),
         Err(IncompatibleClass::Unknown)
     );
-    assert_eq!(registry.find(later, "pay", ClassSignature::WithIdempotencyKey), Ok(2), "a key does no harm");
+    assert_eq!(
+        registry.find(later, "pay", ClassSignature::WithIdempotencyKey),
+        Ok(2),
+        "a key that the class does not use is harmless"
+    );
     assert_eq!(
         registry.find(later, "pay", ClassSignature::SafeMethod),
         Err(IncompatibleClass::Signature(RetrySafety::AtMostOnce))
@@ -93,64 +98,66 @@
     let classes = [RetrySafety::Idempotent, newer, RetrySafety::AtMostOnce].map(class);
     let changed = registry.reconfigure(Time(0), &names(&["read", "log", "pay"]), &classes, |_| true);
     assert_eq!(changed, [(3, Some(1)), (4, Some(1))]);
-    let effect = |at: Time| {
-        registry.classes()[registry.find(at, "log", ClassSignature::WithIdempotencyKey).expect("it is there")]
+    let retry_safety = |at: Time| {
+        registry.classes()[registry.find(at, "log", ClassSignature::WithIdempotencyKey).expect("it applies")]
             .retry_safety
     };
     assert_eq!(
-        effect(Time(1)),
+        retry_safety(Time(1)),
         RetrySafety::Deduplicated { scope: DedupScope::Zone, window: Micros(7_500_000) }
     );
-    assert_eq!(effect(Time(0) + TRANSITION_PERIOD), newer);
+    assert_eq!(retry_safety(Time(0) + TRANSITION_PERIOD), newer);
 }
 
 #[test]
 fn indexes_are_reused_only_when_unreferenced() {
     let mut registry = registry();
     let mut now = Time(0);
-    let mut most = 0;
+    let mut max_len = 0;
     for n in 0..1000_u64 {
         now = now + FORMER_CLASS_RETENTION * 1.5;
         let classes = [Class { deadline: Micros(1_000_000 + n), ..class(RetrySafety::Idempotent) }];
-        let changed = registry.reconfigure(now, &names(&["read"]), &classes, |place| place != 1);
-        assert!(changed.iter().all(|(place, _)| *place != 1), "somebody refers to it");
+        let changed = registry.reconfigure(now, &names(&["read"]), &classes, |index| index != 1);
+        assert!(changed.iter().all(|(index, _)| *index != 1), "index 1 is still referenced");
         assert_eq!(
-            registry.classes()[registry.find(now, "read", ClassSignature::SafeMethod).expect("it is there")],
+            registry.classes()[registry.find(now, "read", ClassSignature::SafeMethod).expect("it applies")],
             classes[0]
         );
-        most = most.max(registry.len());
+        max_len = max_len.max(registry.len());
     }
-    assert!(most <= 6, "{most} places for one class");
+    assert!(max_len <= 6, "{max_len} indexes for one class");
 }
 
-/// Files by the dozen within the time of the first: a request is never given rules that no file had.
+/// Several reloads within one transition: a request never gets wider rules than those of the present file.
 #[test]
 fn rapid_reloads_never_widen_the_rules() {
     let mut registry = registry();
     for n in 0..20_u64 {
         let window = Micros(1_000_000 * (n + 1));
-        let effect = RetrySafety::Deduplicated { scope: DedupScope::All, window };
-        registry.reconfigure(Time(n), &names(&["log"]), &[class(effect)], |_| true);
-        let place = registry.find(Time(n), "log", ClassSignature::WithIdempotencyKey).expect("it is there");
-        let RetrySafety::Deduplicated { window: bound, .. } = registry.classes()[place].retry_safety else {
-            panic!("keyed");
+        let retry_safety = RetrySafety::Deduplicated { scope: DedupScope::All, window };
+        registry.reconfigure(Time(n), &names(&["log"]), &[class(retry_safety)], |_| true);
+        let index =
+            registry.find(Time(n), "log", ClassSignature::WithIdempotencyKey).expect("the class applies");
+        let RetrySafety::Deduplicated { window: effective, .. } = registry.classes()[index].retry_safety
+        else {
+            panic!("the class is not deduplicated");
         };
-        assert!(bound <= window, "the narrower one binds");
-        assert_eq!(registry.name(place), "log");
+        assert!(effective <= window, "the narrower window applies");
+        assert_eq!(registry.name(index), "log");
     }
 }
 
 #[test]
 fn merged_names_keep_their_indexes() {
-    let (all, places) = merge_names(&names(&["a", "b"]), &names(&["c", "b", "c"]));
-    assert_eq!((all, places), (names(&["a", "b", "c"]), vec![2, 1, 2]));
+    let (merged, indexes) = merge_names(&names(&["a", "b"]), &names(&["c", "b", "c"]));
+    assert_eq!((merged, indexes), (names(&["a", "b", "c"]), vec![2, 1, 2]));
 }
 
 #[test]
-fn former_attempt_limit_binds_during_transition() {
-    let mut attempts = AttemptLimitTransition::default();
-    assert_eq!(attempts.max_attempts(Time(0)), None);
-    attempts.on_limit_changed(2, Time(0));
-    assert_eq!(attempts.max_attempts(Time(1)), Some(2));
-    assert_eq!(attempts.max_attempts(Time(0) + TRANSITION_PERIOD), None);
+fn former_attempt_limit_applies_during_transition() {
+    let mut transition = AttemptLimitTransition::default();
+    assert_eq!(transition.max_attempts(Time(0)), None);
+    transition.on_limit_changed(2, Time(0));
+    assert_eq!(transition.max_attempts(Time(1)), Some(2));
+    assert_eq!(transition.max_attempts(Time(0) + TRANSITION_PERIOD), None);
 }
--- a/crates/agent-core/tests/serving.rs
+++ b/crates/agent-core/tests/serving.rs
@@ -10,11 +10,14 @@
     let mut service = Service::default();
     assert!(service.is_ready() && !service.closes_connections() && service.close_idle_at().is_none());
     assert!(service.drain(Time(5)));
-    assert!(!service.drain(Time(9)), "a second word changes nothing, not even the time");
+    assert!(!service.drain(Time(9)), "a second command has no effect, not even on the time");
     assert!(!service.is_ready() && service.closes_connections());
-    let closed = service.close_idle_at().expect("they are closed");
-    assert!(closed > Time(5) + SECOND, "whoever was told yes a moment ago still comes and asks");
-    assert!(closed < Time(5) + SECOND * 2.0, "and what asked then is two seconds old when it is looked at");
+    let closed = service.close_idle_at().expect("idle connections are closed while draining");
+    assert!(closed > Time(5) + SECOND, "clients still connect shortly after a successful health check");
+    assert!(
+        closed < Time(5) + SECOND * 2.0,
+        "the last request is two seconds old when the platform checks at 4 s"
+    );
     assert!(service.resume());
     assert!(service.is_ready() && service.close_idle_at().is_none());
 }
@@ -29,12 +32,12 @@
     assert!(!service.is_ready() && service.closes_connections());
 }
 
-/// With the platform's shortest patience after SIGTERM: the longest deadline and 0.7 s.
+/// The platform sends SIGKILL at least 0.7 s after SIGTERM, plus the longest deadline.
 #[test]
 fn replaced_process_closes_idle_connections_before_its_kill() {
     let mut service = Service::default();
     service.shut_down(Time(0), ShutdownKind::Replaced);
-    assert!(service.close_idle_at().expect("a time") < Time(0) + SECOND * 0.7);
+    assert!(service.close_idle_at().expect("close time") < Time(0) + SECOND * 0.7);
     let mut alone = Service::default();
     alone.shut_down(Time(0), ShutdownKind::Final);
     assert_eq!(alone.close_idle_at(), Some(Time(0)));
--- a/crates/agent-core/tests/stall.rs
+++ b/crates/agent-core/tests/stall.rs
@@ -1,4 +1,4 @@
-//! The deferral of decisions after a stall.
+//! Detection of stalls, and the deferral of decisions after one.
 
 use bellcroft_agent_core::stall::*;
 use bellcroft_balancer::Time;
@@ -10,7 +10,11 @@
     assert!(!detector.heartbeat(at(999.0)) && detector.deferred_until(at(999.0)).is_none());
     assert!(detector.heartbeat(at(6_000.0)));
     assert_eq!(detector.deferred_until(at(6_249.0)), Some(at(6_250.0)));
-    assert_eq!(detector.deferred_until(at(6_250.0)), None, "discovery may be gone");
+    assert_eq!(
+        detector.deferred_until(at(6_250.0)),
+        None,
+        "the timeout ends the deferral if discovery is unreachable"
+    );
     assert!(!detector.heartbeat(at(6_300.0)));
     assert!(detector.heartbeat(at(8_000.0)));
     detector.on_endpoint_list();
