--- a/crates/agent-core/tests/clock_skew.rs
+++ b/crates/agent-core/tests/clock_skew.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn future_start_in_first_list_shows_that_the_clock_is_behind() {
+fn future_start_reveals_a_clock_that_is_behind() {
     let mut skew = ClockSkew::default();
     let (started, now) = clocks(0.0, -HOUR);
     skew.on_start(now, started, StartRecency::Unknown);
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,15 +1,15 @@
-//! Errors of a session, of a batch and of an event. Their texts include the position in the input.
+//! Errors of a session, of a batch and of an event. Their messages include the position in the input.
 
 use bellcroft_balancer::SettingsError;
 use std::io;
 use thiserror::Error;
 
-/// Why a session ended before the end of its input.
+/// Errors that end a session before the end of its input.
 #[derive(Debug, Error)]
 pub enum SessionError {
     #[error("cannot read the input: {0}")]
     Read(#[source] io::Error),
-    #[error("{}: not a batch: {source}", position_after(.last_round))]
+    #[error("{}: invalid batch: {source}", position_after(.last_round))]
     Decode { last_round: Option<u64>, source: serde_json::Error },
     #[error("round {round}: {source}")]
     Batch { round: u64, source: BatchError },
@@ -23,29 +23,29 @@
     last_round.map_or("the first round".into(), |round| format!("the round after {round}"))
 }
 
-/// Why a batch is invalid.
+/// Errors of a batch.
 #[derive(Debug, Error)]
 pub enum BatchError {
-    #[error("tMs is {0}; a time of zero or more was expected")]
+    #[error("tMs is {0}; expected a time of at least 0")]
     InvalidTime(f64),
     #[error("instance {instance}: {source}")]
     Instance { instance: u32, source: EventError },
 }
 
-/// Why an event is invalid.
+/// Errors of an event.
 #[derive(Debug, Error)]
 pub enum EventError {
-    #[error("an event came before ATTACH")]
+    #[error("event received before ATTACH")]
     NotAttached,
-    #[error("REGISTRY names no catalogue")]
+    #[error("REGISTRY refers to no catalog")]
     MissingCatalog,
-    #[error("REGISTRY names catalogue {0}, which no CATALOG has set up")]
+    #[error("REGISTRY refers to catalog {0}, which no CATALOG has defined")]
     UnknownCatalog(u32),
-    #[error("REQUEST {0} came twice")]
+    #[error("duplicate REQUEST with ticket {0}")]
     DuplicateTicket(String),
-    #[error("PROBED names backend {0}, which no list has named")]
+    #[error("PROBED refers to backend {0}, which no endpoint list contains")]
     UnknownBackend(String),
-    #[error("MAIL holds {0:?}; an even number of hex digits was expected")]
+    #[error("payload of MAIL is {0:?}; expected an even number of hex digits")]
     InvalidPayload(String),
     #[error(transparent)]
     Settings(#[from] SettingsError),
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Hosts the instances and dispatches each event to the instance that it is addressed to.
+//! Holds the instances and dispatches each event to the instance that it is addressed to.
 
 use crate::error::{BatchError, EventError};
 use crate::instance::{CatalogEntry, Instance};
@@ -9,15 +9,15 @@
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Endpoint lists by their number; all instances share them.
+/// Endpoint lists by number, shared by all instances.
 pub type Catalogs = BTreeMap<u32, Vec<CatalogEntry>>;
 
-/// All instances of this process, and the endpoint lists that they share.
+/// All instances of this process and their shared endpoint lists.
 #[derive(Default)]
 pub struct Host {
     catalogs: Catalogs,
     instances: BTreeMap<u32, Instance>,
-    /// The actions of the present event; kept for its allocation.
+    /// The actions of the present event, kept in a field to reuse the allocation.
     actions: Vec<Action>,
 }
 
@@ -30,14 +30,14 @@
         let now = Time::from_ms(batch.clock_ms);
         let mut reply = Reply { round: batch.round, parts: Vec::new() };
         for part in batch.parts {
-            let who = part.who;
+            let number = part.who;
             let mut outbox = Vec::new();
             for incoming in part.inbox {
-                self.handle_event(now, who, incoming, &mut outbox)
-                    .map_err(|source| BatchError::Instance { instance: who, source })?;
+                self.handle_event(now, number, incoming, &mut outbox)
+                    .map_err(|source| BatchError::Instance { instance: number, source })?;
             }
             if !outbox.is_empty() {
-                reply.parts.push(ReplyPart { who, outbox });
+                reply.parts.push(ReplyPart { who: number, outbox });
             }
         }
         Ok(reply)
@@ -46,7 +46,7 @@
     fn handle_event(
         &mut self,
         now: Time,
-        who: u32,
+        number: u32,
         incoming: Incoming<'_>,
         outbox: &mut Vec<Outgoing>,
     ) -> Result<(), EventError> {
@@ -57,27 +57,28 @@
             }
             Incoming::Attach { salt, params } => {
                 let balancer = Balancer::new(settings(&params), salt)?;
-                self.instances.insert(who, Instance::new(balancer));
-                self.drive(now, who, None, outbox);
+                self.instances.insert(number, Instance::new(balancer));
+                self.run_balancer(now, number, None, outbox);
             }
             Incoming::Retire {} => {
-                // No action of the ended instance may take effect, including those of earlier events of this batch.
-                self.instances.remove(&who);
+                // No action of a removed instance may take effect, including those of earlier events of this batch.
+                self.instances.remove(&number);
                 outbox.clear();
             }
             other => {
-                let instance = self.instances.get_mut(&who).ok_or(EventError::NotAttached)?;
+                let instance = self.instances.get_mut(&number).ok_or(EventError::NotAttached)?;
                 if let Some(event) = instance.decode(other, &self.catalogs)? {
-                    self.drive(now, who, Some(event), outbox);
+                    self.run_balancer(now, number, Some(event), outbox);
                 }
             }
         }
         Ok(())
     }
 
-    /// Passes an event, or the start if there is none, to an instance's balancer and encodes its actions.
-    fn drive(&mut self, now: Time, who: u32, event: Option<Event>, outbox: &mut Vec<Outgoing>) {
-        let Some(instance) = self.instances.get_mut(&who) else { return };
+    /// Passes an event to an instance's balancer, or starts it if there is no event, and encodes its actions. A panic of the
+    /// balancer is reported as a `BUG` action.
+    fn run_balancer(&mut self, now: Time, number: u32, event: Option<Event>, outbox: &mut Vec<Outgoing>) {
+        let Some(instance) = self.instances.get_mut(&number) else { return };
         let actions = &mut self.actions;
         actions.clear();
         let result = catch_unwind(AssertUnwindSafe(|| match event {
@@ -91,12 +92,12 @@
         for action in self.actions.drain(..) {
             outbox.push(instance.encode(action));
         }
-        instance.forget_ended_requests();
+        instance.remove_finished_requests();
     }
 }
 
 fn panic_message(panic: &(dyn Any + Send)) -> String {
-    let text = panic.downcast_ref::<String>().cloned();
-    let text = text.or_else(|| panic.downcast_ref::<&str>().map(std::string::ToString::to_string));
-    text.unwrap_or_else(|| "panic without a text".into())
+    let message = panic.downcast_ref::<String>().cloned();
+    let message = message.or_else(|| panic.downcast_ref::<&str>().map(std::string::ToString::to_string));
+    message.unwrap_or_else(|| "panic without a text".into())
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: its balancer, and the mapping between the simulator's names and the balancer's numbers.
+//! An instance: its balancer, and the mapping between the simulator's names and the balancer's numbers.
 
 use crate::error::EventError;
 use crate::host::Catalogs;
@@ -8,19 +8,20 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Ended requests are forgotten once this many requests are known, so that the cost per request is low.
-const FORGET_THRESHOLD: usize = 1024;
+/// Number of known requests from which on finished ones are removed. Removing many at once keeps the cost per request low.
+const REMOVAL_THRESHOLD: usize = 1024;
 
-/// The bit of `opts` that makes the request's work estimate valid.
+/// Bit of `opts` that marks the request's work estimate as valid.
 const OPT_ESTIMATE: u64 = 1;
-/// The bit of `opts` that marks a client's retry.
+/// Bit of `opts` that marks a client's retry.
 const OPT_RETRY: u64 = 2;
 
-/// An endpoint of a numbered list; instances share its name.
+/// An entry of a numbered endpoint list.
 #[derive(Debug, Clone)]
 pub struct CatalogEntry {
+    /// Name of the server, shared by all instances.
     name: Rc<str>,
-    /// Without the server's number, which each instance assigns.
+    /// The endpoint, with a placeholder for the server's number, which each instance assigns.
     endpoint: Endpoint,
 }
 
@@ -49,13 +50,13 @@
 #[derive(Debug)]
 struct KnownRequest {
     id: RequestId,
-    /// Attempts without an outcome.
+    /// Number of attempts without an outcome.
     in_flight: u32,
-    /// It has its final response, or its client has disconnected.
-    has_ended: bool,
+    /// Whether the request has its final response, or its client has disconnected.
+    is_finished: bool,
 }
 
-/// An instance between its ATTACH and its RETIRE.
+/// An instance between its `ATTACH` and its `RETIRE`.
 pub struct Instance {
     pub balancer: Balancer,
     servers: HashMap<Rc<str>, ServerId>,
@@ -77,7 +78,7 @@
         }
     }
 
-    /// Converts an event for the balancer; `None` for one of a request that has been forgotten.
+    /// Converts an event for the balancer; `None` if it is about a request that has been removed.
     pub fn decode(
         &mut self,
         incoming: Incoming<'_>,
@@ -132,7 +133,7 @@
     }
 
     /// The endpoint of an entry. A server's number is a hash of its name, so that all balancers use the same number when they
-    /// exchange hints. If two names have the same hash, the later one takes the next free number.
+    /// exchange hints. If two names have the same hash, the later one gets the next free number.
     fn endpoint(&mut self, entry: &CatalogEntry) -> Endpoint {
         let server = *self.servers.entry(entry.name.clone()).or_insert_with(|| {
             let mut number = fnv1a(&entry.name) as u32;
@@ -149,12 +150,12 @@
         self.servers.get(name).copied().ok_or_else(|| EventError::UnknownBackend(name.to_string()))
     }
 
-    /// Numbers a new request.
+    /// Registers a new request under the next number.
     fn add_request(&mut self, ticket: &str) -> Result<RequestId, EventError> {
         let id = RequestId(self.next_request);
         self.next_request += 1;
         let name: Rc<str> = Rc::from(ticket);
-        let request = KnownRequest { id, in_flight: 0, has_ended: false };
+        let request = KnownRequest { id, in_flight: 0, is_finished: false };
         if self.requests.insert(name.clone(), request).is_some() {
             return Err(EventError::DuplicateTicket(ticket.to_string()));
         }
@@ -162,7 +163,7 @@
         Ok(id)
     }
 
-    /// An event of a request that is already known; `None` if it has been forgotten.
+    /// Converts an event of a registered request; `None` if the request has been removed.
     fn decode_progress(&mut self, incoming: Incoming<'_>) -> Option<Event> {
         match incoming {
             Incoming::FirstByte { ticket, attempt } => {
@@ -172,7 +173,7 @@
             Incoming::Done { ticket, finished, time_taken_ms, ending, attempt, gauge } => {
                 let request = self.requests.get_mut(&*ticket)?;
                 request.in_flight = request.in_flight.saturating_sub(1);
-                request.has_ended |= finished;
+                request.is_finished |= finished;
                 Some(Event::Outcome {
                     request: request.id,
                     attempt: AttemptNo(attempt),
@@ -184,13 +185,14 @@
             }
             Incoming::Aborted { ticket } => {
                 let request = self.requests.get_mut(&*ticket)?;
-                request.has_ended = true;
+                request.is_finished = true;
                 Some(Event::ClientDisconnected { request: request.id })
             }
             _ => None,
         }
     }
 
+    /// Converts an action of the balancer for the simulator.
     pub fn encode(&mut self, action: Action) -> Outgoing {
         match action {
             Action::Send { request, server, timeout_at, .. } => {
@@ -204,11 +206,11 @@
                 self.encode_for(request, |ticket, _| Outgoing::Abandon { ticket, attempt: attempt.0 })
             }
             Action::Shed { request, retry_after } => self.encode_for(request, |ticket, known| {
-                known.has_ended = true;
+                known.is_finished = true;
                 Outgoing::OverloadReply { ticket, not_before_for_ms: retry_after.map(Micros::ms) }
             }),
             Action::Fail { request } => self.encode_for(request, |ticket, known| {
-                known.has_ended = true;
+                known.is_finished = true;
                 Outgoing::Abort { ticket }
             }),
             Action::SetTimer { at, timer } => Outgoing::Timer { at_ms: at.ms(), key_back: timer.0 },
@@ -228,7 +230,7 @@
         self.server_names[&server].to_string()
     }
 
-    /// Encodes an action for a known request, by its name.
+    /// Converts an action for a known request, using the request's name.
     fn encode_for(
         &mut self,
         id: RequestId,
@@ -242,14 +244,14 @@
         }
     }
 
-    /// Forgets the names of requests that have ended and have no attempt in flight.
-    pub fn forget_ended_requests(&mut self) {
-        if self.requests.len() < FORGET_THRESHOLD {
+    /// Removes requests that are finished and have no attempt in flight, once the number of requests reaches the threshold.
+    pub fn remove_finished_requests(&mut self) {
+        if self.requests.len() < REMOVAL_THRESHOLD {
             return;
         }
         let names = &mut self.request_names;
         self.requests.retain(|_, request| {
-            let is_needed = !request.has_ended || request.in_flight > 0;
+            let is_needed = !request.is_finished || request.in_flight > 0;
             if !is_needed {
                 names.remove(&request.id);
             }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Connects balancers to the simulator: reads a batch of events per line of input, writes a batch of actions per line of
-//! output.
+//! Connects balancers to the simulator: reads a batch of events from each line of input and writes the resulting actions as
+//! one line of output.
 
 mod error;
 mod host;
@@ -10,7 +10,7 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
-/// The exit code after an error of the input or output.
+/// Exit code after an error of the session.
 const EXIT_SESSION_ERROR: u8 = 2;
 
 /// Handles batches until the end of the input.
@@ -38,7 +38,7 @@
 }
 
 fn main() -> ExitCode {
-    // A panic of the balancer is reported on the wire; the default hook would print it a second time.
+    // A panic of the balancer is reported to the simulator; the default hook would print it a second time.
     std::panic::set_hook(Box::new(|_| {}));
     match run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,12 +1,12 @@
-//! The simulator's wire format, with the simulator's own names: one JSON object per line.
+//! The simulator's wire format: one JSON object per line. Types that mirror the format keep the simulator's names.
 
 use serde::{Deserialize, Serialize};
 use std::borrow::Cow;
 
-/// The recipient of an `ANNOUNCE` to all peers.
+/// Recipient of an `ANNOUNCE` to all peers.
 pub const ALL_PEERS: i64 = -1;
 
-/// One line of input: the events of some instances at one time.
+/// One line of input: the events of one or more instances at the same time.
 #[derive(Debug, Deserialize)]
 pub struct Batch<'a> {
     #[serde(rename = "tMs")]
@@ -24,7 +24,7 @@
     pub inbox: Vec<Incoming<'a>>,
 }
 
-/// An event.
+/// An event from the simulator.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum Incoming<'a> {
@@ -102,7 +102,7 @@
     },
 }
 
-/// Whether an endpoint list is complete, and where it comes from.
+/// Whether an endpoint list is complete, partial or restored from storage, or discovery has failed.
 #[derive(Debug, Clone, Copy, Deserialize)]
 pub enum Form {
     Partial,
@@ -167,7 +167,7 @@
     pub outbox: Vec<Outgoing>,
 }
 
-/// An action.
+/// An action for the simulator.
 #[derive(Debug, PartialEq, Serialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE", rename_all_fields = "camelCase")]
 pub enum Outgoing {
