--- a/crates/platform-settings/src/convert.rs
+++ b/crates/platform-settings/src/convert.rs
@@ -1,12 +1,12 @@
 //! Conversion to the settings of the balancer.
 
 use crate::params::{
-    ClassParams, DedupScopeName, DiscoveryMode, Effect, GoalParams, Params, Party, Penalties, ReportSource,
-    WeightMeaning, WeightUnit,
+    ClassParams, CostParams, DedupScopeParam, DiscoveryMode, ObjectiveParams, Params, ReportSource,
+    RetrySafetyParam, TenantParams, WeightMeaning, WeightUnit,
 };
 use bellcroft_balancer::*;
 
-/// Converts to the settings of the balancer; absent values keep their [`Settings::default`].
+/// Converts to the settings of the balancer; absent values are taken from [`Settings::default`].
 pub fn settings(params: &Params) -> Settings {
     let default = Settings::default();
     let duration = |ms: Option<f64>, default: Micros| ms.map_or(default, Micros::from_ms);
@@ -25,7 +25,7 @@
         report_source: report_source(params.load_reports.source),
         report_fields: params.load_reports.fields.iter().map(|name| report_field(name)).collect(),
         weights: weights(params.weights),
-        key_affinity: params.family_info.key_affinity,
+        key_affinity: params.service.key_affinity,
         max_attempts: limits.max_attempts.unwrap_or(default.max_attempts),
         hedging: limits.hedging,
         cancel: limits.cancel,
@@ -56,25 +56,25 @@
 
 fn retry_safety(params: &ClassParams) -> RetrySafety {
     match params.retry_safety {
-        Effect::Idempotent => RetrySafety::Idempotent,
-        Effect::AtMostOnce => RetrySafety::AtMostOnce,
-        Effect::Deduplicated => RetrySafety::Deduplicated {
+        RetrySafetyParam::Idempotent => RetrySafety::Idempotent,
+        RetrySafetyParam::AtMostOnce => RetrySafety::AtMostOnce,
+        RetrySafetyParam::Deduplicated => RetrySafety::Deduplicated {
             scope: match params.dedup_scope {
-                Some(DedupScopeName::All) => DedupScope::All,
-                Some(DedupScopeName::Zone) => DedupScope::Zone,
-                // Without a scope, the narrowest one is the safe choice.
-                Some(DedupScopeName::Cell) | None => DedupScope::Group,
+                Some(DedupScopeParam::All) => DedupScope::All,
+                Some(DedupScopeParam::Zone) => DedupScope::Zone,
+                // Without a configured scope, the narrowest one is the safe choice.
+                Some(DedupScopeParam::Group) | None => DedupScope::Group,
             },
             window: Micros::from_ms(params.dedup_window_ms),
         },
     }
 }
 
-fn tenant(params: &Party) -> Tenant {
+fn tenant(params: &TenantParams) -> Tenant {
     Tenant { fraction: params.fraction, allowance_per_s: params.allowance_per_s }
 }
 
-fn objective(params: &GoalParams) -> Objective {
+fn objective(params: &ObjectiveParams) -> Objective {
     Objective {
         whole: params.whole,
         worst_window: params.worst_window,
@@ -83,7 +83,7 @@
     }
 }
 
-fn costs(params: &Penalties) -> Costs {
+fn costs(params: &CostParams) -> Costs {
     Costs {
         cross_zone: params.cross_zone,
         probe: params.probe,
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Reads the settings object of an instance: from the simulator's first message, and from an agent's configuration. The
-//! platform's keys are known here only.
+//! Reads the settings object of an instance, which is part of the simulator's first message and of an agent's
+//! configuration. No other crate uses the platform's keys.
 
 mod convert;
 mod names;
@@ -11,7 +11,7 @@
 pub use params::Params;
 pub use validation::validation_errors;
 
-/// The 64-bit FNV-1a hash of a text: equal in every process and version, and only good enough to distinguish keys.
+/// The 64-bit FNV-1a hash of a text. It is equal in every process and version; it is suitable only for distinguishing keys.
 pub fn fnv1a(text: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
--- a/crates/platform-settings/src/names.rs
+++ b/crates/platform-settings/src/names.rs
@@ -1,33 +1,33 @@
-//! Names and connection limits, which the balancer does not need.
+//! Names and connection timeouts, which an agent needs in addition to the settings of the balancer.
 
 use crate::params::Params;
 use bellcroft_balancer::*;
 
-/// The connect timeout where the settings give none, in milliseconds.
+/// Default of `limits.connectTimeoutMs`.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
-/// The keepalive where the settings give none, in milliseconds.
+/// Default of `limits.keepaliveMs`.
 const DEFAULT_KEEPALIVE_MS: f64 = 15_000.0;
 
-/// The settings that an agent needs in addition to the balancer's.
+/// The names and connection timeouts of the settings.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Names {
-    /// The request classes, by [`ClassId`].
+    /// Names of the request classes, by [`ClassId`].
     pub classes: Vec<String>,
-    /// The tenants, by [`TenantId`].
+    /// Names of the tenants, by [`TenantId`].
     pub tenants: Vec<String>,
-    /// The zones, by [`ZoneId`].
+    /// Names of the zones, by [`ZoneId`].
     pub zones: Vec<String>,
-    /// The machine types, by [`MachineTypeId`].
+    /// Names of the machine types, by [`MachineTypeId`].
     pub machine_types: Vec<String>,
-    /// The fields of a load report, in the order of [`Settings::report_fields`].
+    /// Names of the fields of a load report, in the order of [`Settings::report_fields`].
     pub report_fields: Vec<String>,
-    /// The timeout for establishing a connection.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Micros,
-    /// Servers close connections that have been idle for this long.
+    /// Time after which servers close idle connections.
     pub keepalive: Micros,
 }
 
-/// Extracts the names and the limits of connections.
+/// Extracts the names and the connection timeouts.
 pub fn names(params: &Params) -> Names {
     let duration = |ms: Option<f64>, default_ms: f64| Micros::from_ms(ms.unwrap_or(default_ms));
     Names {
--- a/crates/platform-settings/src/params.rs
+++ b/crates/platform-settings/src/params.rs
@@ -1,4 +1,4 @@
-//! The settings object as it is written, with the platform's keys.
+//! The settings object in its JSON form, with the platform's keys.
 
 use serde::Deserialize;
 
@@ -9,18 +9,19 @@
     pub(crate) balancers: Option<u32>,
     pub(crate) classes: Vec<ClassParams>,
     pub(crate) discovery: Option<DiscoveryMode>,
-    pub(crate) family_info: FamilyInfo,
+    #[serde(rename = "familyInfo")]
+    pub(crate) service: ServiceParams,
     #[serde(rename = "feedback")]
-    pub(crate) load_reports: Feedback,
+    pub(crate) load_reports: LoadReportParams,
     #[serde(rename = "goal")]
-    pub(crate) objective: GoalParams,
+    pub(crate) objective: ObjectiveParams,
     pub(crate) limits: Limits,
     #[serde(rename = "overShareWorth")]
     pub(crate) over_quota_weight: Option<f64>,
     #[serde(rename = "parties")]
-    pub(crate) tenants: Vec<Party>,
+    pub(crate) tenants: Vec<TenantParams>,
     #[serde(rename = "penalties")]
-    pub(crate) costs: Penalties,
+    pub(crate) costs: CostParams,
     #[serde(rename = "periodMs")]
     pub(crate) event_interval_ms: Option<f64>,
     pub(crate) rules: Rules,
@@ -43,10 +44,10 @@
     pub(crate) latency_objective_ms: f64,
     pub(crate) deadline_ms: f64,
     #[serde(rename = "effect")]
-    pub(crate) retry_safety: Effect,
+    pub(crate) retry_safety: RetrySafetyParam,
     pub(crate) name: String,
     #[serde(rename = "group")]
-    pub(crate) dedup_scope: Option<DedupScopeName>,
+    pub(crate) dedup_scope: Option<DedupScopeParam>,
     #[serde(rename = "lateWorth")]
     pub(crate) late_weight: f64,
     pub(crate) stream: bool,
@@ -55,10 +56,10 @@
     pub(crate) priority_weight: f64,
 }
 
-/// What a repeated request does.
+/// Retry safety of the requests of a class.
 #[derive(Debug, Default, Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub(crate) enum Effect {
+pub(crate) enum RetrySafetyParam {
     Idempotent,
     Deduplicated,
     #[default]
@@ -68,13 +69,14 @@
 /// The servers that share their deduplication state.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub(crate) enum DedupScopeName {
+pub(crate) enum DedupScopeParam {
     All,
     Zone,
-    Cell,
+    #[serde(rename = "cell")]
+    Group,
 }
 
-/// How changes of the endpoint list arrive.
+/// How an instance learns of changes of the endpoint list.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum DiscoveryMode {
@@ -92,7 +94,7 @@
     Live,
 }
 
-/// What weights count per.
+/// What a priority weight counts per: a request, or a unit of its work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum WeightUnit {
@@ -100,7 +102,7 @@
     Work,
 }
 
-/// Where load reports come from.
+/// The source of load reports.
 #[derive(Debug, Default, Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum ReportSource {
@@ -113,23 +115,23 @@
 /// Properties of the service.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub(crate) struct FamilyInfo {
+pub(crate) struct ServiceParams {
     #[serde(rename = "warmKeys")]
     pub(crate) key_affinity: bool,
 }
 
-/// The load reports.
+/// Load reports of servers.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub(crate) struct Feedback {
+pub(crate) struct LoadReportParams {
     pub(crate) fields: Vec<String>,
     pub(crate) source: ReportSource,
 }
 
-/// The weights of the objective.
+/// Weights of the parts of the objective.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub(crate) struct GoalParams {
+pub(crate) struct ObjectiveParams {
     pub(crate) whole: f64,
     pub(crate) worst_class: f64,
     pub(crate) worst_tenant: f64,
@@ -156,16 +158,16 @@
 /// A tenant.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub(crate) struct Party {
+pub(crate) struct TenantParams {
     pub(crate) allowance_per_s: f64,
     pub(crate) fraction: f64,
     pub(crate) name: String,
 }
 
-/// The costs.
+/// Costs, each as a fraction of the result.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-pub(crate) struct Penalties {
+pub(crate) struct CostParams {
     pub(crate) connection: f64,
     pub(crate) cross_zone: f64,
     pub(crate) handshake: f64,
@@ -174,7 +176,7 @@
     pub(crate) waste: f64,
 }
 
-/// The parameters of the platform's rules. Durations are in milliseconds.
+/// Parameters of the platform's rules.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
 pub(crate) struct Rules {
--- a/crates/platform-settings/src/validation.rs
+++ b/crates/platform-settings/src/validation.rs
@@ -1,10 +1,10 @@
-//! Validation for an agent.
+//! Validation of the settings of an agent.
 
 use crate::params::{DiscoveryMode, Params};
 
-/// The settings that an agent can't run with, as pairs of key and description: required limits and durations that are missing,
-/// and negative values. Defaults are no substitute here, as they would be those of another deployment; the simulator always
-/// gives all of them.
+/// Returns the settings that an agent cannot run with, as pairs of key and description: required limits and durations that
+/// are missing, and negative values. Missing values get no defaults here, since a default would be the value of another
+/// deployment; the simulator always provides all of them.
 pub fn validation_errors(params: &Params) -> Vec<(&'static str, String)> {
     let (limits, rules) = (&params.limits, &params.rules);
     let is_polled = matches!(params.discovery, Some(DiscoveryMode::OnRequest));
@@ -18,12 +18,12 @@
         ("rules.stopSendingWithinMs", rules.drain_grace_period_ms, true),
         ("rules.warmAfterMs", rules.slow_start_window_ms, false),
     ];
-    let fault = |(key, value, is_required): (&'static str, Option<f64>, bool)| match value {
+    let error = |(key, value, is_required): (&'static str, Option<f64>, bool)| match value {
         None if is_required => Some((key, format!("{key} is missing"))),
         Some(value) if value < 0.0 => {
-            Some((key, format!("{key} is {value}; a time of at least 0 was expected")))
+            Some((key, format!("{key} is {value}; expected a value of at least 0")))
         }
         _ => None,
     };
-    checks.into_iter().filter_map(fault).collect()
+    checks.into_iter().filter_map(error).collect()
 }
