--- a/crates/routes/src/check.rs
+++ b/crates/routes/src/check.rs
@@ -25,14 +25,14 @@
     }
 }
 
-/// Which rules are checked: all in production; tests disable single ones to show their effect.
+/// The rules that are checked. All are enabled in production; tests disable single rules to show their effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EnabledChecks {
     /// Rule 2: retries arrive within the deduplication window.
     pub dedup_window: bool,
-    /// Rule 2: retries stay within the servers that deduplicate together.
+    /// Rule 2: retries are sent only to servers that share their deduplication state.
     pub dedup_scope: bool,
-    /// Rule 2: at-most-once requests are not retried after they may have run.
+    /// Rule 2: at-most-once requests are not retried once they may have been executed.
     pub at_most_once: bool,
     /// Rule 3: no request arrives at a draining server after its grace period.
     pub drain_grace: bool,
@@ -49,21 +49,21 @@
     check_only(config, platform, EnabledChecks::ALL)
 }
 
-/// As [`check`], restricted to the enabled rules.
+/// Like [`check`], with only the given rules enabled.
 pub fn check_only(config: &RoutesConfig, platform: &Platform, checks: EnabledChecks) -> Vec<Diagnostic> {
     let mut checker = Checker { platform, checks, diagnostics: Vec::new() };
     checker.check_names(config);
     for route in &config.routes {
         let classes = matching_classes(route, platform);
         checker.check_match(route, &classes);
-        let longest = classes.iter().map(|class| platform.settings.classes[*class].deadline).max();
-        if let Some(longest) = longest {
-            checker.check_timeouts(route, longest);
+        let longest_deadline = classes.iter().map(|class| platform.settings.classes[*class].deadline).max();
+        if let Some(longest_deadline) = longest_deadline {
+            checker.check_timeouts(route, longest_deadline);
             if checks.drain_grace {
                 checker.check_drain(route);
             }
         }
-        checker.check_hedging(route, longest.unwrap_or_default());
+        checker.check_hedging(route, longest_deadline.unwrap_or_default());
         for class in classes {
             checker.check_retry_safety(route, class);
         }
@@ -74,19 +74,19 @@
     checker.diagnostics
 }
 
-/// Indices of the classes that a route can match.
+/// Indexes of the classes that a route can match.
 pub(crate) fn matching_classes(route: &RouteConfig, platform: &Platform) -> Vec<usize> {
-    let first = route.matches.path.as_deref().and_then(|path| path.strip_prefix('/'));
+    let path = route.matches.path.as_deref().and_then(|path| path.strip_prefix('/'));
     (0..platform.classes.len())
         .filter(|&class| {
             let name = platform.classes[class].as_str();
-            let named = route.matches.class.as_deref().is_none_or(|own| own == name);
+            let class_matches = route.matches.class.as_deref().is_none_or(|class| class == name);
             // The first path segment is the class; an incomplete segment can match several classes.
-            let on_path = first.is_none_or(|path| match path.split_once(['/', '?']) {
-                Some((part, _)) => part == name,
+            let path_matches = path.is_none_or(|path| match path.split_once(['/', '?']) {
+                Some((segment, _)) => segment == name,
                 None => name.starts_with(path),
             });
-            named && on_path
+            class_matches && path_matches
         })
         .collect()
 }
@@ -110,9 +110,9 @@
     }
 
     fn check_names(&mut self, config: &RoutesConfig) {
-        let mut seen: HashMap<&str, usize> = HashMap::new();
+        let mut lines: HashMap<&str, usize> = HashMap::new();
         for route in &config.routes {
-            if let Some(line) = seen.insert(&route.name, route.lines.section) {
+            if let Some(line) = lines.insert(&route.name, route.lines.section) {
                 self.report_route(
                     route,
                     "name",
@@ -160,13 +160,13 @@
         }
     }
 
-    /// Rejects timeouts longer than an outer bound: they would have no effect.
-    fn check_timeouts(&mut self, route: &RouteConfig, longest: Micros) {
-        let timeout = route.timeout.unwrap_or(longest);
+    /// Rejects timeouts that are longer than the time that contains them: they would have no effect.
+    fn check_timeouts(&mut self, route: &RouteConfig, longest_deadline: Micros) {
+        let timeout = route.timeout.unwrap_or(longest_deadline);
         let attempt = route.attempt_timeout.unwrap_or(timeout);
         let platform = self.platform.connect_timeout;
-        for (key, value, bound, what) in [
-            ("timeout", route.timeout, longest, "clients wait"),
+        for (key, value, bound, bound_description) in [
+            ("timeout", route.timeout, longest_deadline, "clients wait"),
             ("attempt_timeout", route.attempt_timeout, timeout, "the request may take"),
             ("queue_timeout", route.queue_timeout, timeout, "the request may take"),
             ("connect_timeout", route.connect_timeout, attempt, "an attempt may take"),
@@ -175,7 +175,7 @@
         ] {
             if let Some(value) = value.filter(|value| *value > bound) {
                 let (value, bound) = (format_duration(value), format_duration(bound));
-                let message = format!("{key} = {value} is longer than {what}; at most {bound}");
+                let message = format!("{key} = {value} is longer than {bound_description}; at most {bound}");
                 self.report_route(route, key, message);
             }
         }
@@ -186,7 +186,7 @@
         }
     }
 
-    fn check_hedging(&mut self, route: &RouteConfig, longest: Micros) {
+    fn check_hedging(&mut self, route: &RouteConfig, longest_deadline: Micros) {
         let key = "second_copy_after";
         if route.hedge == HedgePolicy::Never {
             if route.max_hedge_ratio.is_some() {
@@ -204,7 +204,7 @@
                 "a second copy is an attempt, and attempts = 1; at least 2, or second_copy_after = \"never\"";
             self.report_route(route, key, message.into());
         }
-        let attempt = route.attempt_timeout.or(route.timeout).unwrap_or(longest);
+        let attempt = route.attempt_timeout.or(route.timeout).unwrap_or(longest_deadline);
         if let HedgePolicy::After(after) = route.hedge {
             if after >= attempt {
                 let (after, attempt) = (format_duration(after), format_duration(attempt));
@@ -219,18 +219,20 @@
     fn check_retry_safety(&mut self, route: &RouteConfig, class: usize) {
         let name = &self.platform.classes[class];
         let class = &self.platform.settings.classes[class];
-        let repeats = route.retry_on.is_none_or(bellcroft_balancer::RetryOn::after_it_may_have_run);
-        let copies = route.hedge != HedgePolicy::Never;
+        let retries_after_execution =
+            route.retry_on.is_none_or(bellcroft_balancer::RetryOn::after_it_may_have_run);
+        let hedges = route.hedge != HedgePolicy::Never;
         match class.retry_safety {
             RetrySafety::Idempotent => {}
             RetrySafety::AtMostOnce => {
-                if self.checks.at_most_once && copies {
+                if self.checks.at_most_once && hedges {
                     let message =
                         format!("{name} must not run twice (rule 2), and a second copy would; \"never\"");
                     self.report_route(route, "second_copy_after", message);
                 }
-                // Without an explicit retry_on the balancer never retries an at-most-once request that may have run.
-                if self.checks.at_most_once && route.retry_on.is_some() && repeats {
+                // Without an explicit retry_on the balancer never retries an at-most-once request that may have been
+                // executed.
+                if self.checks.at_most_once && route.retry_on.is_some() && retries_after_execution {
                     let message = format!(
                         "{name} must not run twice (rule 2), and after a reset, a time-out or an error it may have \
                          run; at most retry_on = [\"connect\", \"rejected\"]"
@@ -239,10 +241,13 @@
                 }
             }
             RetrySafety::Deduplicated { scope, window } => {
-                if self.checks.dedup_scope && (repeats || copies) {
+                if self.checks.dedup_scope && (retries_after_execution || hedges) {
                     self.check_dedup_scope(route, name, scope);
                 }
-                if self.checks.dedup_window && (repeats || copies) && !route.has_default_retries() {
+                if self.checks.dedup_window
+                    && (retries_after_execution || hedges)
+                    && !route.has_default_retries()
+                {
                     self.check_dedup_window(route, name, class, window);
                 }
             }
@@ -250,14 +255,14 @@
     }
 
     fn check_dedup_scope(&mut self, route: &RouteConfig, name: &str, scope: DedupScope) {
-        let reach = match (scope, route.retry_within) {
+        let servers = match (scope, route.retry_within) {
             (DedupScope::Zone, Some(RetryScope::Any)) => "servers of one zone",
             (DedupScope::Group, Some(RetryScope::Any | RetryScope::Zone)) => "servers of one cell",
             _ => return,
         };
         let accepted = if scope == DedupScope::Zone { "retry_within = \"zone\"" } else { "no retry_within" };
         let message = format!(
-            "only {reach} drop repeats of {name} together (rule 2), and a repeat may go further; {accepted}, or \
+            "only {servers} drop repeats of {name} together (rule 2), and a repeat may go further; {accepted}, or \
              retry_on = [\"connect\", \"rejected\"] without second copies"
         );
         self.report_route(route, "retry_within", message);
@@ -265,7 +270,7 @@
 
     fn check_dedup_window(&mut self, route: &RouteConfig, name: &str, class: &Class, window: Micros) {
         let timeline = AttemptTimeline::new(route, class, self.platform);
-        let Some(arrives) = timeline.latest_retry_arrival().filter(|arrives| *arrives > window) else {
+        let Some(arrival) = timeline.latest_retry_arrival().filter(|arrival| *arrival > window) else {
             return;
         };
         let n = timeline.attempts.len();
@@ -285,14 +290,14 @@
         if deadline > Micros::ZERO {
             accepted.push(format!("timeout = {}", format_duration(deadline)));
         }
-        let held = match timeline.queue_timeout {
+        let queueing = match timeline.queue_timeout {
             Some(_) => "",
             None => ", held back as long as its client waits (no queue_timeout)",
         };
         let message = format!(
-            "attempts = {n}{attempt} can send a repeat that arrives {} after the first{held}; {name}'s servers drop \
+            "attempts = {n}{attempt} can send a repeat that arrives {} after the first{queueing}; {name}'s servers drop \
              repeats for {} (rule 2). At most {}",
-            format_duration(arrives),
+            format_duration(arrival),
             format_duration(window),
             accepted.join(", or ")
         );
@@ -300,18 +305,18 @@
         self.report_route(route, key, message);
     }
 
-    /// A server can begin to drain right after its selection: a request written once the connection is established
-    /// must still arrive within the grace period.
+    /// Checks rule 3. A server can begin to drain right after its selection; a request that is written once the connection
+    /// is established must still arrive within the drain grace period.
     fn check_drain(&mut self, route: &RouteConfig) {
         let grace = self.platform.settings.drain_grace_period;
         let Some(connect) = route.connect_timeout else { return };
-        let arrives = Micros(connect.0 + SCHEDULING_DELAY.0 + NETWORK_DELAY.0);
-        if arrives > grace {
+        let arrival = Micros(connect.0 + SCHEDULING_DELAY.0 + NETWORK_DELAY.0);
+        if arrival > grace {
             let message = format!(
                 "connect_timeout = {} lets a request reach a server {} after that began to drain, and the grace is {} \
                  (rule 3). At most {}",
                 format_duration(connect),
-                format_duration(arrives),
+                format_duration(arrival),
                 format_duration(grace),
                 format_duration(round_down(grace.saturating_sub(SCHEDULING_DELAY).saturating_sub(NETWORK_DELAY)))
             );
@@ -326,11 +331,11 @@
             let RouteMatch { class, tenant, path } = &route.matches;
             let (class, tenant, path) =
                 (class.as_deref(), tenant.as_deref(), path.as_deref().unwrap_or_default());
-            if let Some(before) = index.first(class, tenant, path) {
-                let before = &config.routes[before];
+            if let Some(earlier) = index.first(class, tenant, path) {
+                let earlier = &config.routes[earlier];
                 let message = format!(
                     "it can never match: route {:?} in line {} matches all that it does and stands before it",
-                    before.name, before.lines.section
+                    earlier.name, earlier.lines.section
                 );
                 self.report_route(route, "match", message);
             }
@@ -338,14 +343,15 @@
         }
     }
 
+    /// Rejects pools with a limit below the sum of their routes' limits.
     fn check_pools(&mut self, config: &RoutesConfig) {
         for pool in &config.pools {
             let routes: Vec<&RouteConfig> =
                 config.routes.iter().filter(|route| route.pool.as_ref() == Some(&pool.name)).collect();
-            let sum = |of: fn(&RouteConfig) -> Option<f64>| {
-                routes.iter().filter_map(|route| of(route)).sum::<f64>()
+            let sum = |limit: fn(&RouteConfig) -> Option<f64>| {
+                routes.iter().filter_map(|route| limit(route)).sum::<f64>()
             };
-            for (key, own, all) in [
+            for (key, limit, sum_of_routes) in [
                 (
                     "retry_budget",
                     pool.retry_budget.map(|b| b.ratio),
@@ -361,9 +367,9 @@
                 ("max_held", pool.max_queued.map(f64::from), sum(|r| r.max_queued.map(f64::from))),
             ] {
                 // The relative tolerance covers the rounding error of sums of decimal fractions.
-                if let Some(own) = own.filter(|own| all > own * (1.0 + 1e-9)) {
-                    let all = (all * 1e6).round() / 1e6;
-                    let message = format!("its routes' {key} add up to {all}, more than its own {own}");
+                if let Some(limit) = limit.filter(|limit| sum_of_routes > limit * (1.0 + 1e-9)) {
+                    let sum = (sum_of_routes * 1e6).round() / 1e6;
+                    let message = format!("its routes' {key} add up to {sum}, more than its own {limit}");
                     self.report_pool(pool, key, message);
                 }
             }
--- a/crates/routes/src/config.rs
+++ b/crates/routes/src/config.rs
@@ -1,4 +1,4 @@
-//! Route configuration as parsed from the operator's file, before any check.
+//! Route configuration as parsed from the operator's file, before the check.
 
 use bellcroft_balancer::{Micros, RetryOn};
 use std::collections::BTreeMap;
@@ -19,16 +19,16 @@
     }
 }
 
-/// All routes and pools of a file.
+/// The routes and pools of a file.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct RoutesConfig {
     /// Routes in the file's order; the first match applies.
     pub routes: Vec<RouteConfig>,
-    /// Pools (`[pool.NAME]`).
+    /// Pools in the file's order.
     pub pools: Vec<PoolConfig>,
 }
 
-/// Match conditions of a route; `None` matches anything.
+/// Match conditions of a route; all of them must hold, and `None` matches any request.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RouteMatch {
     /// Class name.
@@ -39,7 +39,7 @@
     pub path: Option<String>,
 }
 
-/// Servers that retries and hedges may be sent to.
+/// Servers that retries and hedged requests may be sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryScope {
     /// Any server.
@@ -54,22 +54,22 @@
     /// No hedging.
     #[default]
     Never,
-    /// After this delay from the send.
+    /// After this delay from the send decision of an attempt.
     After(Micros),
     /// After this percentile (0 to 100) of the class's recent response times.
     Percentile(f64),
 }
 
-/// Retry budget: `{ ratio = 0.1, burst = 5 }`.
+/// A retry budget, such as `{ ratio = 0.1, burst = 5 }`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudgetConfig {
-    /// Retries that each request adds to the budget.
+    /// Number of retries that each request adds to the budget.
     pub ratio: f64,
     /// Maximum balance, in retries.
     pub burst: f64,
 }
 
-/// A `[[route]]` section. `None` keeps the behaviour of requests without a route.
+/// A `[[route]]` section. A setting that is `None` has the same effect as for requests without a route.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct RouteConfig {
     /// Name.
@@ -78,11 +78,11 @@
     pub matches: RouteMatch,
     /// Upper bound of the client's deadline.
     pub timeout: Option<Micros>,
-    /// From the send decision to the end of the attempt.
+    /// Maximum time from the send decision to the end of the attempt.
     pub attempt_timeout: Option<Micros>,
-    /// From the send decision to an established connection.
+    /// Maximum time from the send decision to an established connection.
     pub connect_timeout: Option<Micros>,
-    /// From the request's write to an established connection to the end of the response head.
+    /// Maximum time from the write of the request on an established connection to the end of the response head.
     pub first_byte_timeout: Option<Micros>,
     /// Maximum time in the queue before each attempt.
     pub queue_timeout: Option<Micros>,
@@ -109,10 +109,10 @@
 }
 
 impl RouteConfig {
-    /// Whether no setting affects if or when a request is retried.
+    /// Whether no setting affects whether or when a request is retried.
     pub fn has_default_retries(&self) -> bool {
-        let times = [self.timeout, self.attempt_timeout, self.connect_timeout, self.queue_timeout];
-        times.iter().all(Option::is_none)
+        let timeouts = [self.timeout, self.attempt_timeout, self.connect_timeout, self.queue_timeout];
+        timeouts.iter().all(Option::is_none)
             && self.attempts.is_none()
             && self.retry_on.is_none()
             && self.hedge == HedgePolicy::Never
--- a/crates/routes/src/explain.rs
+++ b/crates/routes/src/explain.rs
@@ -8,8 +8,8 @@
 use bellcroft_balancer::{DedupScope, Micros, RetrySafety};
 use std::fmt::Write;
 
-/// Formats the worst-case timeline of each route for each class that it can match: latest send and arrival of each
-/// attempt, with the deduplication window and the deadline.
+/// Formats the worst-case timeline of each route for each class that it can match: the latest send decision and arrival of
+/// each attempt, the deduplication window and the deadline.
 pub fn explain(config: &RoutesConfig, platform: &Platform) -> String {
     let mut text = String::new();
     for route in &config.routes {
@@ -41,7 +41,7 @@
     }
 }
 
-/// Describes a class's retry safety; the second part is its deduplication window.
+/// Describes a class's retry safety; also returns its deduplication window, if it has one.
 fn describe_retry_safety(retry_safety: RetrySafety) -> (String, Option<Micros>) {
     match retry_safety {
         RetrySafety::Idempotent => ("safe to repeat".to_owned(), None),
@@ -57,7 +57,7 @@
     }
 }
 
-/// The timeline's events after the first send decision, ordered by time.
+/// The events of the timeline after the first send decision, ordered by time.
 fn timeline_events(
     route: &RouteConfig,
     timeline: &AttemptTimeline,
@@ -65,11 +65,11 @@
 ) -> Vec<(Micros, String)> {
     let mut events = Vec::new();
     for (n, attempt) in (1..).zip(&timeline.attempts) {
-        let repeat = if n == 1 { "" } else { ", a repeat" };
+        let qualifier = if n == 1 { "" } else { ", a repeat" };
         if n > 1 {
             events.push((attempt.latest_send, format!("attempt {n} is decided, at the latest")));
         }
-        let arrival = format!("the first byte of attempt {n}{repeat} arrives, at the latest");
+        let arrival = format!("the first byte of attempt {n}{qualifier} arrives, at the latest");
         events.push((attempt.latest_arrival, arrival));
     }
     match route.hedge {
--- a/crates/routes/src/index.rs
+++ b/crates/routes/src/index.rs
@@ -3,20 +3,22 @@
 use crate::config::RouteMatch;
 use std::collections::{BTreeSet, HashMap};
 
-/// Route positions by class, tenant and path prefix. A lookup costs one probe for each distinct prefix length.
+/// Positions of routes in the file, by class, tenant and path prefix. A search of a prefix index takes one hash lookup for
+/// each distinct prefix length.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct RouteIndex {
     by_class: HashMap<String, TenantIndex>,
     any_class: TenantIndex,
 }
 
+/// The prefix indexes of the routes for one class, by tenant.
 #[derive(Debug, Clone, Default)]
 struct TenantIndex {
     by_tenant: HashMap<String, PrefixIndex>,
     any_tenant: PrefixIndex,
 }
 
-/// The first position of each path prefix.
+/// The first position of each path prefix, and the lengths of all prefixes.
 #[derive(Debug, Clone, Default)]
 struct PrefixIndex {
     lengths: BTreeSet<usize>,
@@ -24,7 +26,7 @@
 }
 
 impl PrefixIndex {
-    /// The first position whose prefix `path` begins with.
+    /// The first position whose prefix is a prefix of `path`.
     fn first(&self, path: &str) -> Option<usize> {
         let prefixes = self.lengths.iter().map_while(|length| path.as_bytes().get(..*length));
         let positions =
--- a/crates/routes/src/latency_window.rs
+++ b/crates/routes/src/latency_window.rs
@@ -8,15 +8,17 @@
 const MAX_SAMPLES: usize = 512;
 /// Minimum number of samples for a percentile; fewer are not significant.
 const MIN_SAMPLES: usize = 20;
-/// Number of new samples after which the sorted copy is rebuilt; percentiles are unchanged in between.
+/// Number of new samples after which the sorted copy is rebuilt; percentiles do not change in between.
 const REFRESH_INTERVAL: u32 = 32;
 
 /// Sliding window of a class's response times.
 #[derive(Debug, Default)]
 pub struct LatencyWindow {
+    /// The most recent response times, the oldest first.
     samples: RefCell<VecDeque<Micros>>,
-    /// Samples since `sorted` was last rebuilt.
+    /// Number of samples added since `sorted` was last rebuilt.
     samples_since_refresh: Cell<u32>,
+    /// A sorted copy of `samples`, rebuilt every [`REFRESH_INTERVAL`] samples.
     sorted: RefCell<Vec<Micros>>,
 }
 
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -14,13 +14,13 @@
 //!
 //! # States
 //!
-//! A [`RouteTable`] is immutable; a reload compiles a new one, and open requests keep their `Arc` of the old limits.
+//! A [`RouteTable`] is immutable; a reload compiles a new one, and pending requests keep their `Arc` of the old limits.
 //! [`BudgetIds`] are kept until the process exits, so that budgets keep their balance over reloads. [`LatencyWindow`] is
 //! single-threaded (interior mutability through cells).
 //!
 //! # Errors and units
 //!
-//! A rejected configuration is a list of [`Diagnostic`]s, each with a line number counted from 1. Durations are
+//! A rejected configuration is reported as a list of [`Diagnostic`]s, each with a line number counted from 1. Durations are
 //! `Micros` (microseconds); percentiles run from 0 to 100; hedge ratios are shares of a route's requests.
 
 mod check;
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -8,8 +8,8 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Identifiers of budgets and concurrency limits, by the name of their route or pool. They are stable over reloads, so
-/// that a reload neither refills a budget nor resets the count of attempts in flight.
+/// Identifiers of budgets and concurrency limits, by the name of their route or pool. They are stable across reloads, so
+/// that a reload neither refills a budget nor resets the number of attempts in flight.
 #[derive(Debug, Clone, Default)]
 pub struct BudgetIds {
     assigned: HashMap<String, u32>,
@@ -30,15 +30,15 @@
     pub name: String,
     /// Limits that the balancer enforces for the route's requests.
     pub limits: Arc<Limits>,
-    /// From the send decision to an established connection.
+    /// Maximum time from the send decision to an established connection.
     pub connect_timeout: Option<Micros>,
-    /// From the request's write to an established connection to the end of the response head.
+    /// Maximum time from the write of the request on an established connection to the end of the response head.
     pub first_byte_timeout: Option<Micros>,
     /// When a hedged request is sent.
     pub hedge: HedgePolicy,
 }
 
-/// All compiled routes of a file, immutable.
+/// The compiled routes of a file. The table is immutable.
 #[derive(Debug, Clone, Default)]
 pub struct RouteTable {
     routes: Vec<Arc<Route>>,
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     ///
-    /// All diagnostics of [`check`], if there is any.
+    /// Returns the diagnostics of [`check`] if there are any.
     pub fn compile(
         config: &RoutesConfig,
         platform: &Platform,
@@ -63,7 +63,8 @@
         Ok(Self::unchecked(config, ids))
     }
 
-    /// Compiles a configuration that was checked before, or that a test leaves unchecked on purpose.
+    /// Compiles a configuration without a check, for one that has been checked before, and for tests of the enforcement at
+    /// run time.
     pub fn unchecked(config: &RoutesConfig, ids: &mut BudgetIds) -> Self {
         let mut index = RouteIndex::default();
         let mut routes = Vec::with_capacity(config.routes.len());
@@ -84,7 +85,7 @@
         self.routes.is_empty()
     }
 
-    /// The first route, in the file's order, that matches a request.
+    /// Finds the first route, in the file's order, that matches a request.
     pub fn lookup(&self, class: &str, tenant: Option<&str>, path: &str) -> Option<&Arc<Route>> {
         if self.routes.is_empty() {
             return None;
@@ -95,7 +96,7 @@
 
 /// Budgets and concurrency limits of one route or pool.
 struct SharedLimits {
-    /// `route NAME` or `pool NAME`, the key of its identifiers.
+    /// The owner in the form `route NAME` or `pool NAME`, the prefix of the names of its identifiers.
     owner: String,
     retry_budget: Option<RetryBudgetConfig>,
     max_hedge_ratio: Option<f64>,
@@ -112,13 +113,13 @@
             limits.budgets.push(RetryBudget { id, ratio, burst, strict: true });
         }
         if let Some(ratio) = self.max_hedge_ratio {
-            let id = ids.id_for(format!("{owner} copies"));
-            // With a burst below 1 the budget could never pay for a first hedge.
+            let id = ids.id_for(format!("{owner} hedges"));
+            // With a burst below 1 the budget would never allow a hedged request.
             limits.hedge_budgets.push(RetryBudget { id, ratio, burst: 1.0, strict: true });
         }
         if self.max_in_flight.is_some() || self.max_queued.is_some() {
             limits.concurrency_limits.push(ConcurrencyLimit {
-                id: ids.id_for(format!("{owner} bounds")),
+                id: ids.id_for(format!("{owner} concurrency")),
                 max_in_flight: self.max_in_flight.unwrap_or(u32::MAX),
                 max_queued: self.max_queued.unwrap_or(u32::MAX),
             });
--- a/crates/routes/src/timeline.rs
+++ b/crates/routes/src/timeline.rs
@@ -5,19 +5,20 @@
 use crate::platform::Platform;
 use bellcroft_balancer::{Class, Micros};
 
-/// Lateness of a timer and the tasks behind it, at each step of a request. The platform allows each time limit 50 ms.
+/// Assumed maximum delay of a timer and of the tasks that it wakes, at each step of a request. The platform tolerates
+/// 50 ms at each time limit.
 pub const SCHEDULING_DELAY: Micros = Micros(20_000);
-/// Time from the agent's socket to the server's. The server decides about duplicates on arrival.
+/// Assumed maximum time from the agent's socket to the server's. The server detects duplicates on arrival.
 pub const NETWORK_DELAY: Micros = Micros(50_000);
 
 /// Worst-case timeline of one request. All times count from the decision to send the first attempt.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AttemptTimeline {
-    /// The client's deadline; no byte leaves after it.
+    /// The client's deadline; no byte is written after it.
     pub deadline: Micros,
-    /// Timeout of one attempt.
+    /// Timeout of each attempt.
     pub attempt_timeout: Micros,
-    /// Connect timeout within an attempt.
+    /// Connect timeout of each attempt.
     pub connect_timeout: Micros,
     /// Maximum queueing time before a retry; `None` if only the deadline bounds it.
     pub queue_timeout: Option<Micros>,
@@ -28,14 +29,14 @@
 /// Worst-case timing of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptTiming {
-    /// Latest send decision. The earliest is time zero, as the previous attempt can fail immediately.
+    /// Latest send decision. The earliest one is at time zero, as the previous attempt can fail immediately.
     pub latest_send: Micros,
     /// Latest arrival of the first byte at the server.
     pub latest_arrival: Micros,
 }
 
 impl AttemptTimeline {
-    /// Computes the timeline of a route's requests of one class.
+    /// Computes the timeline of a route's requests that have this class.
     pub fn new(route: &RouteConfig, class: &Class, platform: &Platform) -> Self {
         let deadline = route.timeout.unwrap_or(class.deadline).min(class.deadline);
         let attempt_timeout = route.attempt_timeout.unwrap_or(deadline).min(deadline);
@@ -49,8 +50,8 @@
         timeline
     }
 
-    /// Timing of the `n`th attempt (from 1): each attempt before it takes its full timeout and ends late, and each
-    /// retry is queued for the full queue timeout. No byte leaves after the deadline.
+    /// Timing of the `n`th attempt (from 1) in the worst case: each attempt before it finishes [`SCHEDULING_DELAY`] after
+    /// its timeout, and each retry is queued for the full queue timeout. No byte is written after the deadline.
     pub fn timing(&self, n: u32) -> AttemptTiming {
         let previous_attempts = f64::from(n.saturating_sub(1));
         let interval = match self.queue_timeout {
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -132,8 +132,8 @@
         Ok(update(entries.iter().map(|entry| self.endpoint(entry)).collect()))
     }
 
-    /// The endpoint of an entry. A server's number is a hash of its name, so that all balancers use the same number when they
-    /// exchange hints. If two names have the same hash, the later one gets the next free number.
+    /// The endpoint of an entry. A server's number is a hash of its name, so that all balancers use the same number when
+    /// they exchange hints. If two names have the same hash, the later one gets the next free number.
     fn endpoint(&mut self, entry: &CatalogEntry) -> Endpoint {
         let server = *self.servers.entry(entry.name.clone()).or_insert_with(|| {
             let mut number = fnv1a(&entry.name) as u32;
