--- a/crates/routes/tests/random_routes/simulation.rs
+++ b/crates/routes/tests/random_routes/simulation.rs
@@ -1,41 +1,45 @@
-//! Simulation of one route's requests through the real balancer, and the observer of the rules.
+//! Simulation of one route's requests with the real balancer, and the observer of the platform's rules.
 
-use super::{names, settings, Disabled, ARRIVAL_STEPS, CONNECT, DEADLINE, GRACE, STEPS};
+use super::{
+    class_names, settings, DisabledEnforcement, ARRIVAL_STEPS, CONNECT_TIMEOUT_MS, DEADLINE_MS,
+    DRAIN_GRACE_PERIOD_MS, STEPS,
+};
 use bellcroft_balancer::*;
 use bellcroft_routes::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An attempt in flight: connection setup, write and outcome.
-struct AttemptInFlight {
+/// An attempt: connection setup, write and outcome.
+struct SimulatedAttempt {
     server: ServerId,
     sent_at: Time,
     timeout_at: Time,
     write_by: Time,
     connected_at: Time,
-    /// When its first byte was written.
+    /// Time at which the first byte was written.
     written_at: Option<Time>,
-    ends_at: Time,
+    /// Time at which the outcome is known.
+    finishes_at: Time,
     outcome: Outcome,
-    ended: bool,
+    is_finished: bool,
 }
 
 struct SimulatedRequest {
     class: usize,
-    attempts: Vec<AttemptInFlight>,
-    answered: bool,
+    attempts: Vec<SimulatedAttempt>,
+    has_response: bool,
     deadline: Time,
 }
 
 impl SimulatedRequest {
-    /// The earliest write of an attempt that may have run; a rejected attempt has not run.
+    /// The earliest write of an attempt that may have been executed; a rejected attempt has not been.
     fn first_write(&self) -> Option<(Time, ServerId)> {
-        let rejected = |a: &&AttemptInFlight| a.ended && a.outcome == Outcome::Rejected;
+        let rejected = |a: &&SimulatedAttempt| a.is_finished && a.outcome == Outcome::Rejected;
         let may_have_run = self.attempts.iter().filter(|a| !rejected(a));
         may_have_run.filter_map(|a| a.written_at.map(|at| (at, a.server))).min()
     }
 }
 
-/// Observes writes and records violations of the rules; it knows neither the route nor the balancer's decisions.
+/// Records violations of the rules from the observed writes. It knows neither the route nor the balancer's decisions.
 #[derive(Default)]
 struct RuleObserver {
     violations: Vec<String>,
@@ -45,7 +49,8 @@
 }
 
 impl RuleObserver {
-    /// Checks one write against the request's state and its first write.
+    /// Checks a write. `request` holds the request's class, whether it has a response, and its deadline; `first` is the
+    /// request's first write, if there was one.
     fn on_write(
         &mut self,
         now: Time,
@@ -54,15 +59,16 @@
         request: (usize, bool, Time),
         first: Option<(Time, ServerId)>,
     ) {
-        let (class, answered, deadline) = request;
-        if answered {
-            self.violations.push(format!("{id}: a byte after the answer"));
+        let (class, has_response, deadline) = request;
+        if has_response {
+            self.violations.push(format!("{id}: write after the response"));
         }
         if now > deadline + Micros(1000) {
-            self.violations.push(format!("{id}: a byte after the deadline"));
+            self.violations.push(format!("{id}: write after the deadline"));
         }
-        if self.draining_since.get(&server).is_some_and(|at| now.since(*at) > Micros::from_ms(GRACE)) {
-            self.violations.push(format!("{id}: rule 3: a byte to a server that drains"));
+        let is_expired = |since: &Time| now.since(*since) > Micros::from_ms(DRAIN_GRACE_PERIOD_MS);
+        if self.draining_since.get(&server).is_some_and(is_expired) {
+            self.violations.push(format!("{id}: rule 3: write to a draining server after its grace period"));
         }
         let Some((first_at, first_server)) = first else { return };
         let delay = now.since(first_at);
@@ -70,25 +76,25 @@
         let same_zone = first_server.0 % 2 == server.0 % 2;
         match settings().classes[class].retry_safety {
             RetrySafety::Idempotent => {}
-            RetrySafety::AtMostOnce => self.violations.push(format!("{id}: rule 2: ran twice")),
+            RetrySafety::AtMostOnce => self.violations.push(format!("{id}: rule 2: executed twice")),
             RetrySafety::Deduplicated { window, .. } if delay > window => {
-                self.violations.push(format!("{id}: rule 2: a repeat after {delay:?}"));
+                self.violations.push(format!("{id}: rule 2: retry after {delay:?}"));
             }
             RetrySafety::Deduplicated { scope: DedupScope::Zone, .. } if !same_zone => {
-                self.violations.push(format!("{id}: rule 2: a repeat in another zone"));
+                self.violations.push(format!("{id}: rule 2: retry in another zone"));
             }
             RetrySafety::Deduplicated { .. } => {}
         }
     }
 }
 
-/// One route's requests, played through the real balancer in steps of one millisecond.
+/// Simulation of one route's requests with the real balancer, in steps of one millisecond.
 struct Simulation {
     random: fastrand::Rng,
     route: std::sync::Arc<Route>,
     class: usize,
     connect_timeout: Micros,
-    disabled: Disabled,
+    disabled: DisabledEnforcement,
     balancer: Balancer,
     actions: Vec<Action>,
     now: Time,
@@ -100,11 +106,11 @@
 }
 
 impl Simulation {
-    fn new(config: &RouteConfig, class: usize, seed: u64, disabled: Disabled) -> Self {
+    fn new(config: &RouteConfig, class: usize, seed: u64, disabled: DisabledEnforcement) -> Self {
         let config = RoutesConfig { routes: vec![config.clone()], pools: Vec::new() };
         let table = RouteTable::unchecked(&config, &mut BudgetIds::default());
-        let route = table.lookup(&names()[class], None, "/").cloned().expect("it matches");
-        let connect_timeout = route.connect_timeout.unwrap_or(Micros::from_ms(CONNECT));
+        let route = table.lookup(&class_names()[class], None, "/").cloned().expect("the route matches");
+        let connect_timeout = route.connect_timeout.unwrap_or(Micros::from_ms(CONNECT_TIMEOUT_MS));
         let mut balancer = Balancer::new(settings(), seed).expect("settings");
         let (now, mut actions) = (Time::from_ms(10_000.0), Vec::new());
         balancer.start(now, &mut actions);
@@ -129,7 +135,7 @@
         }
     }
 
-    /// Advances by one step; false once a request has no answer long after its deadline.
+    /// Advances by one step; returns false once a request has no response long after its deadline.
     fn advance(&mut self, step: u32) -> bool {
         self.now = self.now + Micros(1000);
         let mut events = Vec::new();
@@ -148,17 +154,17 @@
                 self.on_action(action);
             }
         }
-        self.requests.retain(|_, r| !r.answered || r.attempts.iter().any(|a| !a.ended));
+        self.requests.retain(|_, r| !r.has_response || r.attempts.iter().any(|a| !a.is_finished));
         let now = self.now;
-        let lost = |r: &&SimulatedRequest| !r.answered && now > r.deadline + Micros(60_000);
+        let lost = |r: &&SimulatedRequest| !r.has_response && now > r.deadline + Micros(60_000);
         let Some(request) = self.requests.values().find(lost) else { return true };
         let overdue = now.since(request.deadline);
-        self.observer.violations.push(format!("rule 1: no answer {overdue:?} after its deadline"));
+        self.observer.violations.push(format!("rule 1: no response {overdue:?} after the deadline"));
         false
     }
 
     fn new_request(&mut self) -> Event {
-        let time_left = Micros::from_ms(DEADLINE);
+        let time_left = Micros::from_ms(DEADLINE_MS);
         let hedge_after = match self.route.hedge {
             HedgePolicy::After(delay) => Some(delay),
             _ => None,
@@ -166,14 +172,15 @@
         let id = self.next_request;
         self.next_request += 1;
         let deadline = self.now + time_left;
-        let request = SimulatedRequest { class: self.class, attempts: Vec::new(), answered: false, deadline };
+        let request =
+            SimulatedRequest { class: self.class, attempts: Vec::new(), has_response: false, deadline };
         self.requests.insert(id, request);
         let limits = Some(self.route.limits.clone());
         let request = Request::new(RequestId(id), ClassId(self.class), time_left);
         Event::Request(Request { limits, hedge_after, ..request })
     }
 
-    /// Drains half of the servers and restores them later.
+    /// Sets half of the servers to draining, and all to serving later.
     fn change_endpoints(&mut self, step: u32, events: &mut Vec<Event>) {
         if step % 1500 == 100 {
             let from = self.random.u32(0..6);
@@ -189,13 +196,13 @@
         }
     }
 
-    /// Writes attempts whose connection is established and ends those that are due.
+    /// Writes the attempts whose connection is established, and finishes those that are due.
     fn advance_attempts(&mut self, events: &mut Vec<Event>) {
         let now = self.now;
         for (id, request) in &mut self.requests {
             let mut first = request.first_write();
-            for (n, attempt) in request.attempts.iter_mut().enumerate().filter(|(_, a)| !a.ended) {
-                let ended = |outcome: Outcome, sent_at: Time| Event::Outcome {
+            for (n, attempt) in request.attempts.iter_mut().enumerate().filter(|(_, a)| !a.is_finished) {
+                let outcome_event = |outcome: Outcome, sent_at: Time| Event::Outcome {
                     request: RequestId(*id),
                     attempt: AttemptNo(n as u32),
                     outcome,
@@ -206,19 +213,19 @@
                 let unwritten = attempt.written_at.is_none();
                 if unwritten && now >= attempt.connected_at && now <= attempt.timeout_at {
                     if now > attempt.write_by && !self.disabled.write_by {
-                        attempt.ended = true;
-                        events.push(ended(Outcome::NotSent, attempt.sent_at));
+                        attempt.is_finished = true;
+                        events.push(outcome_event(Outcome::NotSent, attempt.sent_at));
                         continue;
                     }
                     attempt.written_at = Some(now);
-                    let state = (request.class, request.answered, request.deadline);
+                    let state = (request.class, request.has_response, request.deadline);
                     self.observer.on_write(now, *id, attempt.server, state, first);
                     first = first.or(Some((now, attempt.server)));
                 }
                 if let Some(outcome) = attempt.due_outcome(now, self.connect_timeout) {
-                    attempt.ended = true;
-                    request.answered |= outcome == Outcome::Success;
-                    events.push(ended(outcome, attempt.sent_at));
+                    attempt.is_finished = true;
+                    request.has_response |= outcome == Outcome::Success;
+                    events.push(outcome_event(outcome, attempt.sent_at));
                 }
             }
         }
@@ -232,19 +239,19 @@
             Action::Cancel { request, attempt } => {
                 let request = self.requests.get_mut(&request.0);
                 let attempt = request.and_then(|r| r.attempts.get_mut(attempt.0 as usize));
-                if let Some(attempt) = attempt.filter(|attempt| !attempt.ended) {
+                if let Some(attempt) = attempt.filter(|attempt| !attempt.is_finished) {
                     attempt.outcome = Outcome::Cancelled;
-                    attempt.ends_at = self.now;
+                    attempt.finishes_at = self.now;
                     attempt.prevent_write();
                 }
             }
             Action::SetTimer { at, timer } => drop(self.timers.insert((at, timer))),
-            Action::Shed { request, .. } | Action::Fail { request } => self.on_final_answer(request),
+            Action::Shed { request, .. } | Action::Fail { request } => self.on_final_response(request),
             _ => {}
         }
     }
 
-    /// Starts an attempt; slow connections and slow responses are frequent, to reach the limits' edges.
+    /// Starts an attempt. Connections and responses are often slow, so that attempts come close to their limits.
     fn on_send(&mut self, request: RequestId, server: ServerId, timeout_at: Time, write_by: Time) {
         let Some(request) = self.requests.get_mut(&request.0) else { return };
         let slow_connect = Micros(self.random.u64(0..=self.connect_timeout.0));
@@ -257,46 +264,46 @@
             4 => Outcome::Rejected,
             _ => Outcome::TimedOut,
         };
-        let ends_at = match outcome {
+        let finishes_at = match outcome {
             Outcome::TimedOut => timeout_at,
             _ => self.now + connect + work,
         };
-        request.attempts.push(AttemptInFlight {
+        request.attempts.push(SimulatedAttempt {
             server,
             sent_at: self.now,
             timeout_at,
             write_by,
             connected_at: self.now + connect,
             written_at: None,
-            ends_at,
+            finishes_at,
             outcome,
-            ended: false,
+            is_finished: false,
         });
     }
 
-    fn on_final_answer(&mut self, id: RequestId) {
+    fn on_final_response(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id.0) else { return };
-        if std::mem::replace(&mut request.answered, true) {
-            self.observer.violations.push(format!("{}: two final answers", id.0));
+        if std::mem::replace(&mut request.has_response, true) {
+            self.observer.violations.push(format!("{}: two final responses", id.0));
         }
-        request.attempts.iter_mut().for_each(AttemptInFlight::prevent_write);
+        request.attempts.iter_mut().for_each(SimulatedAttempt::prevent_write);
     }
 }
 
-impl AttemptInFlight {
-    /// Keeps an unwritten attempt from being written: its connection is left to other requests.
+impl SimulatedAttempt {
+    /// Keeps an attempt that is not written yet from being written: its connection is left to other requests.
     fn prevent_write(&mut self) {
         if self.written_at.is_none() {
             self.connected_at = Time(u64::MAX);
         }
     }
 
-    /// The outcome with which the attempt ends now, if it does.
+    /// The outcome with which the attempt finishes now; `None` if it does not.
     fn due_outcome(&self, now: Time, connect_timeout: Micros) -> Option<Outcome> {
         let unwritten = self.written_at.is_none();
         let timed_out = now >= self.timeout_at;
         let connect_expired = unwritten && now.since(self.sent_at) > connect_timeout;
-        if !timed_out && now < self.ends_at && !connect_expired {
+        if !timed_out && now < self.finishes_at && !connect_expired {
             return None;
         }
         Some(match (unwritten, timed_out) {
@@ -307,12 +314,12 @@
     }
 }
 
-/// Plays one route; returns the observed violations and the latest retry's delay after the first write.
-pub(crate) fn play(
+/// Simulates one route; returns the observed violations and the longest delay from a request's first write to a retry.
+pub(crate) fn simulate(
     config: &RouteConfig,
     class: usize,
     seed: u64,
-    disabled: Disabled,
+    disabled: DisabledEnforcement,
 ) -> (Vec<String>, Micros) {
     let mut simulation = Simulation::new(config, class, seed, disabled);
     for step in 0..STEPS {
--- a/crates/routes/tests/unit/latency_window.rs
+++ b/crates/routes/tests/unit/latency_window.rs
@@ -1,9 +1,9 @@
-//! Latency window: percentiles, the minimum number of samples, eviction.
+//! The latency window: percentiles, the minimum number of samples, and eviction.
 
 use super::*;
 
 #[test]
-fn percentile_covers_recent_samples_above_minimum() {
+fn percentile_covers_recent_samples_from_the_minimum_on() {
     let window = LatencyWindow::default();
     for ms in 1..20 {
         window.add(Micros::from_ms(f64::from(ms)));
--- a/crates/routes/tests/unit/table.rs
+++ b/crates/routes/tests/unit/table.rs
@@ -1,13 +1,14 @@
-//! Route table: match order, index, standard limits, stable budget identifiers.
+//! The route table: match order, index, standard limits, and stable budget identifiers.
 
 use super::*;
 use crate::config::RouteMatch;
 
-/// Class, tenant, path.
-type Matched<'a> = (Option<&'a str>, Option<&'a str>, Option<&'a str>);
+/// Class, tenant and path of a route's match.
+type MatchParts<'a> = (Option<&'a str>, Option<&'a str>, Option<&'a str>);
 
-fn config(routes: &[Matched]) -> RoutesConfig {
-    let route = |(n, (class, tenant, path)): (usize, &Matched)| RouteConfig {
+/// A configuration with routes that are named after their positions.
+fn config(routes: &[MatchParts]) -> RoutesConfig {
+    let route = |(n, (class, tenant, path)): (usize, &MatchParts)| RouteConfig {
         name: n.to_string(),
         matches: RouteMatch {
             class: class.map(str::to_owned),
@@ -19,7 +20,7 @@
     RoutesConfig { routes: routes.iter().enumerate().map(route).collect(), pools: Vec::new() }
 }
 
-/// A file of defaults must not change any action.
+/// A route without settings must have the same effect as no route.
 #[test]
 fn route_without_settings_has_standard_limits() {
     let table = RouteTable::unchecked(&config(&[(Some("log"), None, None)]), &mut BudgetIds::default());
@@ -84,7 +85,7 @@
 }
 
 #[test]
-fn budget_ids_are_stable_over_reloads() {
+fn budget_ids_are_stable_across_reloads() {
     let mut ids = BudgetIds::default();
     let mut config = config(&[(None, None, None)]);
     let budget = Some(RetryBudgetConfig { ratio: 0.1, burst: 3.0 });
