--- a/crates/agent-core/src/guard.rs
+++ b/crates/agent-core/src/guard.rs
@@ -10,12 +10,12 @@
 /// Delay of a response after its deadline that is no violation: the platform's own allowance for sockets and clocks.
 const RESPONSE_SLACK: Micros = Micros(50_000);
 
-/// The time within which an attempt may start, and the time at which it ends.
+/// The latest start and the end of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptWindow<T> {
     /// Latest time for writing the attempt's first byte.
     pub start_by: T,
-    /// Time at which the attempt ends.
+    /// Time at which the attempt is finished at the latest.
     pub end_by: T,
 }
 
@@ -110,7 +110,7 @@
 /// A violated limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Violation {
-    /// A response was decided later after its client's deadline than a pause of the process explains.
+    /// A response was decided so late after its client's deadline that no pause of the process explains the delay.
     LateAnswer,
     /// The balancer scheduled an attempt that could have executed a request twice; the guard denied it.
     UnsafeRepeat,
@@ -216,7 +216,7 @@
     }
 
     /// Records that a response has been decided. Its client waits until `client_deadline`; since then the process has been
-    /// paused for `paused`. A pause of up to [`MAX_STALL`] is not held against the process.
+    /// paused for `paused`. A pause of up to [`MAX_STALL`] extends the allowed delay.
     ///
     /// # Errors
     ///
--- a/crates/agent-core/src/shutdown.rs
+++ b/crates/agent-core/src/shutdown.rs
@@ -24,7 +24,8 @@
 pub struct ShutdownSignal {
     /// Time at which the process read the signal.
     pub read_at: Time,
-    /// Length of the pause of the process that ended when it read the signal, which may have been sent at the pause's start.
+    /// Length of the pause of the process that ended when it read the signal. The signal may have been sent at any time of
+    /// the pause.
     pub paused: Micros,
 }
 
--- a/crates/agent-core/src/wake_delay.rs
+++ b/crates/agent-core/src/wake_delay.rs
@@ -14,7 +14,7 @@
 /// Shortest delay that counts as a pause; shorter ones are usual scheduling delays.
 const MIN_PAUSE: Micros = Micros(1_000);
 /// Time after the end of a pause within which this process learns what happened during the pause.
-const JUST_ENDED: Micros = Micros(20_000);
+const MAX_LATEST_PAUSE_AGE: Micros = Micros(20_000);
 /// Time for which a sample of the processor time is reused: reading the processor time is a system call.
 const SAMPLE_INTERVAL: Micros = Micros(5_000);
 
@@ -81,7 +81,9 @@
     /// The length of the pause that has just ended; zero if there is none.
     pub fn latest_pause(&self, now: Time, processor_time: impl FnOnce() -> Micros) -> Micros {
         let pause = self.current_pause(now, processor_time).or_else(|| self.pauses.front().copied());
-        pause.filter(|pause| now.since(pause.woke_at) < JUST_ENDED).map_or(Micros::ZERO, |pause| pause.idle)
+        pause
+            .filter(|pause| now.since(pause.woke_at) < MAX_LATEST_PAUSE_AGE)
+            .map_or(Micros::ZERO, |pause| pause.idle)
     }
 
     /// The pause that ends now, if the loop is late. Work done between the sample and the due time counts as work after the
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -1,5 +1,5 @@
 //! Reads the settings object of an instance, which is part of the simulator's first message and of an agent's
-//! configuration. No other crate uses the platform's keys.
+//! configuration. Only this crate reads the platform's keys.
 
 mod convert;
 mod names;
