--- a/crates/agent/src/driver/endpoints.rs
+++ b/crates/agent/src/driver/endpoints.rs
@@ -29,7 +29,7 @@
 const SERVER_NAME_RETENTION: Duration = Duration::from_secs(30);
 
 /// The groups of a server that no list has contained; no other server is in them.
-const UNKNOWN_GROUPS: ServerGroups = ServerGroups { zone: u32::MAX, cell: u32::MAX };
+const UNKNOWN_GROUPS: ServerGroups = ServerGroups { zone: u32::MAX, dedup_group: u32::MAX };
 
 /// The time at which a server last started.
 #[derive(Debug, Clone, Copy)]
@@ -180,11 +180,11 @@
             self.up.remove(&server);
         }
         let zone = index_or_hash(&names.zones, &record.zone);
-        self.groups.insert(server, ServerGroups { zone, cell: record.dedup_group });
+        self.groups.insert(server, ServerGroups { zone, dedup_group: record.dedup_group });
         Endpoint {
             server,
             zone: ZoneId(zone),
-            machine_type: MachineTypeId(index_or_hash(&names.kinds, &record.machine_type)),
+            machine_type: MachineTypeId(index_or_hash(&names.machine_types, &record.machine_type)),
             dedup_group: DedupGroupId(record.dedup_group),
             status,
             weight: record.weight,
--- a/crates/agent/src/driver/reload.rs
+++ b/crates/agent/src/driver/reload.rs
@@ -60,8 +60,8 @@
             settings.zone = ZoneId(*index as u32);
         }
         settings.balancers = settings.balancers.max(self.fleet_size.get());
-        let (kinds, _) = merge_names(&former_names.kinds, &new_config.names.kinds);
-        (settings, Names { tenants, zones, kinds, ..new_config.names.clone() })
+        let (machine_types, _) = merge_names(&former_names.machine_types, &new_config.names.machine_types);
+        (settings, Names { tenants, zones, machine_types, ..new_config.names.clone() })
     }
 
     /// Applies the watch policy of the present settings. Starts a new watch if the policy changes whether watches
--- a/crates/agent/src/driver/requests.rs
+++ b/crates/agent/src/driver/requests.rs
@@ -184,7 +184,7 @@
             response,
         };
         state.requests.pending.insert(id, pending);
-        if self.guard.borrow().must_answer_all(now) {
+        if self.guard.borrow().must_respond_to_all(now) {
             // No attempt of the request has been sent, so the client can safely retry it.
             self.respond(&mut state, id, FinalResponse::Shed(None), ResponseReason::Shutdown);
         } else {
@@ -258,7 +258,7 @@
     /// The time at which the response to a request with this deadline is due. A shutdown of the process may make it
     /// earlier.
     fn response_due_at(&self, deadline: Instant) -> Time {
-        self.guard.borrow().answer_by(self.clock.at(deadline))
+        self.guard.borrow().respond_by(self.clock.at(deadline))
     }
 
     /// Responds to a request for which the balancer schedules no further attempt: with 504 if its latest outcome is a
