--- a/crates/agent/src/daemon/commands.rs
+++ b/crates/agent/src/daemon/commands.rs
@@ -111,7 +111,7 @@
 
     fn drain_by_operator(&self) -> String {
         let now = self.driver.clock.now();
-        if self.server.change(|service| service.drain(now)) {
+        if self.server.update_service(|service| service.drain(now)) {
             info!(instance = %self.name(), "admin console: draining");
         }
         match self.server.serving_state() {
@@ -121,7 +121,7 @@
     }
 
     fn resume_by_operator(&self) -> String {
-        if self.server.change(bellcroft_agent_core::serving::Service::resume) {
+        if self.server.update_service(bellcroft_agent_core::serving::Service::resume) {
             info!(instance = %self.name(), "admin console: serving resumed");
             format_reply(ReplyStatus::Done, "serving")
         } else {
@@ -131,7 +131,7 @@
 
     /// The figures of the admin console's `show-stat`.
     fn stats(&self) -> Stats {
-        let (classes, _) = self.server.tally.counts();
+        let (classes, _) = self.server.request_counters.counts();
         let servers = self.driver.servers();
         let reloads = self.reloads.borrow();
         Stats {
--- a/crates/agent/src/daemon/handover.rs
+++ b/crates/agent/src/daemon/handover.rs
@@ -121,7 +121,7 @@
     match descriptor {
         Some(descriptor) => {
             let listener = std::net::TcpListener::from(descriptor);
-            Ok(Some((listener, HandoverStream(Stream::local(stream)))))
+            Ok(Some((listener, HandoverStream(Stream::unix(stream)))))
         }
         None => Err(HandoverError::NoDescriptor(String::from_utf8_lossy(&line).into_owned())),
     }
@@ -178,7 +178,7 @@
         tokio::task::spawn_local(async move {
             if matches!(timeout(EXCHANGE_TIMEOUT, transfer(&stream, copy)).await, Ok(Ok(()))) {
                 on_event(HandoverEvent::ListenerRequested);
-                HandoverStream(Stream::local(stream)).closed().await;
+                HandoverStream(Stream::unix(stream)).closed().await;
                 on_event(HandoverEvent::SuccessorExited);
             }
         });
--- a/crates/agent/src/daemon/instance.rs
+++ b/crates/agent/src/daemon/instance.rs
@@ -122,7 +122,7 @@
 
     pub(super) fn status(&self) -> Status {
         let config = self.control.config();
-        let (classes, bad_requests) = self.server.tally.counts();
+        let (classes, bad_requests) = self.server.request_counters.counts();
         let lifecycle = self.lifecycle.borrow();
         let reloads = self.reloads.borrow();
         let servers = self.driver.servers();
--- a/crates/agent/src/daemon/listen.rs
+++ b/crates/agent/src/daemon/listen.rs
@@ -26,7 +26,7 @@
     handover_socket: Option<&Path>,
 ) -> Result<(Listener, ListenerOrigin), DaemonError> {
     if let Some(socket) = inherited_listener()? {
-        let listener = Listener::adopt(socket).map_err(InheritedListenerError::Unusable)?;
+        let listener = Listener::from_std(socket).map_err(InheritedListenerError::Unusable)?;
         return Ok((listener, ListenerOrigin::Inherited));
     }
     let predecessor = match handover_socket {
@@ -37,7 +37,7 @@
     };
     let listen_error = |source| DaemonError::Listen { address, source };
     if let Some((socket, stream)) = predecessor {
-        let listener = Listener::adopt(socket).map_err(listen_error)?;
+        let listener = Listener::from_std(socket).map_err(listen_error)?;
         return Ok((listener, ListenerOrigin::Predecessor(stream)));
     }
     let listener = Listener::bind(address).await.map_err(listen_error)?;
--- a/crates/agent/src/daemon/reload.rs
+++ b/crates/agent/src/daemon/reload.rs
@@ -84,7 +84,7 @@
 
     fn apply_files(&self) -> Result<(), ReloadError> {
         self.control.reload()?;
-        self.server.tally.add_classes(&self.control.config().names.classes);
+        self.server.request_counters.add_classes(&self.control.config().names.classes);
         Ok(())
     }
 }
--- a/crates/agent/src/daemon/serve.rs
+++ b/crates/agent/src/daemon/serve.rs
@@ -288,7 +288,7 @@
             instance.control.leave();
         }
         let kind = if replaced { ShutdownKind::Replaced } else { ShutdownKind::Final };
-        instance.server.change(|service| service.shut_down(signalled, kind));
+        instance.server.update_service(|service| service.shut_down(signalled, kind));
         let successor = if replaced || handed_over { Successor::Listening } else { Successor::None };
         shutdown::answer_all(instance, signal, self.accept_task.take(), successor).await;
         // After the last response, so that the last samples count it.
--- a/crates/agent/src/daemon/shutdown.rs
+++ b/crates/agent/src/daemon/shutdown.rs
@@ -89,7 +89,7 @@
     match successor {
         // A client may use an open connection once more; that response carries `Connection: close`.
         Successor::Listening => {
-            if let Some(at) = instance.server.idle_closes() {
+            if let Some(at) = instance.server.close_idle_at() {
                 sleep_until(at).await;
             }
         }
@@ -122,7 +122,7 @@
             instance.server.refuse_incomplete();
             continue;
         }
-        let busy = instance.server.busy();
+        let busy = instance.server.is_busy();
         // Two checks: a response decided before the first is written by the second, which also sees new requests.
         if idle_at_last_check && !busy {
             break;
@@ -139,7 +139,7 @@
 /// Waits for the responses to what was read before the connections closed.
 async fn finish_last_responses(instance: &Instance) {
     let clock = instance.driver.clock;
-    while instance.server.busy() {
+    while instance.server.is_busy() {
         let must_end = instance.driver.guard.borrow().must_end(clock.now());
         // Requests that arrived since have been refused; their responses still have to be written.
         sleep(FLUSH_TIMEOUT).await;
--- a/crates/agent/src/downstream/capacity.rs
+++ b/crates/agent/src/downstream/capacity.rs
@@ -106,7 +106,7 @@
             (ConnectionState::Pending, _) => Instant::now() + STATE_CHECK_INTERVAL,
             (ConnectionState::Idle, since) => {
                 let own = since + if short { SHORT_IDLE_TIMEOUT } else { IDLE_TIMEOUT };
-                self.idle_closes().map_or(own, |at| own.min(at))
+                self.close_idle_at().map_or(own, |at| own.min(at))
             }
         }
     }
--- a/crates/agent/src/downstream/exchange.rs
+++ b/crates/agent/src/downstream/exchange.rs
@@ -33,7 +33,7 @@
             }
             // Who cannot word a request is not trusted with the rest of the connection.
             Err(answer) => {
-                self.tally.on_bad_request();
+                self.request_counters.on_bad_request();
                 if let Some(telemetry) = &self.driver.telemetry {
                     telemetry.bad();
                 }
@@ -81,7 +81,7 @@
         if upload.is_none() {
             client.whole();
         }
-        let counted = self.tally.on_request(&self.driver.class_name(arrival.class));
+        let counted = self.request_counters.on_request(&self.driver.class_name(arrival.class));
         let SubmittedRequest { id, response: mut answer, timer: owing } = self.driver.submit(arrival);
         // When the client leaves, hyper drops this future, and the guard tells the balancer.
         let _owed = PendingGuard(&self.driver, id);
--- a/crates/agent/src/downstream/mod.rs
+++ b/crates/agent/src/downstream/mod.rs
@@ -68,7 +68,7 @@
 pub struct Server {
     driver: Rc<Driver>,
     /// What became of the requests.
-    pub tally: RequestCounters,
+    pub request_counters: RequestCounters,
     service: Cell<Service>,
     /// Told of each change of the above.
     changed: watch::Sender<()>,
@@ -93,7 +93,7 @@
     /// Serves at most `connections` at a time.
     pub fn new(driver: Rc<Driver>, connections: usize, memory: usize) -> Rc<Self> {
         Rc::new(Server {
-            tally: RequestCounters::new(&driver.names().classes),
+            request_counters: RequestCounters::new(&driver.names().classes),
             driver,
             service: Cell::default(),
             changed: watch::Sender::new(()),
@@ -205,12 +205,12 @@
     }
 
     /// When connections that are idle close for the sake of its duty, if they do.
-    pub fn idle_closes(&self) -> Option<Instant> {
+    pub fn close_idle_at(&self) -> Option<Instant> {
         self.service.get().close_idle_at().map(|at| self.driver.clock.instant(at))
     }
 
     /// Changes what it is there for; connections look at it at once.
-    pub fn change<T>(&self, change: impl FnOnce(&mut Service) -> T) -> T {
+    pub fn update_service<T>(&self, change: impl FnOnce(&mut Service) -> T) -> T {
         let mut service = self.service.get();
         let told = change(&mut service);
         self.service.set(service);
@@ -251,7 +251,7 @@
 
     /// Whether any request is on its way in or has no answer yet. One may be on its way over a connection that is
     /// so fresh that its first byte has not come.
-    pub fn busy(&self) -> bool {
+    pub fn is_busy(&self) -> bool {
         let busy = |held: &HeldConnection| {
             let (state, since) = held.client.state();
             may_owe_response(state, since.elapsed())
--- a/crates/agent/src/downstream/request.rs
+++ b/crates/agent/src/downstream/request.rs
@@ -5,7 +5,7 @@
 use super::Server;
 use crate::driver::{IncomingRequest, RequestBody, MAX_UPLOAD_TIME};
 use crate::streaming_body::{ReplayBuffer, StreamingBody};
-use crate::upstream::{forwarded, join};
+use crate::upstream::{concat_chunks, forwarded_headers};
 use bellcroft_agent_core::body_limits::{self, ForwardingMode, MAX_BODY_BYTES};
 use bellcroft_agent_core::reconfigure::{ClassSignature, IncompatibleClass};
 use bellcroft_balancer::{KeyId, Micros, RetrySafety, TenantId};
@@ -93,7 +93,7 @@
             client_deadline: whole + wait,
             request_id: header_text(&head.headers, "x-request-id").unwrap_or_default().into(),
             route,
-            headers: forwarded(&head.headers),
+            headers: forwarded_headers(&head.headers),
             method: head.method,
             uri: head.uri,
             body,
@@ -116,7 +116,7 @@
         let (mut parts, mut gathered) = (Vec::new(), 0);
         loop {
             match body.frame().await {
-                None => return Ok(RequestBody::Complete(join(parts))),
+                None => return Ok(RequestBody::Complete(concat_chunks(parts))),
                 Some(Err(_)) => {
                     return Err(plain_response(StatusCode::BAD_REQUEST, "the body did not come whole"))
                 }
@@ -127,7 +127,12 @@
                 }
             }
             if gathered > most || (way == ForwardingMode::Streamed && gathered >= most) {
-                return Ok(RequestBody::Streaming(StreamingBody::new(length, join(parts), kept, body)));
+                return Ok(RequestBody::Streaming(StreamingBody::new(
+                    length,
+                    concat_chunks(parts),
+                    kept,
+                    body,
+                )));
             }
         }
     }
--- a/crates/agent/src/downstream/response.rs
+++ b/crates/agent/src/downstream/response.rs
@@ -2,7 +2,7 @@
 
 use super::reply::Reply;
 use crate::driver::FinalResponse;
-use crate::upstream::Content;
+use crate::upstream::ResponseBody;
 use bytes::Bytes;
 use hyper::header::{HeaderName, HeaderValue, CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Response, StatusCode};
@@ -12,8 +12,8 @@
     match answer {
         FinalResponse::Served(kind, content) => {
             let mut response = Response::new(match content {
-                Content::Whole(body) => Reply::whole(body),
-                Content::Passing(relay) => Reply::passing(relay),
+                ResponseBody::Complete(body) => Reply::whole(body),
+                ResponseBody::Streaming(relay) => Reply::passing(relay),
             });
             response.headers_mut().extend(kind.map(|kind| (CONTENT_TYPE, kind)));
             response
--- a/crates/agent/src/driver/attempts.rs
+++ b/crates/agent/src/driver/attempts.rs
@@ -50,21 +50,21 @@
     /// Cancels an attempt, if it is in flight.
     pub(super) fn cancel(&self, key: AttemptKey) {
         if let Some(progress) = self.progress.get(&key) {
-            progress.call_off();
+            progress.cancel();
         }
     }
 
     /// Cancels those of a request's first `attempts` attempts that are not completely written.
     pub(super) fn cancel_unwritten(&self, request: RequestId, attempts: u32) {
         for progress in self.of_request(request, attempts).filter(|progress| !progress.may_have_run()) {
-            progress.call_off();
+            progress.cancel();
         }
     }
 
     /// Sets the end of a request's first `attempts` attempts.
     pub(super) fn set_deadline(&self, request: RequestId, attempts: u32, deadline: Instant) {
         for progress in self.of_request(request, attempts) {
-            progress.end_by(deadline);
+            progress.set_deadline(deadline);
         }
     }
 
@@ -125,8 +125,8 @@
                 end_by: self.clock.instant(window.end_by),
             },
             max_timeout: request.body.upload().map(|_| request.response_timeout),
-            connect: route.and_then(|route| route.connect_timeout).map(duration),
-            first_byte: route.and_then(|route| route.first_byte_timeout).map(duration),
+            connect_timeout: route.and_then(|route| route.connect_timeout).map(duration),
+            first_byte_timeout: route.and_then(|route| route.first_byte_timeout).map(duration),
         }
     }
 
@@ -166,7 +166,7 @@
                 state.response_times[class.0].add(elapsed);
             }
             state.attempts.progress.remove(&key);
-            if let Some((content_type, body)) = result.answer {
+            if let Some((content_type, body)) = result.response {
                 let response = FinalResponse::Served(content_type, body);
                 self.respond(&mut state, key.request, response, ResponseReason::Served);
             }
@@ -187,7 +187,7 @@
         let driver = self.clone();
         tokio::task::spawn_local(async move {
             let sent_at = Instant::now();
-            let AttemptResult { outcome, report, .. } = driver.upstream.probe(server).await;
+            let AttemptResult { outcome, report, .. } = driver.upstream.check_health(server).await;
             let elapsed = micros_since(sent_at);
             if let Some(telemetry) = &driver.telemetry {
                 telemetry.probed(outcome);
--- a/crates/agent/src/driver/endpoints.rs
+++ b/crates/agent/src/driver/endpoints.rs
@@ -301,13 +301,13 @@
         let mut endpoints = Vec::with_capacity(list.hosts.len());
         for host in &list.hosts {
             let server = table.intern(&host.name);
-            self.upstream.describe(server, host);
+            self.upstream.update_endpoint(server, host);
             endpoints.push(table.update(server, host, &names));
         }
         let listed: Option<HashSet<ServerId>> =
             list.whole.then(|| endpoints.iter().map(|endpoint| endpoint.server).collect());
         if let Some(listed) = &listed {
-            self.upstream.keep_only(|server| listed.contains(&server));
+            self.upstream.retain_listed(|server| listed.contains(&server));
         }
         let forgotten = table.expire(&endpoints, listed.as_ref());
         if let Some(telemetry) = &self.telemetry {
--- a/crates/agent/src/driver/requests.rs
+++ b/crates/agent/src/driver/requests.rs
@@ -4,7 +4,7 @@
 use crate::request_log::ResponseReason;
 use crate::streaming_body::StreamingBody;
 use crate::telemetry::{PendingTimer, NO_ROUTE};
-use crate::upstream::Content;
+use crate::upstream::ResponseBody;
 use bellcroft_agent_core::guard::AttemptHistory;
 use bellcroft_balancer::{
     ClassId, Event, KeyId, Limits, Micros, Request, RequestId, RetrySafety, TenantId, Time,
@@ -85,7 +85,7 @@
 /// The one final response to a request.
 pub enum FinalResponse {
     /// A server's response: its content type and its body.
-    Served(Option<HeaderValue>, Content),
+    Served(Option<HeaderValue>, ResponseBody),
     /// Load was shed; nothing was executed. The client may retry after the given time.
     Rejected(Option<Micros>),
     /// The request failed, and may have been executed.
--- a/crates/agent/src/driver/timers.rs
+++ b/crates/agent/src/driver/timers.rs
@@ -61,7 +61,7 @@
             self.queue_due_timers();
             self.pump();
             if Instant::now() >= next_sweep {
-                self.upstream.sweep();
+                self.upstream.close_expired_idle();
                 next_sweep = Instant::now() + IDLE_SWEEP_INTERVAL;
             }
         }
--- a/crates/agent/src/upstream/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -29,9 +29,9 @@
     /// The longest time that its backend is told, if it is told less than is left: of a body that is still coming.
     pub max_timeout: Option<Duration>,
     /// From its start to an open connection, if its route is stricter than the platform.
-    pub connect: Option<Duration>,
+    pub connect_timeout: Option<Duration>,
     /// From its hand-over to an open connection to the end of the response's head.
-    pub first_byte: Option<Duration>,
+    pub first_byte_timeout: Option<Duration>,
 }
 
 impl AttemptLimits {
@@ -52,22 +52,22 @@
     /// The load report that came along.
     pub report: Option<Vec<f64>>,
     /// The answer of a served request: its content type and its body.
-    pub answer: Option<(Option<HeaderValue>, Content)>,
+    pub response: Option<(Option<HeaderValue>, ResponseBody)>,
 }
 
 impl AttemptResult {
     /// An exchange with no answer for the client.
-    pub fn without_answer(outcome: Outcome) -> Self {
-        AttemptResult { outcome, report: None, answer: None }
+    pub fn without_response(outcome: Outcome) -> Self {
+        AttemptResult { outcome, report: None, response: None }
     }
 }
 
 /// The body of a served request's answer.
-pub enum Content {
+pub enum ResponseBody {
     /// It has come completely.
-    Whole(Bytes),
+    Complete(Bytes),
     /// It is long, and has begun.
-    Passing(Box<Relay>),
+    Streaming(Box<Relay>),
 }
 
 /// How far an attempt has come, shared by the driver and the attempt's task.
@@ -103,13 +103,13 @@
     }
 
     /// Its request is complete, and its time runs: it ends by then.
-    pub fn end_by(&self, deadline: Instant) {
+    pub fn set_deadline(&self, deadline: Instant) {
         self.deadline.set(Some(deadline));
         self.deadline_changed.notify_one();
     }
 
     /// Gives the attempt up. What has not been written stays unwritten.
-    pub fn call_off(&self) {
+    pub fn cancel(&self) {
         self.cancelled.set(true);
         if let Some((stream, _)) = &*self.stream.borrow() {
             stream.writes_stopped.set(true);
@@ -172,10 +172,10 @@
         };
         if progress.upload_broken() && !progress.may_have_run() {
             // It is the client's fault, and no server's.
-            return AttemptResult::without_answer(Outcome::NotSent);
+            return AttemptResult::without_response(Outcome::NotSent);
         }
         // Whether a broken attempt may have run rests on the bytes that were written and on nothing else.
-        AttemptResult::without_answer(match (progress.may_have_run(), broken_by) {
+        AttemptResult::without_response(match (progress.may_have_run(), broken_by) {
             (true, outcome) => outcome.unwrap_or(Outcome::ConnectionReset),
             (false, _) if progress.cancelled.get() => Outcome::NotSent,
             (false, _) => Outcome::ConnectFailed,
@@ -192,7 +192,7 @@
     ) -> Option<AttemptResult> {
         let connection = match self.connect(server, limits).await {
             Ok(connection) => connection,
-            Err(outcome) => return Some(AttemptResult::without_answer(outcome)),
+            Err(outcome) => return Some(AttemptResult::without_response(outcome)),
         };
         if progress.cancelled.get() {
             self.pool.release(connection);
@@ -201,7 +201,7 @@
         let now = Instant::now();
         if !limits.window.may_start(now) {
             self.pool.release(connection);
-            return Some(AttemptResult::without_answer(Outcome::NotSent));
+            return Some(AttemptResult::without_response(Outcome::NotSent));
         }
         // Told now and not when it was decided: the connection may have come up late.
         limits.tell_timeout(&mut request, now);
@@ -209,9 +209,9 @@
         let start = stream.written.get();
         let end = progress.start_on(&connection, &request, limits.window);
         // A body that is still coming takes its client's time, not the backend's.
-        let first_byte_timeout = limits.first_byte.filter(|_| progress.upload.is_none());
+        let first_byte_timeout = limits.first_byte_timeout.filter(|_| progress.upload.is_none());
         let mut result = self.exchange(connection, request, first_byte_timeout).await;
-        if let Some(AttemptResult { answer: Some((_, Content::Passing(relay))), .. }) = &mut result {
+        if let Some(AttemptResult { response: Some((_, ResponseBody::Streaming(relay))), .. }) = &mut result {
             relay.set_deadline(progress.deadline.get().unwrap_or(limits.window.end_by));
         }
         if end == u64::MAX && progress.may_have_run() {
@@ -219,7 +219,7 @@
         }
         let started = stream.written.get() > start;
         if result.is_none() && !started && !limits.window.may_start(Instant::now()) {
-            return Some(AttemptResult::without_answer(Outcome::NotSent));
+            return Some(AttemptResult::without_response(Outcome::NotSent));
         }
         result
     }
@@ -229,7 +229,7 @@
     async fn connect(&self, server: ServerId, limits: &AttemptLimits) -> Result<Connection, Outcome> {
         let now = Instant::now();
         let start_by = limits.window.start_by;
-        let by = limits.connect.map_or(start_by, |most| start_by.min(now + most));
+        let by = limits.connect_timeout.map_or(start_by, |most| start_by.min(now + most));
         let connection = self.pool.acquire(server, by, SpareConnections::Allowed);
         timeout_at(by, connection).await.unwrap_or(Err(Outcome::ConnectFailed))
     }
--- a/crates/agent/src/upstream/headers.rs
+++ b/crates/agent/src/upstream/headers.rs
@@ -19,7 +19,7 @@
 ];
 
 /// The headers that go on: those that speak of the connection or are written by the agent itself stay behind.
-pub fn forwarded(headers: &HeaderMap) -> HeaderMap {
+pub fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let named_by_connection: Vec<String> = headers
         .get_all("connection")
         .iter()
--- a/crates/agent/src/upstream/probe.rs
+++ b/crates/agent/src/upstream/health_check.rs
@@ -1,6 +1,6 @@
 //! Health probes.
 
-use super::attempt::{AttemptResult, Content};
+use super::attempt::{AttemptResult, ResponseBody};
 use super::load_report::parse_load_report;
 use super::pool::SpareConnections;
 use super::Upstream;
@@ -16,27 +16,27 @@
 
 impl Upstream {
     /// Asks a backend for its health, and for its load where it reports that.
-    pub async fn probe(&self, server: ServerId) -> AttemptResult {
-        let probe = self.send_probe(server);
-        timeout(PROBE_TIMEOUT, probe).await.unwrap_or(AttemptResult::without_answer(Outcome::TimedOut))
+    pub async fn check_health(&self, server: ServerId) -> AttemptResult {
+        let probe = self.send_health_check(server);
+        timeout(PROBE_TIMEOUT, probe).await.unwrap_or(AttemptResult::without_response(Outcome::TimedOut))
     }
 
-    async fn send_probe(&self, server: ServerId) -> AttemptResult {
+    async fn send_health_check(&self, server: ServerId) -> AttemptResult {
         let path = if self.report_fields.borrow().is_empty() { "/health" } else { "/status/load" };
         let request = Request::get(path).header("host", "backend").body(OutgoingBody::Complete(Bytes::new()));
         let by = Instant::now() + PROBE_TIMEOUT;
         let connection = self.pool.acquire(server, by, SpareConnections::Forbidden).await;
         let (connection, request) = match (connection, request) {
             (Ok(connection), Ok(request)) => (connection, request),
-            (Err(outcome), _) => return AttemptResult::without_answer(outcome),
-            (Ok(_), Err(_)) => return AttemptResult::without_answer(Outcome::NotSent),
+            (Err(outcome), _) => return AttemptResult::without_response(outcome),
+            (Ok(_), Err(_)) => return AttemptResult::without_response(Outcome::NotSent),
         };
         connection.progress.start_window.set(None);
         connection.progress.first_byte.set(None);
         connection.progress.request_end.set(u64::MAX);
         let result = self.exchange(connection, request, None).await;
-        let mut result = result.unwrap_or(AttemptResult::without_answer(Outcome::ConnectionReset));
-        if let (None, Some((_, Content::Whole(body)))) = (&result.report, &result.answer) {
+        let mut result = result.unwrap_or(AttemptResult::without_response(Outcome::ConnectionReset));
+        if let (None, Some((_, ResponseBody::Complete(body)))) = (&result.report, &result.response) {
             let text = std::str::from_utf8(body).ok();
             result.report = text.and_then(|text| parse_load_report(text, &self.report_fields.borrow()));
         }
--- a/crates/agent/src/upstream/mod.rs
+++ b/crates/agent/src/upstream/mod.rs
@@ -6,18 +6,18 @@
 mod attempt;
 mod connection;
 mod headers;
+mod health_check;
 mod idle;
 mod load_report;
 mod metered_stream;
 mod pool;
-mod probe;
 mod relay;
 mod response;
 
-pub use attempt::{AttemptLimits, AttemptProgress, AttemptResult, Content};
-pub use headers::forwarded;
+pub use attempt::{AttemptLimits, AttemptProgress, AttemptResult, ResponseBody};
+pub use headers::forwarded_headers;
 pub use relay::Relay;
-pub use response::join;
+pub use response::concat_chunks;
 
 use crate::discovery::codec::EndpointRecord;
 use bellcroft_balancer::ServerId;
@@ -54,13 +54,13 @@
     }
 
     /// Takes in an entry of the endpoint list.
-    pub fn describe(&self, server: ServerId, host: &EndpointRecord) {
-        self.pool.describe(server, host);
+    pub fn update_endpoint(&self, server: ServerId, host: &EndpointRecord) {
+        self.pool.update_endpoint(server, host);
     }
 
     /// Forgets the backends that a full snapshot no longer names.
-    pub fn keep_only(&self, named: impl Fn(ServerId) -> bool) {
-        self.pool.keep_only(named);
+    pub fn retain_listed(&self, named: impl Fn(ServerId) -> bool) {
+        self.pool.retain_listed(named);
     }
 
     /// Closes the idle connections to a backend.
@@ -84,7 +84,7 @@
     }
 
     /// Closes the connections that have been idle for too long.
-    pub fn sweep(&self) {
-        self.pool.sweep();
+    pub fn close_expired_idle(&self) {
+        self.pool.close_expired_idle();
     }
 }
--- a/crates/agent/src/upstream/pool.rs
+++ b/crates/agent/src/upstream/pool.rs
@@ -109,7 +109,7 @@
     }
 
     /// Closes the connections that have been idle for too long.
-    pub fn sweep(&self) {
+    pub fn close_expired_idle(&self) {
         let idle_timeout = self.idle_timeout.get();
         self.backends.borrow_mut().values_mut().for_each(|backend| backend.idle.retire(idle_timeout));
     }
@@ -119,7 +119,7 @@
 impl ConnectionPool {
     /// Takes in an entry of the list. A new address or a new process means new connections; one that drains keeps none
     /// that are idle, and one that has left is forgotten. What is in flight goes on.
-    pub fn describe(&self, server: ServerId, host: &EndpointRecord) {
+    pub fn update_endpoint(&self, server: ServerId, host: &EndpointRecord) {
         if host.health == Health::Removed {
             return self.forget(server);
         }
@@ -156,7 +156,7 @@
     }
 
     /// Forgets the backends that a full snapshot no longer names.
-    pub fn keep_only(&self, named: impl Fn(ServerId) -> bool) {
+    pub fn retain_listed(&self, named: impl Fn(ServerId) -> bool) {
         let absent = |server: &ServerId| !named(*server);
         let removed: Vec<ServerId> = self.backends.borrow().keys().copied().filter(absent).collect();
         removed.into_iter().for_each(|server| self.forget(server));
--- a/crates/agent/src/upstream/response.rs
+++ b/crates/agent/src/upstream/response.rs
@@ -1,6 +1,6 @@
 //! One request over a connection, and what its response means.
 
-use super::attempt::{AttemptResult, Content};
+use super::attempt::{AttemptResult, ResponseBody};
 use super::connection::Connection;
 use super::load_report::parse_load_report;
 use super::relay::Relay;
@@ -47,7 +47,7 @@
         let response = match first_byte_timeout {
             Some(most) => match timeout(most, response).await {
                 Ok(response) => response,
-                Err(_) => return Some(AttemptResult::without_answer(Outcome::TimedOut)),
+                Err(_) => return Some(AttemptResult::without_response(Outcome::TimedOut)),
             },
             None => response.await,
         };
@@ -63,14 +63,19 @@
         let start = read_start(&mut rest, length).await?;
         let content = if start.complete {
             self.pool.release_after_response(connection);
-            Content::Whole(start.bytes)
+            ResponseBody::Complete(start.bytes)
         } else if outcome == Outcome::Success {
-            Content::Passing(Box::new(Relay::new(start, rest, length, (self.pool.clone(), connection))?))
+            ResponseBody::Streaming(Box::new(Relay::new(
+                start,
+                rest,
+                length,
+                (self.pool.clone(), connection),
+            )?))
         } else {
             return None;
         };
-        let answer = (outcome == Outcome::Success).then_some((content_type, content));
-        Some(AttemptResult { outcome, report, answer })
+        let response = (outcome == Outcome::Success).then_some((content_type, content));
+        Some(AttemptResult { outcome, report, response })
     }
 
     fn load_report_of<B>(&self, response: &Response<B>) -> Option<Vec<f64>> {
@@ -121,11 +126,11 @@
             break body.is_end_stream();
         }
     };
-    Some(BodyStart { bytes: join(parts), complete })
+    Some(BodyStart { bytes: concat_chunks(parts), complete })
 }
 
 /// Pieces as one; a single one is not copied.
-pub fn join(mut parts: Vec<Bytes>) -> Bytes {
+pub fn concat_chunks(mut parts: Vec<Bytes>) -> Bytes {
     if parts.len() == 1 {
         return parts.remove(0);
     }
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -42,7 +42,7 @@
             socket.listen(ACCEPT_BACKLOG)?;
             Ok(socket)
         };
-        Self::adopt(open_with_retry(open).await?.into())
+        Self::from_std(open_with_retry(open).await?.into())
     }
 
     /// Adopts a socket that is listening already.
@@ -50,7 +50,7 @@
     /// # Errors
     ///
     /// It can't be registered with the runtime.
-    pub fn adopt(listener: std::net::TcpListener) -> io::Result<Self> {
+    pub fn from_std(listener: std::net::TcpListener) -> io::Result<Self> {
         listener.set_nonblocking(true)?;
         Ok(Listener(TcpListener::from_std(listener)?))
     }
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -91,7 +91,7 @@
 
 impl Stream<UnixStream> {
     /// A connection.
-    pub fn local(stream: UnixStream) -> Self {
+    pub fn unix(stream: UnixStream) -> Self {
         Stream(stream)
     }
 
