--- a/crates/net/src/connect.rs
+++ b/crates/net/src/connect.rs
@@ -1,6 +1,6 @@
-//! Opens connections.
+//! Opening TCP connections.
 
-use crate::errors::{is_local_shortage, is_route_lost, retry_interrupted};
+use crate::errors::{is_local_shortage, is_network_unreachable, retry_interrupted};
 use crate::Stream;
 use rustix::io::Errno;
 use socket2::{Domain, Protocol, SockAddr, Socket, Type};
@@ -10,24 +10,24 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Attempts of a connect that fails for a reason on this machine, which may be over a moment later.
-const MAX_ATTEMPTS: u32 = 4;
-/// Backoff before the second attempt; it doubles with each further one.
+/// The maximum of connect calls when they fail for a reason on this machine, which may be temporary.
+const MAX_CONNECT_ATTEMPTS: u32 = 4;
+/// The delay before the second connect call; it doubles with each further one.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(2);
 
 /// Why a connection could not be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum ConnectError {
-    /// This machine lacks a descriptor, memory or a port for it. It says nothing about the peer.
+    /// This machine lacks a descriptor, memory or a port for the connection. The peer is not involved.
     #[error("on this machine: {0}")]
     Local(#[source] io::Error),
-    /// The peer refused it or can't be reached.
+    /// The peer refused the connection or cannot be reached.
     #[error("{0}")]
     Remote(#[source] io::Error),
 }
 
 impl ConnectError {
-    /// The system's error.
+    /// The error that the system call returned.
     pub fn cause(&self) -> &io::Error {
         match self {
             ConnectError::Local(error) | ConnectError::Remote(error) => error,
@@ -43,17 +43,17 @@
     }
 }
 
-/// Connects to an address. It has no time-out of its own.
+/// Connects to an address. The caller has to set a timeout.
 ///
 /// # Errors
 ///
-/// The system's error, and whether its cause is on this machine.
+/// The error that the system call returned, and whether its cause is on this machine.
 pub async fn connect(address: SocketAddr) -> Result<Stream<TcpStream>, ConnectError> {
     let mut delay = FIRST_RETRY_DELAY;
-    for _ in 1..MAX_ATTEMPTS {
+    for _ in 1..MAX_CONNECT_ATTEMPTS {
         match try_connect(address).await {
-            Err(error) if is_local_shortage(&error) || is_route_lost(&error) => sleep(delay).await,
-            ended => return ended.map_err(classify),
+            Err(error) if is_local_shortage(&error) || is_network_unreachable(&error) => sleep(delay).await,
+            result => return result.map_err(classify),
         }
         delay *= 2;
     }
@@ -84,9 +84,9 @@
     Ok(Stream::new(stream))
 }
 
-/// Whether the connect continues in the kernel after the call has returned.
+/// Whether the kernel continues to connect after the call has returned.
 fn is_in_progress(error: &io::Error) -> bool {
-    // An interrupted connect continues asynchronously (connect(2)) and completes like one in progress.
+    // An interrupted connect continues asynchronously (see connect(2)) and completes like one in progress.
     let errnos = [Errno::INPROGRESS, Errno::INTR, Errno::ALREADY];
     Errno::from_io_error(error).is_some_and(|errno| errnos.contains(&errno))
 }
--- a/crates/net/src/datagram.rs
+++ b/crates/net/src/datagram.rs
@@ -11,28 +11,30 @@
 pub struct DatagramSocket(UdpSocket);
 
 impl DatagramSocket {
-    /// Listens on an address.
+    /// Binds a socket to an address. A shortage of descriptors is retried for one second.
     ///
     /// # Errors
     ///
-    /// The address cannot be listened on.
+    /// The socket cannot be opened, or not be bound to the address.
     pub async fn bind(address: SocketAddr) -> io::Result<Self> {
         let socket = open_with_retry(|| std::net::UdpSocket::bind(address)).await?;
         socket.set_nonblocking(true)?;
         Ok(DatagramSocket(UdpSocket::from_std(socket)?))
     }
 
-    /// Where it listens.
+    /// The address that the socket is bound to.
     ///
     /// # Errors
     ///
-    /// The system's.
+    /// The system call fails.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.0.local_addr()
     }
 
-    /// The next datagram, truncated to the buffer's length, and its sender. An interrupted call is retried; an ICMP error that
-    /// an earlier send caused (port unreachable) concerns no datagram that arrives.
+    /// Waits for the next datagram, and returns its length and its sender. A longer datagram is truncated to the buffer.
+    ///
+    /// An interrupted call is retried. So is one that returns an ICMP error (port unreachable): an earlier send caused it,
+    /// and it does not affect arriving datagrams.
     ///
     /// # Errors
     ///
@@ -45,7 +47,7 @@
                         error.kind(),
                         io::ErrorKind::Interrupted | io::ErrorKind::ConnectionRefused
                     ) => {}
-                ended => return ended,
+                result => return result,
             }
         }
     }
@@ -54,9 +56,9 @@
     ///
     /// # Errors
     ///
-    /// The kernel does not accept it now.
+    /// The kernel cannot take the datagram at present.
     pub fn send_now(&self, bytes: &[u8], to: SocketAddr) -> io::Result<usize> {
-        // Past the runtime, whose readiness may be out of date.
+        // Calls the socket directly: the readiness that the runtime has recorded may be out of date.
         retry_interrupted(|| SockRef::from(&self.0).send_to(bytes, &SockAddr::from(to)))
     }
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,12 +1,13 @@
-//! The one seam between bellcroft and the system's sockets.
+//! The boundary between bellcroft and the system's sockets, with every documented result of a call handled.
 //!
-//! A system call may be interrupted, transfer fewer bytes than asked, or fail for a moment. What the caller must know of that
-//! is in the types ([`ConnectError`], [`AcceptError`]); the rest is handled here once. `docs/design/system-calls.md` has a
-//! table of calls and errnos. Nothing here has a time-out; the crate owns no state but its sockets.
+//! A system call may be interrupted, transfer fewer bytes than requested, or fail temporarily. Failures that concern the
+//! caller are in the types ([`ConnectError`], [`AcceptError`]); all others are handled here. `docs/design/system-calls.md`
+//! has a table of calls and errnos. Callers set timeouts; the crate has no state other than its sockets.
 //!
-//! Tokio's own reads and writes are not used: after a read that fills less than its buffer they take the socket for drained
-//! and wait for the next edge, which never arrives if the kernel had more bytes; and they return EINTR as an error. Here only
-//! `EWOULDBLOCK` clears a readiness (`try_read` and its like).
+//! Tokio's own reads and writes are not used: after a read that does not fill its buffer, they assume that the socket has no
+//! more bytes and wait for the next edge of epoll, which never arrives if the kernel had more bytes; and they return EINTR
+//! as an error. Here only `EWOULDBLOCK` clears the readiness of a socket (`try_read`, `try_write` and
+//! `try_write_vectored`).
 
 mod connect;
 mod datagram;
--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -8,18 +8,18 @@
 use std::os::fd::{AsFd, BorrowedFd};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Connections that the kernel queues until they are accepted.
+/// The maximum of connections that the kernel queues until they are accepted.
 const ACCEPT_BACKLOG: i32 = 1024;
-/// Failures of single connections in a row after which one is returned to the caller.
+/// The number of connections that fail in a row after which [`Listener::accept`] returns an error.
 const MAX_FAILED_CONNECTIONS: usize = 256;
 
 /// Why no connection was accepted. The listening socket remains usable.
 #[derive(Debug, thiserror::Error)]
 pub enum AcceptError {
-    /// This process, or the machine, has no descriptor or memory for one.
+    /// This process, or the machine, has no descriptor or memory for a connection.
     #[error("no descriptor or memory: {0}")]
     Shortage(#[source] io::Error),
-    /// Another failure; accepting is retried after a pause.
+    /// Another failure; the caller accepts again after a pause.
     #[error("{0}")]
     Other(#[source] io::Error),
 }
@@ -29,11 +29,11 @@
 pub struct Listener(TcpListener);
 
 impl Listener {
-    /// Listens on an address. A shortage of descriptors is retried for a second.
+    /// Listens on an address. A shortage of descriptors is retried for one second.
     ///
     /// # Errors
     ///
-    /// The address cannot be listened on.
+    /// The socket cannot be opened, or cannot listen on the address.
     pub async fn bind(address: SocketAddr) -> io::Result<Self> {
         let open = || {
             let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
@@ -45,30 +45,30 @@
         Self::from_std(open_with_retry(open).await?.into())
     }
 
-    /// Adopts a socket that is listening already.
+    /// Wraps a socket that is listening already.
     ///
     /// # Errors
     ///
-    /// It can't be registered with the runtime.
+    /// The socket cannot be registered with the runtime.
     pub fn from_std(listener: std::net::TcpListener) -> io::Result<Self> {
         listener.set_nonblocking(true)?;
         Ok(Listener(TcpListener::from_std(listener)?))
     }
 
-    /// Where it listens.
+    /// The address that the socket listens on.
     ///
     /// # Errors
     ///
-    /// The system's.
+    /// The system call fails.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.0.local_addr()
     }
 
-    /// The next connection.
+    /// Waits for the next connection. Errors that concern a single connection are skipped.
     ///
     /// # Errors
     ///
-    /// Why none was accepted; errors that concern a single connection are skipped.
+    /// No connection can be accepted at present.
     pub async fn accept(&self) -> Result<Stream<TcpStream>, AcceptError> {
         for _ in 0..MAX_FAILED_CONNECTIONS {
             match self.0.accept().await {
@@ -81,8 +81,8 @@
         Err(AcceptError::Other(io::ErrorKind::ConnectionAborted.into()))
     }
 
-    /// Stops listening and returns the connections that the kernel has queued by now, past the runtime, whose readiness may be
-    /// out of date.
+    /// Stops listening and returns the connections that the kernel has queued by now. It calls the socket directly, since the
+    /// readiness that the runtime has recorded may be out of date.
     pub fn into_backlog(self) -> Vec<Stream<TcpStream>> {
         let mut backlog = Vec::new();
         let Ok(listener) = self.0.into_std() else { return backlog };
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -1,4 +1,4 @@
-//! A connection that is read and written.
+//! Reads and writes of a connection.
 
 use crate::errors::{retry_interrupted, MAX_INTERRUPTIONS};
 use hyper::rt::ReadBufCursor;
@@ -11,12 +11,12 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::{TcpStream, UnixStream};
 
-/// Bytes read at a time for a caller whose buffer can't be written to directly.
+/// Size of a read for hyper, whose buffer may be uninitialized and is filled by a copy.
 const READ_CHUNK_BYTES: usize = 16 << 10;
-/// Attempts to set an option: on a connection that was just accepted the first may fail.
-const MAX_OPTION_TRIES: usize = 3;
+/// Attempts to set a socket option: on a connection that was just accepted, the first one may fail.
+const MAX_OPTION_ATTEMPTS: usize = 3;
 
-/// What a [`Stream`] needs of the runtime's socket: readiness, and calls that end it only when they would block.
+/// The methods of the runtime's socket that [`Stream`] uses. Reads and writes clear its readiness only if they would block.
 pub trait Socket: AsFd {
     /// Waits until there are bytes to read.
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
@@ -59,16 +59,17 @@
 impl_socket!(TcpStream);
 impl_socket!(UnixStream);
 
-/// A connection. Reads and writes resume after an interrupted call, and after one that transferred fewer bytes than asked.
+/// A connection. Reads and writes continue after an interrupted call, and after one that transferred fewer bytes than
+/// requested.
 #[derive(Debug)]
 pub struct Stream<S>(S);
 
 impl Stream<TcpStream> {
-    /// A connection with Nagle's algorithm turned off: with it, responses over one connection would wait for each other's
-    /// acknowledgement. A failure to set the option is ignored, as it costs speed alone, and closing an accepted connection
-    /// over it would lose the request that is on its way.
+    /// Wraps a connection and turns Nagle's algorithm off: with it, a response would wait for the acknowledgement of the
+    /// response before it. A failure to set the option is ignored: it costs only latency, while closing an accepted
+    /// connection would lose a request that its client has sent already.
     pub fn new(stream: TcpStream) -> Self {
-        let _ = (0..MAX_OPTION_TRIES).find(|_| stream.set_nodelay(true).is_ok());
+        let _ = (0..MAX_OPTION_ATTEMPTS).find(|_| stream.set_nodelay(true).is_ok());
         Stream(stream)
     }
 
@@ -81,38 +82,39 @@
         self.0.peer_addr()
     }
 
-    /// Waits until the peer has closed, however many of its bytes are unread: a read would return the end only after them.
+    /// Waits until the peer has closed its side, even while bytes of it are unread: a read returns the end of the stream only
+    /// after them.
     pub async fn peer_closed(&self) {
-        // No interest is for the end of the stream alone. `PRIORITY` is for urgent data too, which is not requested from the
-        // kernel and so never shows. An error ends the connection as well.
+        // No interest covers only the end of the stream. `PRIORITY` also covers urgent data, but tokio does not register for
+        // that, so it is never reported. An error counts as closed too.
         let _ = self.0.ready(Interest::PRIORITY).await;
     }
 }
 
 impl Stream<UnixStream> {
-    /// A connection.
+    /// Wraps a Unix socket connection.
     pub fn unix(stream: UnixStream) -> Self {
         Stream(stream)
     }
 
-    /// The runtime's socket, for peer credentials and descriptors.
+    /// The underlying socket, for peer credentials and for passing descriptors.
     pub fn socket(&self) -> &UnixStream {
         &self.0
     }
 }
 
 impl<S: Socket> Stream<S> {
-    /// Reads available bytes as soon as there are any; 0 at the end of the stream.
+    /// Reads available bytes, once there are any, and returns their number; 0 at the end of the stream.
     pub fn poll_read(&self, cx: &mut Context<'_>, buffer: &mut [u8]) -> Poll<io::Result<usize>> {
         poll_io(cx, |cx| self.0.poll_read_ready(cx), || self.0.try_read(buffer))
     }
 
-    /// Writes as many bytes as fit as soon as any do.
+    /// Writes as many bytes as fit, once any fit, and returns their number.
     pub fn poll_write(&self, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         poll_io(cx, |cx| self.0.poll_write_ready(cx), || self.0.try_write(bytes))
     }
 
-    /// Writes as many bytes of these buffers as fit as soon as any do.
+    /// Writes as many bytes of these buffers as fit, once any fit, and returns their number.
     pub fn poll_write_vectored(
         &self,
         cx: &mut Context<'_>,
@@ -121,20 +123,20 @@
         poll_io(cx, |cx| self.0.poll_write_ready(cx), || self.0.try_write_vectored(buffers))
     }
 
-    /// Writes as many bytes as fit now.
+    /// Writes as many bytes as fit without waiting, and returns their number.
     ///
     /// # Errors
     ///
-    /// None fits, or the connection is broken.
+    /// No byte fits, or the connection is broken.
     pub fn write_now(&self, bytes: &[u8]) -> io::Result<usize> {
         retry_interrupted(|| self.0.try_write(bytes))
     }
 
-    /// Closes the sending side. It is no failure if the peer has closed the connection.
+    /// Closes the sending side. Succeeds also if the peer has closed the connection.
     ///
     /// # Errors
     ///
-    /// The socket fails.
+    /// The system call fails.
     pub fn shutdown_write(&self) -> io::Result<()> {
         match retry_interrupted(|| SockRef::from(&self.0).shutdown(Shutdown::Write)) {
             Err(error) if error.kind() != io::ErrorKind::NotConnected => Err(error),
@@ -143,8 +145,8 @@
     }
 }
 
-/// Makes a call once its readiness shows, and again while it is interrupted or the readiness proves out of date. After
-/// [`MAX_INTERRUPTIONS`] in a row other tasks get their turn.
+/// Makes a call once the socket is ready, and repeats it while it is interrupted or the readiness was out of date. After
+/// [`MAX_INTERRUPTIONS`] in a row, the task yields to others.
 fn poll_io<T>(
     cx: &mut Context<'_>,
     mut poll_ready: impl FnMut(&mut Context<'_>) -> Poll<io::Result<()>>,
@@ -154,14 +156,14 @@
         ready!(poll_ready(cx))?;
         match call() {
             Err(error) if is_transient(&error) => {}
-            ended => return Poll::Ready(ended),
+            result => return Poll::Ready(result),
         }
     }
     cx.waker().wake_by_ref();
     Poll::Pending
 }
 
-/// Whether a call is to be made again once the socket is ready.
+/// Whether a failed call is repeated once the socket is ready.
 fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::Interrupted | io::ErrorKind::WouldBlock)
 }
@@ -185,14 +187,14 @@
         mut buffer: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let mut chunk = [0; READ_CHUNK_BYTES];
-        let wanted = chunk.len().min(buffer.remaining());
-        let count = ready!(Stream::poll_read(&self, cx, &mut chunk[..wanted]))?;
+        let size = chunk.len().min(buffer.remaining());
+        let count = ready!(Stream::poll_read(&self, cx, &mut chunk[..size]))?;
         buffer.put_slice(&chunk[..count]);
         Poll::Ready(Ok(()))
     }
 }
 
-/// The writing traits of tokio and hyper have the same methods.
+/// The write traits of tokio and hyper have the same methods.
 macro_rules! impl_write {
     ($trait:path) => {
         impl<S: Socket + Unpin> $trait for Stream<S> {
--- a/crates/net/tests/net.rs
+++ b/crates/net/tests/net.rs
@@ -1,4 +1,4 @@
-//! Connections, listeners and datagrams over loopback. How they bear failing calls is played on the real program
+//! Connections, listeners and datagrams over loopback. Failing system calls are injected into the agent's process instead
 //! (`crates/agent/tests/system_calls.rs`).
 
 use bellcroft_net::{connect, retry_interrupted, ConnectError, DatagramSocket, Listener};
@@ -6,75 +6,81 @@
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-fn any() -> SocketAddr {
-    "127.0.0.1:0".parse().expect("an address")
+fn any_port() -> SocketAddr {
+    "127.0.0.1:0".parse().expect("valid address")
 }
 
 #[tokio::test(flavor = "current_thread")]
 async fn large_transfer_arrives_complete_and_in_order() {
-    let listener = Listener::bind(any()).await.expect("a port");
-    let mut out = connect(listener.local_addr().expect("an address")).await.expect("a connection");
-    let mut taken = listener.accept().await.expect("a connection");
+    let listener = Listener::bind(any_port()).await.expect("listener binds");
+    let mut client = connect(listener.local_addr().expect("local address")).await.expect("client connects");
+    let mut accepted = listener.accept().await.expect("connection is accepted");
     let sent: Vec<u8> = (0..4_000_000_u32).map(|n| (n % 251) as u8).collect();
     let expected = sent.clone();
-    let writing = async {
-        out.write_all(&sent).await.expect("it is read");
-        out.shutdown().await.expect("it is open");
+    let write = async {
+        client.write_all(&sent).await.expect("all bytes are written");
+        client.shutdown().await.expect("sending side is closed");
     };
     let mut received = Vec::new();
-    let reading = async { taken.read_to_end(&mut received).await.expect("it is written") };
-    tokio::join!(writing, reading);
-    assert!(received == expected, "{} of {} bytes", received.len(), expected.len());
+    let read = async { accepted.read_to_end(&mut received).await.expect("stream is read to its end") };
+    tokio::join!(write, read);
+    assert!(
+        received == expected,
+        "received {} bytes differ from the {} sent bytes",
+        received.len(),
+        expected.len()
+    );
 }
 
 #[tokio::test(flavor = "current_thread")]
 async fn refused_connection_is_remote_error_with_cause() {
-    let listener = Listener::bind(any()).await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = Listener::bind(any_port()).await.expect("listener binds");
+    let address = listener.local_addr().expect("local address");
     drop(listener);
-    let error = connect(address).await.expect_err("nobody listens");
+    let error = connect(address).await.expect_err("no socket listens on the address");
     assert!(matches!(error, ConnectError::Remote(_)), "{error}");
     assert_eq!(error.cause().kind(), io::ErrorKind::ConnectionRefused);
 }
 
-/// What the kernel has taken for a listener that stops belongs to it; whoever comes later is refused.
+/// A listener that stops returns the connections that the kernel has queued; later connections are refused.
 #[tokio::test(flavor = "current_thread")]
-async fn the_backlog_of_a_listener_that_stops_is_served() {
-    let listener = Listener::bind(any()).await.expect("a port");
-    let address = listener.local_addr().expect("an address");
+async fn backlog_of_stopped_listener_is_usable() {
+    let listener = Listener::bind(any_port()).await.expect("listener binds");
+    let address = listener.local_addr().expect("local address");
     let mut clients = Vec::new();
     for _ in 0..5 {
-        clients.push(connect(address).await.expect("a connection"));
+        clients.push(connect(address).await.expect("client connects"));
     }
     let backlog = listener.into_backlog();
     assert_eq!(backlog.len(), clients.len());
-    for (mut taken, mut client) in backlog.into_iter().zip(clients) {
-        client.write_all(b"ask").await.expect("it is open");
-        let mut asked = [0; 3];
-        taken.read_exact(&mut asked).await.expect("it was sent");
-        assert_eq!(&asked, b"ask");
+    for (mut accepted, mut client) in backlog.into_iter().zip(clients) {
+        client.write_all(b"ask").await.expect("request is written");
+        let mut request = [0; 3];
+        accepted.read_exact(&mut request).await.expect("request is received");
+        assert_eq!(&request, b"ask");
     }
     assert!(connect(address).await.is_err());
 }
 
-/// A send to an unused port causes an ICMP error at the sender, whose other datagrams still arrive.
+/// A send to an unused port causes an ICMP error at the sender, which must still receive datagrams of other peers.
 #[tokio::test(flavor = "current_thread")]
 async fn unreachable_peer_does_not_disturb_other_datagrams() {
-    let here = DatagramSocket::bind(any()).await.expect("a port");
-    let other = DatagramSocket::bind(any()).await.expect("a port");
-    let closed = DatagramSocket::bind(any()).await.expect("a port").local_addr().expect("an address");
-    let own = here.local_addr().expect("an address");
-    let _ = here.send_now(b"nobody", closed);
-    other.send_now(b"hello", own).expect("there is room");
+    let socket = DatagramSocket::bind(any_port()).await.expect("socket binds");
+    let other = DatagramSocket::bind(any_port()).await.expect("socket binds");
+    let closed =
+        DatagramSocket::bind(any_port()).await.expect("socket binds").local_addr().expect("local address");
+    let own = socket.local_addr().expect("local address");
+    let _ = socket.send_now(b"nobody", closed);
+    other.send_now(b"hello", own).expect("datagram is sent");
     let mut buffer = [0; 16];
-    let (length, from) = here.receive(&mut buffer).await.expect("a datagram");
-    assert_eq!((&buffer[..length], from), (&b"hello"[..], other.local_addr().expect("an address")));
+    let (length, from) = socket.receive(&mut buffer).await.expect("datagram is received");
+    assert_eq!((&buffer[..length], from), (&b"hello"[..], other.local_addr().expect("local address")));
 }
 
 #[test]
 fn interrupted_call_is_retried_and_other_failure_is_not() {
     let mut calls = 0;
-    let ended = retry_interrupted(|| {
+    let result = retry_interrupted(|| {
         calls += 1;
         if calls < 4 {
             Err(io::ErrorKind::Interrupted.into())
@@ -82,11 +88,11 @@
             Ok(calls)
         }
     });
-    assert_eq!(ended.expect("it succeeds in the end"), 4);
+    assert_eq!(result.expect("fourth call succeeds"), 4);
     let mut calls = 0;
-    let ended: io::Result<()> = retry_interrupted(|| {
+    let result: io::Result<()> = retry_interrupted(|| {
         calls += 1;
         Err(io::ErrorKind::BrokenPipe.into())
     });
-    assert_eq!((ended.expect_err("it fails").kind(), calls), (io::ErrorKind::BrokenPipe, 1));
+    assert_eq!((result.expect_err("call fails").kind(), calls), (io::ErrorKind::BrokenPipe, 1));
 }
