--- a/crates/agent/src/downstream/connection.rs
+++ b/crates/agent/src/downstream/connection.rs
@@ -1,4 +1,4 @@
-//! What a client's connection is doing, as its framing and its owner both know it, and when its client has gone.
+//! The state of a client's connection, shared by its framing and its owner, and the detection of disconnects.
 
 use crate::telemetry::PendingTimer;
 use bellcroft_agent_core::body_limits::ProgressTimeout;
@@ -14,29 +14,34 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// What the wrapper and the connection's owner know of each other.
+/// The state of a client's connection, shared by [`super::framing::RequestFraming`] and the connection's owner.
 pub struct ClientConnection {
-    /// Its number, in the order of accepting.
+    /// The connection's number, in the order of accepting.
     number: u64,
-    /// The client's address; none if the kernel no longer knows it.
+    /// The client's address; none if the kernel no longer knew it.
     peer: Option<SocketAddr>,
+    /// The state, and when it began.
     state: Cell<(ConnectionState, Instant)>,
-    pub(super) ambiguous: Cell<bool>,
-    pub(super) answered: Cell<bool>,
-    /// The body of the present answer has been handed over; its last bytes may not be out.
-    body_over: Cell<bool>,
-    /// How long more of a body is waited for, and since when the client takes nothing.
-    pub(super) patience: Cell<ProgressTimeout>,
-    /// The begin of the connection, which the patience counts from.
-    begin: Instant,
-    stuck: Cell<Option<Instant>>,
-    /// Since when the rest of what was not wanted is read away.
-    pub(super) lingers: Cell<Option<Instant>>,
+    /// Whether the length of the current request can be interpreted in two ways.
+    pub(super) ambiguous_length: Cell<bool>,
+    /// Whether a response has been written since the framing last checked.
+    pub(super) response_written: Cell<bool>,
+    /// Whether hyper has the complete body of the current response; its last bytes may not have been written.
+    response_body_finished: Cell<bool>,
+    /// The timeout of the current request's body.
+    pub(super) body_timeout: Cell<ProgressTimeout>,
+    /// When the connection was accepted; the times of `body_timeout` count from here.
+    created_at: Instant,
+    /// Since when the client has not taken any byte of its response.
+    write_stalled_since: Cell<Option<Instant>>,
+    /// Since when the rest of a request is read and discarded.
+    pub(super) lingering_since: Cell<Option<Instant>>,
+    /// Wakes the task that reads the connection.
     pub(super) waker: RefCell<Option<Waker>>,
-    /// The answer whose last byte has not left.
-    owing: Cell<Option<PendingTimer>>,
-    /// A request has been answered over it.
-    used: Cell<bool>,
+    /// The timer of the response that is being written.
+    response_timer: Cell<Option<PendingTimer>>,
+    /// Whether any response has been written over the connection.
+    has_written_response: Cell<bool>,
 }
 
 impl ClientConnection {
@@ -46,20 +51,20 @@
             number,
             peer,
             state: Cell::new((ConnectionState::Unused, Instant::now())),
-            ambiguous: Cell::new(false),
-            answered: Cell::new(false),
-            body_over: Cell::new(false),
-            patience: Cell::default(),
-            begin: Instant::now(),
-            stuck: Cell::new(None),
-            lingers: Cell::new(None),
+            ambiguous_length: Cell::new(false),
+            response_written: Cell::new(false),
+            response_body_finished: Cell::new(false),
+            body_timeout: Cell::default(),
+            created_at: Instant::now(),
+            write_stalled_since: Cell::new(None),
+            lingering_since: Cell::new(None),
             waker: RefCell::new(None),
-            owing: Cell::new(None),
-            used: Cell::new(false),
+            response_timer: Cell::new(None),
+            has_written_response: Cell::new(false),
         })
     }
 
-    /// Its number, in the order of accepting.
+    /// The connection's number, in the order of accepting.
     pub fn number(&self) -> u64 {
         self.number
     }
@@ -69,99 +74,99 @@
         self.peer
     }
 
-    /// What the connection is doing, and since when.
+    /// The state, and when it began.
     pub fn state(&self) -> (ConnectionState, Instant) {
         self.state.get()
     }
 
-    pub(super) fn enter(&self, state: ConnectionState) {
+    pub(super) fn set_state(&self, state: ConnectionState) {
         if self.state.get().0 != state {
             self.state.set((state, Instant::now()));
         }
     }
 
-    /// The present request's length can be read in two ways; nothing behind its head is passed on.
-    pub fn ambiguous(&self) -> bool {
-        self.ambiguous.get()
+    /// Whether the length of the current request can be interpreted in two ways; nothing after its head is forwarded.
+    pub fn has_ambiguous_length(&self) -> bool {
+        self.ambiguous_length.get()
     }
 
-    /// No request has come whole over it yet.
-    pub fn first(&self) -> bool {
-        !self.used.get()
+    /// Whether no response has been written yet, so that the current request is the connection's first.
+    pub fn is_first_request(&self) -> bool {
+        !self.has_written_response.get()
     }
 
-    /// Until when more of a body is waited for, if it is.
-    pub fn body_until(&self) -> Option<Instant> {
-        self.patience.get().deadline().map(|at| self.begin + Duration::from_micros(at.0))
+    /// When the body of the current request times out; none while it is not read.
+    pub fn body_deadline(&self) -> Option<Instant> {
+        self.body_timeout.get().deadline().map(|at| self.created_at + Duration::from_micros(at.0))
     }
 
-    /// Since when the client takes nothing of its answer.
-    pub fn stuck(&self) -> Option<Instant> {
-        self.stuck.get()
+    /// Since when the client has not taken any byte of its response.
+    pub fn write_stalled_since(&self) -> Option<Instant> {
+        self.write_stalled_since.get()
     }
 
-    /// Since when it is waited for to hear that nobody wants the rest.
-    pub fn lingers(&self) -> Option<Instant> {
-        self.lingers.get()
+    /// Since when the rest of a request is read and discarded, while the client reads its response.
+    pub fn lingering_since(&self) -> Option<Instant> {
+        self.lingering_since.get()
     }
 
-    /// Whether a request of it is held by others: its body by whoever takes it in, or all of it until its answer.
-    pub fn waits(&self) -> bool {
+    /// Whether a request is in progress: its body is being received, or it has no response yet.
+    pub fn has_open_request(&self) -> bool {
         matches!(self.state.get().0, ConnectionState::ReceivingBody | ConnectionState::Pending)
-            && self.lingers.get().is_none()
+            && self.lingering_since.get().is_none()
     }
 
-    pub(super) fn body(&self, change: impl FnOnce(&mut ProgressTimeout, Time)) {
-        let mut patience = self.patience.get();
-        change(&mut patience, Time(self.begin.elapsed().as_micros() as u64));
-        self.patience.set(patience);
+    pub(super) fn update_body_timeout(&self, change: impl FnOnce(&mut ProgressTimeout, Time)) {
+        let mut timeout = self.body_timeout.get();
+        change(&mut timeout, Time(self.created_at.elapsed().as_micros() as u64));
+        self.body_timeout.set(timeout);
     }
 
-    /// The present request has come whole.
-    pub fn whole(&self) {
-        self.enter(ConnectionState::Pending);
+    /// The current request has been received completely.
+    pub fn on_request_complete(&self) {
+        self.set_state(ConnectionState::Pending);
     }
 
-    /// The present answer's body has been handed over.
-    pub fn body_over(&self) {
-        self.body_over.set(true);
+    /// hyper has the complete body of the current response.
+    pub fn on_response_body_finished(&self) {
+        self.response_body_finished.set(true);
     }
 
-    /// The present request's answer is the next that is written.
-    pub fn owe(&self, owing: PendingTimer) {
-        self.owing.set(Some(owing));
+    /// Sets the timer of the current response; it stops once the response has been written.
+    pub fn set_response_timer(&self, timer: PendingTimer) {
+        self.response_timer.set(Some(timer));
     }
 
-    /// Something was to be written: whether any of it has been.
-    pub(super) fn wrote(&self, some: bool) {
-        let since = (!some).then(|| self.stuck.get().unwrap_or_else(Instant::now));
-        self.stuck.set(since);
+    /// hyper had bytes to write; `progressed` tells whether the kernel took any of them.
+    pub(super) fn on_write(&self, progressed: bool) {
+        let since = (!progressed).then(|| self.write_stalled_since.get().unwrap_or_else(Instant::now));
+        self.write_stalled_since.set(since);
     }
 
-    /// All that was handed over is out. With the last of an answer, the next request may be read.
-    pub(super) fn flushed(&self) {
-        self.stuck.set(None);
-        if !self.body_over.take() {
+    /// All bytes of hyper have been written. If they complete a response, the next request may be read.
+    pub(super) fn on_flushed(&self) {
+        self.write_stalled_since.set(None);
+        if !self.response_body_finished.take() {
             return;
         }
-        if let Some(owing) = self.owing.take() {
-            owing.on_response_written();
+        if let Some(timer) = self.response_timer.take() {
+            timer.on_response_written();
         }
-        self.used.set(true);
-        self.enter(ConnectionState::Idle);
-        self.answered.set(true);
+        self.has_written_response.set(true);
+        self.set_state(ConnectionState::Idle);
+        self.response_written.set(true);
         if let Some(waker) = self.waker.borrow_mut().take() {
             waker.wake();
         }
     }
 }
 
-/// Waits until a client has closed its side while a request of it waits, however much of what it had sent is unread: the
-/// end of a stream is read last, and may lie behind a body that nobody reads while its request waits for a backend.
+/// Waits until a client has closed its side while a request of it is in progress, even if bytes of it are unread: a read
+/// returns the end of the stream last, possibly after a body that is not read while its request waits for a server.
 ///
-/// What the connection does changes only while it is polled, by the same task and before this: so this is looked at as soon
-/// as a request begins to wait, with no period in between.
+/// The state changes only when the connection is polled, by the same task and before this future: so the state is checked
+/// as soon as a request is in progress, without a polling interval.
 pub async fn client_disconnected(stream: &Stream<TcpStream>, client: &ClientConnection) {
     stream.peer_closed().await;
-    poll_fn(|_| if client.waits() { Poll::Ready(()) } else { Poll::Pending }).await;
+    poll_fn(|_| if client.has_open_request() { Poll::Ready(()) } else { Poll::Pending }).await;
 }
--- a/crates/agent/src/downstream/exchange.rs
+++ b/crates/agent/src/downstream/exchange.rs
@@ -1,9 +1,9 @@
-//! One request from its head to its answer: submitted to the decisions, and withdrawn when its client leaves.
+//! The way of a request from its head to its response: submitted to the driver, and withdrawn if its client disconnects.
 
 use super::connection::ClientConnection;
-use super::reply::{Ending, Reply};
 use super::request::header_text;
 use super::response::{plain_response, response_for};
+use super::response_body::{ClientResponseBody, ResponseCompletion};
 use super::{Server, LAST_RESPONSE_SHARE};
 use crate::daemon::status::RequestOutcome;
 use crate::driver::{Driver, FinalResponse, IncomingRequest, SubmittedRequest};
@@ -18,41 +18,42 @@
 use std::time::Duration;
 use tokio::time::timeout_at;
 
-/// The balancer ends each request by its deadline; should it not, the agent does, this much later.
+/// How long after a request's deadline the agent gives up waiting for the balancer's response, which is due by the deadline.
 const DEADLINE_SLACK: Duration = Duration::from_millis(4);
 
 impl Server {
-    pub(super) async fn answer(
+    pub(super) async fn respond(
         self: Rc<Self>,
         request: Request<Incoming>,
         client: Rc<ClientConnection>,
-    ) -> Result<Response<Reply>, Infallible> {
-        let (mut answer, close) = match self.handle(request, &client).await {
-            Ok(answer) => {
-                (answer, self.service.get().closes_connections() || self.taken(LAST_RESPONSE_SHARE))
+    ) -> Result<Response<ClientResponseBody>, Infallible> {
+        let (mut response, close) = match self.handle(request, &client).await {
+            Ok(response) => {
+                (response, self.service.get().closes_connections() || self.usage_reaches(LAST_RESPONSE_SHARE))
             }
-            // Who cannot word a request is not trusted with the rest of the connection.
-            Err(answer) => {
+            // After a malformed request, the following bytes of the connection cannot be trusted either.
+            Err(response) => {
                 self.request_counters.on_bad_request();
                 if let Some(telemetry) = &self.driver.telemetry {
                     telemetry.bad();
                 }
-                (answer, true)
+                (response, true)
             }
         };
         if close {
-            answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        answer.body_mut().goes_over(&client);
-        Ok(answer)
+        response.body_mut().attach_to(&client);
+        Ok(response)
     }
 
+    /// Handles a request; the error is the response to a malformed one.
     async fn handle(
         &self,
         request: Request<Incoming>,
         client: &ClientConnection,
-    ) -> Result<Response<Reply>, Response<Reply>> {
-        if client.ambiguous() {
+    ) -> Result<Response<ClientResponseBody>, Response<ClientResponseBody>> {
+        if client.has_ambiguous_length() {
             return Err(plain_response(
                 StatusCode::BAD_REQUEST,
                 "the request's length can be read in two ways",
@@ -65,54 +66,54 @@
                 plain_response(StatusCode::SERVICE_UNAVAILABLE, "not ready")
             });
         }
-        let arrival = tokio::select! {
+        let incoming = tokio::select! {
             biased;
-            arrival = self.read(request) => arrival?,
-            () = self.process_ends() => {
+            incoming = self.read_request(request) => incoming?,
+            () = self.until_incomplete_refused() => {
                 return Ok(plain_response(StatusCode::SERVICE_UNAVAILABLE, "this process ends"));
             }
         };
-        let Some(open) = self.claim_id(&arrival) else {
+        let Some(open_id) = self.claim_id(&incoming) else {
             return Err(plain_response(StatusCode::CONFLICT, "a request with this X-Request-ID is open"));
         };
-        let (mut deadline, wait) = (arrival.deadline, arrival.response_timeout);
-        let mut client_deadline = arrival.client_deadline;
-        let upload = arrival.body.upload().cloned();
+        let (mut deadline, response_timeout) = (incoming.deadline, incoming.response_timeout);
+        let mut client_deadline = incoming.client_deadline;
+        let upload = incoming.body.upload().cloned();
         if upload.is_none() {
-            client.whole();
+            client.on_request_complete();
         }
-        let counted = self.request_counters.on_request(&self.driver.class_name(arrival.class));
-        let SubmittedRequest { id, response: mut answer, timer: owing } = self.driver.submit(arrival);
-        // When the client leaves, hyper drops this future, and the guard tells the balancer.
-        let _owed = PendingGuard(&self.driver, id);
+        let counter = self.request_counters.on_request(&self.driver.class_name(incoming.class));
+        let SubmittedRequest { id, mut response, timer } = self.driver.submit(incoming);
+        // hyper drops this future when the client disconnects; the guard then notifies the driver.
+        let _guard = DisconnectGuard(&self.driver, id);
         let mut early = None;
         if let Some(upload) = upload {
             tokio::select! {
                 biased;
-                answer = &mut answer => early = Some(Ok(answer)),
+                response = &mut response => early = Some(Ok(response)),
                 () = upload.finished() => {
-                    if let Some(whole) = upload.completed_at() {
-                        client.whole();
-                        deadline = whole + wait;
+                    if let Some(completed_at) = upload.completed_at() {
+                        client.on_request_complete();
+                        deadline = completed_at + response_timeout;
                         client_deadline = deadline;
                         self.driver.on_body_complete(id, deadline);
                     }
                 }
             }
         }
-        let answer = match early {
-            Some(answer) => answer,
-            None => timeout_at(deadline + DEADLINE_SLACK, answer).await,
+        let decided = match early {
+            Some(response) => response,
+            None => timeout_at(deadline + DEADLINE_SLACK, response).await,
         };
-        self.driver.on_response_decided(open.id(), client.number(), client_deadline);
-        let (how, mut response) = match answer {
-            Ok(Ok(answer)) => (
-                match answer {
+        self.driver.on_response_decided(open_id.id(), client.number(), client_deadline);
+        let (outcome, mut response) = match decided {
+            Ok(Ok(response)) => (
+                match response {
                     FinalResponse::Served(..) => RequestOutcome::Served,
                     FinalResponse::Rejected(_) => RequestOutcome::Rejected,
                     FinalResponse::Failed(_) => RequestOutcome::Failed,
                 },
-                response_for(answer),
+                response_for(response),
             ),
             Ok(Err(_)) => {
                 (RequestOutcome::Failed, plain_response(StatusCode::BAD_GATEWAY, "no answer was decided"))
@@ -121,38 +122,38 @@
                 (RequestOutcome::Failed, plain_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time"))
             }
         };
-        response.body_mut().ends(Ending::new(counted, owing, how, open));
+        response.body_mut().set_completion(ResponseCompletion::new(counter, timer, outcome, open_id));
         Ok(response)
     }
 
-    /// Marks a request's id as open; none if it is already. Ids are new with every request, and a second one would
-    /// disturb the first.
-    fn claim_id(&self, arrival: &IncomingRequest) -> Option<OpenId> {
-        let id: Box<str> = header_text(&arrival.headers, "x-request-id").unwrap_or_default().into();
-        let new = self.ids.borrow_mut().insert(id.clone());
-        new.then(|| OpenId(self.ids.clone(), id))
+    /// Marks a request's id as open; none if it is open already. Clients use a new id for each request, and a second open
+    /// request with the same id would interfere with the first.
+    fn claim_id(&self, incoming: &IncomingRequest) -> Option<OpenRequestId> {
+        let id: Box<str> = header_text(&incoming.headers, "x-request-id").unwrap_or_default().into();
+        let new = self.open_request_ids.borrow_mut().insert(id.clone());
+        new.then(|| OpenRequestId(self.open_request_ids.clone(), id))
     }
 }
 
-/// An id that is open as long as this is.
-pub(super) struct OpenId(Rc<RefCell<HashSet<Box<str>>>>, Box<str>);
+/// The id of an open request; dropping it makes the id available again.
+pub(super) struct OpenRequestId(Rc<RefCell<HashSet<Box<str>>>>, Box<str>);
 
-impl OpenId {
+impl OpenRequestId {
     fn id(&self) -> &str {
         &self.1
     }
 }
 
-impl Drop for OpenId {
+impl Drop for OpenRequestId {
     fn drop(&mut self) {
         self.0.borrow_mut().remove(&self.1);
     }
 }
 
-/// Tells the balancer if a request ends without having been given its answer.
-struct PendingGuard<'a>(&'a Rc<Driver>, RequestId);
+/// Notifies the driver, when dropped, that the client of a request has disconnected; after a response this has no effect.
+struct DisconnectGuard<'a>(&'a Rc<Driver>, RequestId);
 
-impl Drop for PendingGuard<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         self.0.on_client_disconnected(self.1);
     }
--- a/crates/agent/src/downstream/framing.rs
+++ b/crates/agent/src/downstream/framing.rs
@@ -1,12 +1,12 @@
-//! Where each request of a client's connection begins and ends, seen before hyper sees it.
+//! Finds the beginning and the end of each request on a client's connection before hyper reads it.
 //!
-//! hyper drops a `Content-Length` that stands beside a `Transfer-Encoding` and takes equal lengths for one, so
-//! what it hands on no longer shows that a peer might read the message otherwise. It also reads ahead, so that
-//! an idle connection and one with a request on its way look alike. This wrapper passes on one whole head,
-//! then the bytes that its length gives and nothing behind them until the request has its answer.
+//! hyper ignores a `Content-Length` beside a `Transfer-Encoding`, and accepts repeated equal lengths, so its requests no
+//! longer show that a server might interpret the message otherwise. It also reads ahead, so that an idle connection cannot be
+//! told from one on which a request is arriving. [`RequestFraming`] passes one complete head to hyper, then as many bytes as
+//! the body has, and nothing after them until the request has its response.
 
 use super::connection::ClientConnection;
-use super::head::{frame, Frame};
+use super::head::{parse_framing, HeadFraming};
 use bellcroft_agent_core::body_limits::{ProgressTimeout, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES};
 use bellcroft_agent_core::chunks::{Chunks, NotChunked};
 use bellcroft_agent_core::guard::ConnectionState;
@@ -20,44 +20,47 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// The longest head of a request.
+/// The maximum length of a request's head, in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Read at a time.
+/// The size of a read.
 const READ_CHUNK_BYTES: usize = 16 << 10;
-/// What is kept of what comes behind a request that waits: the longest one that is taken whole. More is read and dropped,
-/// for a client that leaves says so behind all that it has sent, and its kernel can't deliver that word while ours takes
-/// nothing.
-const MAX_AHEAD_BYTES: usize = MAX_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES;
-/// So much is dropped at the most; whoever sends on is no longer read.
-const MAX_DROPPED_BYTES: u64 = MAX_BODY_BYTES;
+/// The maximum of buffered bytes behind a request that has no response yet: enough for the longest request that is buffered
+/// completely. Further bytes are read and discarded: the end of the stream is behind all bytes that a client has sent, and
+/// does not arrive while the receive buffer is full.
+const MAX_BUFFERED_BYTES: usize = MAX_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES;
+/// The maximum of discarded bytes on a connection; after that it is no longer read.
+const MAX_DISCARDED_BYTES: u64 = MAX_BODY_BYTES;
 
-/// How far the present request has been read.
+/// The position in the current request.
 enum Stage {
-    /// Its head is coming.
+    /// In the head.
     Head,
-    /// This much of its body is yet to be passed on.
+    /// In a body of known length: the number of bytes that are still to come.
     Body(u64),
-    /// Its body comes in chunks.
+    /// In a chunked body.
     Chunked(Chunks),
-    /// It is whole; what comes now belongs to the next one, or is the client's leaving.
-    Whole,
-    /// Nothing that comes is a request any more.
-    Shut,
+    /// Behind the request: following bytes belong to the next request, or the stream ends.
+    Complete,
+    /// Behind the last request: all following bytes are ignored.
+    Closed,
 }
 
-/// A client's connection, read request by request.
+/// A client's connection as hyper reads it: request by request.
 pub struct RequestFraming {
     io: Rc<Stream<TcpStream>>,
     client: Rc<ClientConnection>,
     stage: Stage,
-    /// What has been read and not been passed on; its first `pass` bytes may be.
-    ahead: BytesMut,
-    pass: usize,
-    /// A head that was not whole at this length is not parsed again before more has come.
-    parsed: usize,
-    ended: bool,
-    /// How much behind `ahead` has been dropped; with the first byte the stream ends there for all that follow.
-    dropped: u64,
+    /// Bytes that have been read from the socket and not been passed to hyper.
+    buffered: BytesMut,
+    /// The number of bytes at the beginning of `buffered` that hyper may read.
+    readable: usize,
+    /// The length of `buffered` when an incomplete head was parsed; it is not parsed again before more bytes have been read.
+    parsed_len: usize,
+    /// Whether the end of the stream has been read.
+    eof: bool,
+    /// The number of bytes behind `buffered` that were discarded. Once it is not 0, the stream ends for hyper after
+    /// `buffered`.
+    discarded: u64,
 }
 
 impl RequestFraming {
@@ -67,97 +70,99 @@
             io: stream,
             client,
             stage: Stage::Head,
-            ahead: BytesMut::new(),
-            pass: 0,
-            parsed: 0,
-            ended: false,
-            dropped: 0,
+            buffered: BytesMut::new(),
+            readable: 0,
+            parsed_len: 0,
+            eof: false,
+            discarded: 0,
         }
     }
 
-    /// Reads more; false at the end of the stream. Memory is taken only once there is something to read.
+    /// Reads more bytes; false at the end of the stream. Memory is allocated only once bytes are available.
     fn poll_fill(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<bool>> {
-        if self.ended {
+        if self.eof {
             return Poll::Ready(Ok(false));
         }
         let mut chunk = [0; READ_CHUNK_BYTES];
         let n = ready!(self.io.poll_read(cx, &mut chunk))?;
         let kept = match self.stage {
-            Stage::Whole => n.min(MAX_AHEAD_BYTES.saturating_sub(self.ahead.len())),
+            Stage::Complete => n.min(MAX_BUFFERED_BYTES.saturating_sub(self.buffered.len())),
             _ => n,
         };
-        let kept = if self.dropped > 0 { 0 } else { kept };
-        self.ahead.extend_from_slice(&chunk[..kept]);
-        self.dropped += (n - kept) as u64;
+        let kept = if self.discarded > 0 { 0 } else { kept };
+        self.buffered.extend_from_slice(&chunk[..kept]);
+        self.discarded += (n - kept) as u64;
         if matches!(self.stage, Stage::Body(_) | Stage::Chunked(_)) {
-            self.client.body(|patience, now| patience.on_bytes(n, now));
+            self.client.update_body_timeout(|timeout, now| timeout.on_bytes(n, now));
         }
-        self.ended = n == 0;
+        self.eof = n == 0;
         Poll::Ready(Ok(n > 0))
     }
 
-    /// Takes in what has come of a head; true if some of it can be passed on.
-    fn take_head(&mut self) -> bool {
-        if self.ahead.is_empty() {
+    /// Parses the buffered part of a head; true if hyper may read any of it.
+    fn parse_head(&mut self) -> bool {
+        if self.buffered.is_empty() {
             return false;
         }
-        self.client.enter(ConnectionState::ReceivingHead);
-        if self.ahead.len() == self.parsed {
+        self.client.set_state(ConnectionState::ReceivingHead);
+        if self.buffered.len() == self.parsed_len {
             return false;
         }
-        self.parsed = self.ahead.len();
-        match frame(&self.ahead) {
-            Frame::Partial if self.ahead.len() < MAX_HEAD_BYTES => return false,
-            // hyper answers what it cannot read, and a head that is too long, in its own words, and closes.
-            Frame::Partial | Frame::Unreadable => (self.pass, self.stage) = (self.ahead.len(), Stage::Shut),
-            Frame::Ambiguous(head) => {
-                self.client.ambiguous.set(true);
-                (self.pass, self.stage) = (head, Stage::Shut);
+        self.parsed_len = self.buffered.len();
+        match parse_framing(&self.buffered) {
+            HeadFraming::Partial if self.buffered.len() < MAX_HEAD_BYTES => return false,
+            // hyper responds to an invalid or too long head itself, and closes the connection.
+            HeadFraming::Partial | HeadFraming::Unreadable => {
+                (self.readable, self.stage) = (self.buffered.len(), Stage::Closed);
             }
-            Frame::Sized(head, 0) => {
-                (self.pass, self.stage) = (head, Stage::Whole);
-                self.client.enter(ConnectionState::Pending);
+            HeadFraming::Ambiguous(head) => {
+                self.client.ambiguous_length.set(true);
+                (self.readable, self.stage) = (head, Stage::Closed);
             }
-            Frame::Sized(head, body) => {
-                self.client.patience.take();
-                (self.pass, self.stage) = (head, Stage::Body(body));
-                self.client.enter(ConnectionState::ReceivingBody);
+            HeadFraming::Sized(head, 0) => {
+                (self.readable, self.stage) = (head, Stage::Complete);
+                self.client.set_state(ConnectionState::Pending);
             }
-            Frame::Chunked(head) => {
-                self.client.patience.take();
-                (self.pass, self.stage) = (head, Stage::Chunked(Chunks::default()));
-                self.client.enter(ConnectionState::ReceivingBody);
+            HeadFraming::Sized(head, body) => {
+                self.client.body_timeout.take();
+                (self.readable, self.stage) = (head, Stage::Body(body));
+                self.client.set_state(ConnectionState::ReceivingBody);
+            }
+            HeadFraming::Chunked(head) => {
+                self.client.body_timeout.take();
+                (self.readable, self.stage) = (head, Stage::Chunked(Chunks::default()));
+                self.client.set_state(ConnectionState::ReceivingBody);
             }
         }
         true
     }
 
-    /// The request has been answered: the next head may come, unless its body has not been read to its end.
-    fn turn(&mut self) {
+    /// The request has its response. The next one may be read, unless the body of this one has not been read to its end.
+    fn start_next_request(&mut self) {
         self.stage = match self.stage {
-            Stage::Whole | Stage::Head => Stage::Head,
-            Stage::Body(_) | Stage::Chunked(_) | Stage::Shut => Stage::Shut,
+            Stage::Complete | Stage::Head => Stage::Head,
+            Stage::Body(_) | Stage::Chunked(_) | Stage::Closed => Stage::Closed,
         };
-        self.parsed = 0;
+        self.parsed_len = 0;
     }
 
-    /// Notes whether the kernel has taken any of what was to be written.
-    fn note_write(&self, wrote: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        self.client.wrote(wrote.is_ready());
-        wrote
+    /// Records whether the kernel took any bytes of a write.
+    fn record_write(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+        self.client.on_write(result.is_ready());
+        result
     }
 
-    /// Reads away what comes of a request that nobody wants any more, until its client has nothing left to say: were the
-    /// socket closed on unread bytes, the kernel would take back the answer that tells the client so.
+    /// Reads and discards the rest of a request that already has its response, until the client closes its side. If the socket
+    /// were closed with unread bytes, the kernel would reset the connection, and the client could lose the response.
     fn poll_linger(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.client.lingers.get().is_none() {
-            self.client.lingers.set(Some(Instant::now()));
+        if self.client.lingering_since.get().is_none() {
+            self.client.lingering_since.set(Some(Instant::now()));
         }
         loop {
-            self.ahead.clear();
+            self.buffered.clear();
             match ready!(self.poll_fill(cx)) {
                 Ok(true) => {}
-                // It has nothing left to say, or has left.
+                // The client has sent all bytes, or has disconnected.
                 Ok(false) | Err(_) => return Poll::Ready(Ok(())),
             }
         }
@@ -171,64 +176,64 @@
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let this = &mut *self;
-        if this.client.answered.take() {
-            this.turn();
+        if this.client.response_written.take() {
+            this.start_next_request();
         }
         loop {
-            if this.pass > 0 {
-                let n = this.pass.min(buf.remaining());
-                buf.put_slice(&this.ahead[..n]);
-                this.ahead.advance(n);
-                this.pass -= n;
+            if this.readable > 0 {
+                let n = this.readable.min(buf.remaining());
+                buf.put_slice(&this.buffered[..n]);
+                this.buffered.advance(n);
+                this.readable -= n;
                 return Poll::Ready(Ok(()));
             }
             match this.stage {
                 Stage::Head => {
-                    if this.take_head() {
+                    if this.parse_head() {
                         continue;
                     }
-                    // What was behind has been dropped: what has come of a request before it will not become whole.
-                    if this.dropped > 0 {
+                    // The bytes behind the buffered ones have been discarded, so an incomplete head stays incomplete.
+                    if this.discarded > 0 {
                         return Poll::Ready(Ok(()));
                     }
                 }
-                Stage::Body(left) if !this.ahead.is_empty() => {
-                    this.pass = left.min(this.ahead.len() as u64) as usize;
-                    this.stage = Stage::Body(left - this.pass as u64);
-                    if left == this.pass as u64 {
-                        this.stage = Stage::Whole;
-                        this.client.enter(ConnectionState::Pending);
+                Stage::Body(left) if !this.buffered.is_empty() => {
+                    this.readable = left.min(this.buffered.len() as u64) as usize;
+                    this.stage = Stage::Body(left - this.readable as u64);
+                    if left == this.readable as u64 {
+                        this.stage = Stage::Complete;
+                        this.client.set_state(ConnectionState::Pending);
                     }
                     continue;
                 }
-                Stage::Chunked(mut chunks) if !this.ahead.is_empty() => {
-                    match chunks.advance(&this.ahead) {
+                Stage::Chunked(mut chunks) if !this.buffered.is_empty() => {
+                    match chunks.advance(&this.buffered) {
                         Ok(n) => {
-                            this.pass = n;
+                            this.readable = n;
                             this.stage = Stage::Chunked(chunks);
                             if chunks.is_complete() {
-                                this.stage = Stage::Whole;
-                                this.client.enter(ConnectionState::Pending);
+                                this.stage = Stage::Complete;
+                                this.client.set_state(ConnectionState::Pending);
                             }
                         }
-                        // hyper may read it otherwise, and must not get the chance.
+                        // hyper might interpret the bytes otherwise, so it does not get them.
                         Err(NotChunked) => {
-                            this.stage = Stage::Shut;
+                            this.stage = Stage::Closed;
                             return Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
                         }
                     }
                     continue;
                 }
-                Stage::Shut => return Poll::Pending,
-                Stage::Body(_) | Stage::Chunked(_) if this.dropped > 0 => {
+                Stage::Closed => return Poll::Pending,
+                Stage::Body(_) | Stage::Chunked(_) if this.discarded > 0 => {
                     return Poll::Ready(Ok(()));
                 }
-                // Only its leaving is still of interest, and that shows at the socket (`left`).
-                Stage::Whole if this.dropped >= MAX_DROPPED_BYTES => {
+                // Only a disconnect still matters, and `client_disconnected` detects that at the socket.
+                Stage::Complete if this.discarded >= MAX_DISCARDED_BYTES => {
                     *this.client.waker.borrow_mut() = Some(cx.waker().clone());
                     return Poll::Pending;
                 }
-                Stage::Body(_) | Stage::Chunked(_) | Stage::Whole => {}
+                Stage::Body(_) | Stage::Chunked(_) | Stage::Complete => {}
             }
             match this.poll_fill(cx) {
                 Poll::Ready(Ok(true)) => {}
@@ -236,7 +241,7 @@
                 Poll::Ready(Err(e)) => return Poll::Ready(Err(e)),
                 Poll::Pending => {
                     if matches!(this.stage, Stage::Body(_) | Stage::Chunked(_)) {
-                        this.client.body(ProgressTimeout::on_wait);
+                        this.client.update_body_timeout(ProgressTimeout::on_wait);
                     }
                     *this.client.waker.borrow_mut() = Some(cx.waker().clone());
                     return Poll::Pending;
@@ -248,23 +253,23 @@
 
 impl Write for RequestFraming {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.note_write(self.io.poll_write(cx, buf))
+        self.record_write(self.io.poll_write(cx, buf))
     }
 
     fn poll_flush(self: Pin<&mut Self>, _cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // hyper flushes only once it has written all that it had, and nothing is kept back here.
-        self.client.flushed();
+        // hyper flushes only when it has written all its bytes, and none are buffered here.
+        self.client.on_flushed();
         Poll::Ready(Ok(()))
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.client.lingers.get().is_none() {
+        if self.client.lingering_since.get().is_none() {
             self.io.shutdown_write()?;
         }
         match self.stage {
-            _ if self.dropped > 0 => self.poll_linger(cx),
+            _ if self.discarded > 0 => self.poll_linger(cx),
             Stage::Body(_) | Stage::Chunked(_) => self.poll_linger(cx),
-            Stage::Head | Stage::Whole | Stage::Shut => Poll::Ready(Ok(())),
+            Stage::Head | Stage::Complete | Stage::Closed => Poll::Ready(Ok(())),
         }
     }
 
@@ -277,6 +282,6 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.note_write(self.io.poll_write_vectored(cx, bufs))
+        self.record_write(self.io.poll_write_vectored(cx, bufs))
     }
 }
--- a/crates/agent/src/downstream/head.rs
+++ b/crates/agent/src/downstream/head.rs
@@ -1,40 +1,47 @@
-//! How long a request is, by its head: read before hyper reads it, for hyper drops what would be ambiguous.
+//! Determines the length of a request from its head, before hyper parses it: hyper removes headers that make it ambiguous.
 
-/// Header lines that a head may have; hyper's own bound.
+/// The maximum number of header lines, the same as hyper's.
 const MAX_HEADER_LINES: usize = 100;
 
-/// What the bytes so far are; a whole head with its length, and that of its body.
+/// The result of parsing the first bytes of a request.
 #[derive(Debug, PartialEq)]
-pub(super) enum Frame {
+pub(super) enum HeadFraming {
+    /// The head is incomplete.
     Partial,
+    /// The bytes are not a valid head.
     Unreadable,
+    /// The length of the body can be interpreted in two ways. The field is the length of the head.
     Ambiguous(usize),
+    /// The lengths of the head and of the body.
     Sized(usize, u64),
+    /// The body is chunked. The field is the length of the head.
     Chunked(usize),
 }
 
-pub(super) fn frame(bytes: &[u8]) -> Frame {
+/// Parses the bytes received so far.
+pub(super) fn parse_framing(bytes: &[u8]) -> HeadFraming {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADER_LINES];
     let mut request = httparse::Request::new(&mut lines);
     let head = match request.parse(bytes) {
         Ok(httparse::Status::Complete(head)) => head,
-        Ok(httparse::Status::Partial) => return Frame::Partial,
-        Err(_) => return Frame::Unreadable,
+        Ok(httparse::Status::Partial) => return HeadFraming::Partial,
+        Err(_) => return HeadFraming::Unreadable,
     };
     let values = |name: &str| {
         let named = request.headers.iter().filter(|h| h.name.eq_ignore_ascii_case(name));
         named.map(|h| h.value).collect::<Vec<_>>()
     };
     match (values("content-length").as_slice(), values("transfer-encoding").as_slice()) {
-        ([], []) => Frame::Sized(head, 0),
-        ([length], []) => length_of(length).map_or(Frame::Ambiguous(head), |body| Frame::Sized(head, body)),
-        ([], [coding]) if coding.eq_ignore_ascii_case(b"chunked") => Frame::Chunked(head),
-        _ => Frame::Ambiguous(head),
+        ([], []) => HeadFraming::Sized(head, 0),
+        ([length], []) => parse_content_length(length)
+            .map_or(HeadFraming::Ambiguous(head), |body| HeadFraming::Sized(head, body)),
+        ([], [coding]) if coding.eq_ignore_ascii_case(b"chunked") => HeadFraming::Chunked(head),
+        _ => HeadFraming::Ambiguous(head),
     }
 }
 
-/// Digits and nothing else: no sign, no list, no blank in between.
-fn length_of(value: &[u8]) -> Option<u64> {
+/// Parses a length that consists only of digits: no sign, no list, no spaces.
+fn parse_content_length(value: &[u8]) -> Option<u64> {
     let digits = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
     digits.then(|| std::str::from_utf8(value).ok()?.parse().ok()).flatten()
 }
--- a/crates/agent/src/downstream/mod.rs
+++ b/crates/agent/src/downstream/mod.rs
@@ -1,13 +1,13 @@
-//! The application's side: takes requests in, checks them, and writes the one answer of each.
+//! The clients' side: accepts connections, reads and checks requests, and writes one response to each.
 
 mod capacity;
 mod connection;
 mod exchange;
 mod framing;
 mod head;
-mod reply;
 mod request;
 mod response;
+mod response_body;
 
 use crate::daemon::status::RequestCounters;
 use crate::driver::Driver;
@@ -16,9 +16,9 @@
 use bellcroft_agent_core::guard::{ConnectionState, Guard};
 use bellcroft_agent_core::serving::{Service, ServingState};
 use bellcroft_net::{AcceptError, Listener, Stream};
-use capacity::{can_be_spared, LAST_RESPONSE_SHARE, STATE_CHECK_INTERVAL};
+use capacity::{is_evictable, LAST_RESPONSE_SHARE, STATE_CHECK_INTERVAL};
 use connection::{client_disconnected, ClientConnection};
-use exchange::OpenId;
+use exchange::OpenRequestId;
 use framing::{RequestFraming, MAX_HEAD_BYTES};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -32,87 +32,91 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-/// Pause after an accept that failed, or descriptors that have run out would make the loop spin.
+/// The pause after a failed accept: without it, the loop would spin while no descriptor is left.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// A shortage of descriptors or memory that lasts for so many accepts in a row is this process's own; the machine's may be
-/// over at once, and clients must not wait for it.
-const PERSISTENT_SHORTAGE: u32 = 4;
-/// Pause between those.
+/// The number of consecutive accepts that fail for a shortage of descriptors or memory after which the shortage counts as this
+/// process's own. One of the machine may end at once, and clients should not wait for it.
+const PERSISTENT_SHORTAGE_ACCEPTS: u32 = 4;
+/// The pause between these accepts.
 const SHORTAGE_RETRY_INTERVAL: Duration = Duration::from_millis(2);
-/// A connection that has said nothing for this long is not about to: clients connect to ask.
+/// An unused connection without a byte for this long is not expected to send a request: clients send one right after they
+/// connect.
 const FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Read at a time of what nobody wants any more.
+/// The size of a read of discarded bytes.
 const DISCARD_CHUNK_BYTES: usize = 4 << 10;
-/// What a client hears whose request is not complete when the process ends. Nothing of it has gone out.
-const PROCESS_ENDS_RESPONSE: &[u8] =
+/// The response to a request whose head is incomplete when the process ends. No byte of it has been sent to a server.
+const SHUTDOWN_RESPONSE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// A connection that has been taken.
-struct HeldConnection {
+/// An accepted connection.
+struct OpenConnection {
     client: Rc<ClientConnection>,
-    leave: Rc<Notify>,
+    /// Notified to close the connection for the sake of another client.
+    evict: Rc<Notify>,
 }
 
-/// Whether connections are taken.
+/// Whether connections are accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Accepting {
-    /// Each.
+    /// All connections are accepted.
     On,
-    /// Those that have come until now, and none after them.
+    /// Those in the accept queue are accepted, and no later ones.
     Drain,
-    /// None any more: another process takes them.
+    /// No connections are accepted: another process accepts them.
     Off,
 }
 
-/// The listening side and the connections it has taken.
+/// The HTTP server for clients: its listening side and its connections.
 pub struct Server {
     driver: Rc<Driver>,
-    /// What became of the requests.
+    /// Counters of requests by class and outcome.
     pub request_counters: RequestCounters,
     service: Cell<Service>,
-    /// Told of each change of the above.
-    changed: watch::Sender<()>,
+    /// Notified when `service` changes.
+    service_changed: watch::Sender<()>,
     accepting: watch::Sender<Accepting>,
-    /// The process ends at once: what is not complete is refused.
-    ending: watch::Sender<bool>,
-    /// No further request is read: connections close as soon as they owe no response.
+    /// Whether incomplete requests are refused, because the process is about to exit.
+    refusing_incomplete: watch::Sender<bool>,
+    /// Whether no further request is read; connections close once they have no request without a response.
     closing: watch::Sender<bool>,
-    limit: Cell<usize>,
-    /// The process had no descriptor left: until when it holds so many connections at most.
-    shortage: Cell<Option<(Instant, usize)>>,
-    held: RefCell<HashMap<u64, HeldConnection>>,
-    last_connection: Cell<u64>,
-    freed: Notify,
-    /// Ids of the requests that are open.
-    ids: Rc<RefCell<HashSet<Box<str>>>>,
-    /// What the begins of bodies that are coming may take.
-    store: Rc<RefCell<BufferPool>>,
+    connection_limit: Cell<usize>,
+    /// The reduced connection limit after a shortage of descriptors, and when it expires.
+    reduced_limit: Cell<Option<(Instant, usize)>>,
+    /// The open connections by their number.
+    open_connections: RefCell<HashMap<u64, OpenConnection>>,
+    last_connection_number: Cell<u64>,
+    /// Notified when a connection has closed.
+    connection_closed: Notify,
+    /// The ids of open requests.
+    open_request_ids: Rc<RefCell<HashSet<Box<str>>>>,
+    /// The memory for the beginnings of request bodies.
+    buffer_pool: Rc<RefCell<BufferPool>>,
 }
 
 impl Server {
-    /// Serves at most `connections` at a time.
+    /// A server with at most `connections` open connections, in a process with this memory, in bytes.
     pub fn new(driver: Rc<Driver>, connections: usize, memory: usize) -> Rc<Self> {
         Rc::new(Server {
             request_counters: RequestCounters::new(&driver.names().classes),
             driver,
             service: Cell::default(),
-            changed: watch::Sender::new(()),
+            service_changed: watch::Sender::new(()),
             accepting: watch::Sender::new(Accepting::On),
-            ending: watch::Sender::new(false),
+            refusing_incomplete: watch::Sender::new(false),
             closing: watch::Sender::new(false),
-            limit: Cell::new(connections),
-            shortage: Cell::new(None),
-            held: RefCell::default(),
-            last_connection: Cell::new(0),
-            freed: Notify::new(),
-            ids: Rc::default(),
-            store: Rc::new(RefCell::new(BufferPool::new(memory))),
+            connection_limit: Cell::new(connections),
+            reduced_limit: Cell::new(None),
+            open_connections: RefCell::default(),
+            last_connection_number: Cell::new(0),
+            connection_closed: Notify::new(),
+            open_request_ids: Rc::default(),
+            buffer_pool: Rc::new(RefCell::new(BufferPool::new(memory))),
         })
     }
 
-    /// Takes connections until [`Server::stop_accepting`] is called; one that has been taken by then is served. Each is taken
-    /// at once; where there is no place for it, one that nobody needs gives way, so that hundreds that say nothing do not
-    /// shut the others out.
+    /// Accepts connections until [`Server::stop_accepting`] is called; those accepted by then are served. At the connection
+    /// limit, an unused or idle connection is evicted for each new one: otherwise hundreds of silent connections would lock
+    /// out other clients.
     pub async fn accept(self: Rc<Self>, listener: Listener) {
         let mut accepting = self.accepting.subscribe();
         let mut shortages = 0;
@@ -127,200 +131,204 @@
             match accepted {
                 Ok(stream) => {
                     shortages = 0;
-                    while self.held.borrow().len() >= self.max_connections() {
+                    while self.open_connections.borrow().len() >= self.max_connections() {
                         self.evict(1);
-                        self.wait_for_place().await;
+                        self.wait_for_close().await;
                     }
-                    self.clone().serve(stream);
+                    self.clone().spawn_connection(stream);
                 }
                 Err(AcceptError::Shortage(_)) => {
                     shortages += 1;
-                    if shortages < PERSISTENT_SHORTAGE {
+                    if shortages < PERSISTENT_SHORTAGE_ACCEPTS {
                         sleep(SHORTAGE_RETRY_INTERVAL).await;
                         continue;
                     }
                     self.on_descriptor_shortage();
-                    self.wait_for_place().await;
+                    self.wait_for_close().await;
                 }
                 Err(AcceptError::Other(_)) => sleep(ACCEPT_RETRY_INTERVAL).await,
             }
         };
         if stopped == Accepting::Drain {
-            // Their clients may have sent a request.
-            listener.into_backlog().into_iter().for_each(|stream| self.clone().serve(stream));
+            // Clients of these connections may have sent requests.
+            listener.into_backlog().into_iter().for_each(|stream| self.clone().spawn_connection(stream));
         }
     }
 
     /// Serves a connection in a task of its own.
-    fn serve(self: Rc<Self>, stream: Stream<TcpStream>) {
-        let number = self.last_connection.get() + 1;
-        self.last_connection.set(number);
-        let held = HeldConnection {
+    fn spawn_connection(self: Rc<Self>, stream: Stream<TcpStream>) {
+        let number = self.last_connection_number.get() + 1;
+        self.last_connection_number.set(number);
+        let connection = OpenConnection {
             client: ClientConnection::new(number, stream.peer_addr().ok()),
-            leave: Rc::default(),
+            evict: Rc::default(),
         };
-        let (client, leave) = (held.client.clone(), held.leave.clone());
-        self.held.borrow_mut().insert(number, held);
+        let (client, evict) = (connection.client.clone(), connection.evict.clone());
+        self.open_connections.borrow_mut().insert(number, connection);
         tokio::task::spawn_local(async move {
-            let reason = self.clone().connection(stream, client.clone(), leave).await;
+            let reason = self.clone().serve_connection(stream, client.clone(), evict).await;
             self.on_closed(&client, reason);
-            self.held.borrow_mut().remove(&number);
-            self.freed.notify_one();
+            self.open_connections.borrow_mut().remove(&number);
+            self.connection_closed.notify_one();
         });
     }
 
-    /// A client's connection has ended, or is closed now.
+    /// A client's connection has closed, or is about to.
     fn on_closed(&self, client: &ClientConnection, reason: CloseReason) {
         let (state, _) = client.state();
         let log = &self.driver.request_log;
         log.on_connection_closed(client.number(), client.peer(), state, reason);
         let by_this_process = !matches!(reason, CloseReason::ClientDisconnected | CloseReason::Finished);
-        let must_log =
-            by_this_process && client.stuck().is_none() && self.driver.guard.borrow_mut().on_close(state);
+        let must_log = by_this_process
+            && client.write_stalled_since().is_none()
+            && self.driver.guard.borrow_mut().on_close(state);
         if must_log {
             log.on_closed_while_pending(client.number(), reason);
         }
     }
 
-    /// The process exits: the connections that are left end with it.
+    /// The process exits, which closes the remaining connections.
     pub fn on_exit(&self) {
-        for held in self.held.borrow().values() {
-            self.on_closed(&held.client, CloseReason::Shutdown);
+        for connection in self.open_connections.borrow().values() {
+            self.on_closed(&connection.client, CloseReason::Shutdown);
         }
     }
 
-    /// A connection that leaves frees its place; one that may leave soon is found by looking again.
-    async fn wait_for_place(&self) {
-        let _ = timeout(ACCEPT_RETRY_INTERVAL, self.freed.notified()).await;
+    /// Waits for a connection to close. Also returns after a short time, since other connections may have become evictable.
+    async fn wait_for_close(&self) {
+        let _ = timeout(ACCEPT_RETRY_INTERVAL, self.connection_closed.notified()).await;
     }
 
-    /// What it is there for at present.
+    /// The serving state at present.
     pub fn serving_state(&self) -> ServingState {
         self.service.get().state()
     }
 
-    /// Whether it says yes to those who ask if they may send it clients.
+    /// Whether health checks of this instance succeed.
     pub fn is_ready(&self) -> bool {
         self.driver.is_ready() && self.service.get().is_ready()
     }
 
-    /// When connections that are idle close for the sake of its duty, if they do.
+    /// When idle connections are closed because of the serving state; none while the instance serves.
     pub fn close_idle_at(&self) -> Option<Instant> {
         self.service.get().close_idle_at().map(|at| self.driver.clock.instant(at))
     }
 
-    /// Changes what it is there for; connections look at it at once.
+    /// Changes the serving state and notifies all connections.
     pub fn update_service<T>(&self, change: impl FnOnce(&mut Service) -> T) -> T {
         let mut service = self.service.get();
-        let told = change(&mut service);
+        let result = change(&mut service);
         self.service.set(service);
-        self.changed.send_replace(());
-        told
+        self.service_changed.send_replace(());
+        result
     }
 
-    /// From now on it serves so many connections at a time; those that it has go on.
+    /// Sets the connection limit; connections that are open above it stay open.
     pub fn set_max_connections(&self, connections: usize) {
-        self.limit.set(connections);
+        self.connection_limit.set(connections);
     }
 
-    /// Takes no new connection from now on, but those that have come already if it drains.
-    pub fn stop_accepting(&self, how: Accepting) {
-        self.accepting.send_replace(how);
+    /// Stops accepting connections; with [`Accepting::Drain`], those in the accept queue are still accepted.
+    pub fn stop_accepting(&self, mode: Accepting) {
+        self.accepting.send_replace(mode);
     }
 
-    /// Refuses what is not complete, for the process ends: whatever comes of it from now on has its answer.
+    /// Refuses incomplete requests, because the process is about to exit. Bytes of them that arrive later do not change the
+    /// response.
     pub fn refuse_incomplete(&self) {
-        self.ending.send_replace(true);
+        self.refusing_incomplete.send_replace(true);
     }
 
-    /// Reads no further request: connections that owe no response close, the others once they have written it. What has
-    /// arrived and was not read is left to the kernel, so its client knows that it was not accepted.
+    /// Reads no further request: connections without a pending request close, the others once they have written the response.
+    /// Requests that have arrived and were not read are left to the kernel, which resets their connections, so that their
+    /// clients know that they were not accepted.
     pub fn close_connections(&self) {
         self.closing.send_replace(true);
     }
 
-    /// Waits until what is not complete is refused.
-    async fn process_ends(&self) {
-        until_set(&self.ending).await;
+    /// Waits until incomplete requests are refused.
+    async fn until_incomplete_refused(&self) {
+        until_set(&self.refusing_incomplete).await;
     }
 
-    /// Connections of clients at present.
+    /// The number of open connections of clients.
     pub fn connections(&self) -> usize {
-        self.held.borrow().len()
+        self.open_connections.borrow().len()
     }
 
-    /// Whether any request is on its way in or has no answer yet. One may be on its way over a connection that is
-    /// so fresh that its first byte has not come.
+    /// Whether any request is being received or has no response yet. A connection that was accepted a moment ago counts, since
+    /// its request may be about to arrive.
     pub fn is_busy(&self) -> bool {
-        let busy = |held: &HeldConnection| {
-            let (state, since) = held.client.state();
-            may_owe_response(state, since.elapsed())
+        let busy = |connection: &OpenConnection| {
+            let (state, since) = connection.client.state();
+            may_need_response(state, since.elapsed())
         };
-        self.held.borrow().values().any(busy)
+        self.open_connections.borrow().values().any(busy)
     }
 
-    async fn connection(
+    async fn serve_connection(
         self: Rc<Self>,
         stream: Stream<TcpStream>,
         client: Rc<ClientConnection>,
-        leave: Rc<Notify>,
+        evict: Rc<Notify>,
     ) -> CloseReason {
-        let (stream, taken) = (Rc::new(stream), Instant::now());
-        let mut changed = self.changed.subscribe();
-        let (server, read) = (self.clone(), client.clone());
-        let service = service_fn(move |request| server.clone().answer(request, read.clone()));
+        let (stream, accepted_at) = (Rc::new(stream), Instant::now());
+        let mut service_changed = self.service_changed.subscribe();
+        let (server, service_client) = (self.clone(), client.clone());
+        let service = service_fn(move |request| server.clone().respond(request, service_client.clone()));
         let mut builder = http1::Builder::new();
         builder.max_buf_size(MAX_HEAD_BYTES).max_header_size(MAX_HEAD_BYTES);
         let framing_io = RequestFraming::new(stream.clone(), client.clone());
         let mut connection = pin!(builder.serve_connection(framing_io, service));
-        let mut leaving = pin!(client_disconnected(&stream, &client));
-        let mut ending = pin!(self.process_ends());
+        let mut disconnected = pin!(client_disconnected(&stream, &client));
+        let mut incomplete_refused = pin!(self.until_incomplete_refused());
         let mut closing = pin!(until_set(&self.closing));
-        let mut refused = false;
+        let mut is_refusing = false;
         loop {
-            // Before the connection is polled, which may read a request.
+            // Checked before the connection is polled, which may read a request.
             if *self.closing.borrow() && Guard::may_close(client.state().0) {
                 return CloseReason::Shutdown;
             }
-            let until = self.expires_at(&client, taken);
-            if Instant::now() >= until {
+            let expires_at = self.expires_at(&client, accepted_at);
+            if Instant::now() >= expires_at {
                 return CloseReason::TimedOut;
             }
-            // What has come is looked at before the connection's time.
+            // Received bytes are read before the timeout is checked again.
             tokio::select! {
                 biased;
                 () = closing.as_mut(), if !*self.closing.borrow() => {}
-                // An error here is the client's leaving or its bad bytes; both concern this connection alone.
+                // An error is a disconnect or a malformed request; both concern only this connection.
                 _ = connection.as_mut() => return CloseReason::Finished,
-                () = leave.notified() => {
-                    // A request may have come since it was chosen.
-                    if can_be_spared(&client) {
+                () = evict.notified() => {
+                    // A request may have arrived since the connection was chosen.
+                    if is_evictable(&client) {
                         return CloseReason::Evicted;
                     }
                 }
-                // A client that closes its side has gone away (the protocol's page): what it waits for ends with it.
-                () = leaving.as_mut() => return CloseReason::ClientDisconnected,
-                () = ending.as_mut(), if !refused => {
-                    refused = true;
+                // By the platform's protocol, a client that closes its side has disconnected; its request is withdrawn.
+                () = disconnected.as_mut() => return CloseReason::ClientDisconnected,
+                () = incomplete_refused.as_mut(), if !is_refusing => {
+                    is_refusing = true;
                     if client.state().0 == ConnectionState::ReceivingHead {
                         break;
                     }
                 }
-                // What is idle may have to close; a request that is on its way, or is the first, is still answered.
-                _ = changed.changed() => {}
-                () = sleep_until(until.min(Instant::now() + STATE_CHECK_INTERVAL)) => {}
+                // An idle connection may have to close now; a request that is arriving, or the first one, still gets its
+                // response.
+                _ = service_changed.changed() => {}
+                () = sleep_until(expires_at.min(Instant::now() + STATE_CHECK_INTERVAL)) => {}
             }
         }
-        // Nothing else is being written: a head that is not complete comes only after the answer before it.
+        // No response is being written: the next head is read only after the response before it.
         refuse_incomplete_head(&stream).await;
         CloseReason::Shutdown
     }
 }
 
-/// Answers a request whose head is not complete, and reads away what still comes of it: were the socket closed on unread
-/// bytes, the kernel would take the answer back.
+/// Responds to a request whose head is incomplete, and discards its remaining bytes: if the socket were closed with unread
+/// bytes, the kernel would reset the connection, and the client could lose the response.
 async fn refuse_incomplete_head(stream: &Stream<TcpStream>) {
-    if stream.write_now(PROCESS_ENDS_RESPONSE).is_err() || stream.shutdown_write().is_err() {
+    if stream.write_now(SHUTDOWN_RESPONSE).is_err() || stream.shutdown_write().is_err() {
         return;
     }
     let mut rest = [0; DISCARD_CHUNK_BYTES];
@@ -335,11 +343,11 @@
     }
 }
 
-/// Whether a connection that has been in this phase for so long may still owe an answer.
-fn may_owe_response(state: ConnectionState, for_so_long: Duration) -> bool {
+/// Whether a connection that has been in this state for `elapsed` may have a request that needs a response.
+fn may_need_response(state: ConnectionState, elapsed: Duration) -> bool {
     match state {
         ConnectionState::ReceivingHead | ConnectionState::ReceivingBody | ConnectionState::Pending => true,
-        ConnectionState::Unused => for_so_long < FIRST_BYTE_TIMEOUT,
+        ConnectionState::Unused => elapsed < FIRST_BYTE_TIMEOUT,
         ConnectionState::Idle => false,
     }
 }
--- a/crates/agent/src/downstream/response.rs
+++ b/crates/agent/src/downstream/response.rs
@@ -1,40 +1,40 @@
-//! How answers are worded to a client.
+//! Builds the responses to a client.
 
-use super::reply::Reply;
+use super::response_body::ClientResponseBody;
 use crate::driver::FinalResponse;
 use crate::upstream::ResponseBody;
 use bytes::Bytes;
 use hyper::header::{HeaderName, HeaderValue, CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-/// The answer to a client that a decision makes.
-pub(super) fn response_for(answer: FinalResponse) -> Response<Reply> {
-    match answer {
-        FinalResponse::Served(kind, content) => {
-            let mut response = Response::new(match content {
-                ResponseBody::Complete(body) => Reply::whole(body),
-                ResponseBody::Streaming(relay) => Reply::passing(relay),
+/// The HTTP response for the driver's final response.
+pub(super) fn response_for(response: FinalResponse) -> Response<ClientResponseBody> {
+    match response {
+        FinalResponse::Served(content_type, body) => {
+            let mut response = Response::new(match body {
+                ResponseBody::Complete(body) => ClientResponseBody::complete(body),
+                ResponseBody::Streaming(relay) => ClientResponseBody::relayed(relay),
             });
-            response.headers_mut().extend(kind.map(|kind| (CONTENT_TYPE, kind)));
+            response.headers_mut().extend(content_type.map(|content_type| (CONTENT_TYPE, content_type)));
             response
         }
-        FinalResponse::Rejected(after) => {
+        FinalResponse::Rejected(retry_after) => {
             let mut response =
                 plain_response(StatusCode::TOO_MANY_REQUESTS, "refused; trying again is harmless");
-            let after =
-                after.and_then(|after| HeaderValue::from_str(&format!("{:.3}", after.ms() / 1e3)).ok());
-            response.headers_mut().extend(after.map(|after: HeaderValue| (RETRY_AFTER, after)));
+            let retry_after =
+                retry_after.and_then(|after| HeaderValue::from_str(&format!("{:.3}", after.ms() / 1e3)).ok());
+            response.headers_mut().extend(retry_after.map(|after: HeaderValue| (RETRY_AFTER, after)));
             response
         }
         FinalResponse::Failed(status) => plain_response(status, "failed"),
     }
 }
 
-/// An answer of the agent itself, in plain text.
-pub(super) fn plain_response(status: StatusCode, why: &str) -> Response<Reply> {
-    let mut response = Response::new(Reply::whole(Bytes::from(format!("{why}\n"))));
+/// A plain-text response of the agent itself.
+pub(super) fn plain_response(status: StatusCode, text: &str) -> Response<ClientResponseBody> {
+    let mut response = Response::new(ClientResponseBody::complete(Bytes::from(format!("{text}\n"))));
     *response.status_mut() = status;
-    let kind: (HeaderName, HeaderValue) = (CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-    response.headers_mut().extend([kind]);
+    let content_type: (HeaderName, HeaderValue) = (CONTENT_TYPE, HeaderValue::from_static("text/plain"));
+    response.headers_mut().extend([content_type]);
     response
 }
--- /dev/null
+++ b/crates/agent/src/downstream/response_body.rs
@@ -0,0 +1,143 @@
+//! The body of a response to a client, and the completion of its request with the last byte.
+
+use super::connection::ClientConnection;
+use super::OpenRequestId;
+use crate::daemon::status::{self, RequestOutcome};
+use crate::telemetry::PendingTimer;
+use crate::upstream::Relay;
+use bellcroft_telemetry::Over;
+use bytes::Bytes;
+use hyper::body::{Body, Frame, SizeHint};
+use std::io;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+
+/// What completes a request once its response has been handed over: its counter, its timer, and its id, which becomes
+/// available again.
+pub struct ResponseCompletion {
+    counter: Option<status::PendingGuard>,
+    timer: Option<PendingTimer>,
+    outcome: RequestOutcome,
+    _open_id: OpenRequestId,
+}
+
+impl ResponseCompletion {
+    /// The completion of a request whose response is decided; `outcome` applies if the response is sent completely.
+    pub fn new(
+        counter: status::PendingGuard,
+        timer: Option<PendingTimer>,
+        outcome: RequestOutcome,
+        id: OpenRequestId,
+    ) -> Self {
+        ResponseCompletion { counter: Some(counter), timer, outcome, _open_id: id }
+    }
+
+    /// The response is finished with this outcome, and its last byte is about to be written.
+    fn finish(&mut self, outcome: RequestOutcome, client: &ClientConnection) {
+        if let Some(counter) = self.counter.take() {
+            counter.finish(outcome);
+        }
+        if let Some(mut timer) = self.timer.take() {
+            timer.set_outcome(match outcome {
+                RequestOutcome::Served => Over::Served,
+                RequestOutcome::Rejected => Over::Refused,
+                RequestOutcome::Failed => Over::Failed,
+                RequestOutcome::ClientDisconnected => Over::Left,
+            });
+            client.set_response_timer(timer);
+        }
+    }
+}
+
+enum BodySource {
+    Complete(Option<Bytes>),
+    Relayed(Box<Relay>),
+}
+
+/// The body of a response to a client.
+pub struct ClientResponseBody {
+    source: BodySource,
+    completion: Option<ResponseCompletion>,
+    /// The connection, which is notified when the body is finished; none until [`ClientResponseBody::attach_to`].
+    client: Option<Rc<ClientConnection>>,
+}
+
+impl ClientResponseBody {
+    /// A complete body.
+    pub fn complete(bytes: Bytes) -> Self {
+        ClientResponseBody { source: BodySource::Complete(Some(bytes)), completion: None, client: None }
+    }
+
+    /// A body that is forwarded while a server sends it.
+    pub fn relayed(relay: Box<Relay>) -> Self {
+        ClientResponseBody { source: BodySource::Relayed(relay), completion: None, client: None }
+    }
+
+    /// Sets what completes the request when the body is finished.
+    pub fn set_completion(&mut self, completion: ResponseCompletion) {
+        self.completion = Some(completion);
+    }
+
+    /// Sets the connection that the body is written to next. A complete body counts as finished from here on.
+    pub fn attach_to(&mut self, client: &Rc<ClientConnection>) {
+        self.client = Some(client.clone());
+        if let (BodySource::Complete(_), Some(mut completion)) = (&self.source, self.completion.take()) {
+            let outcome = completion.outcome;
+            completion.finish(outcome, client);
+        }
+    }
+
+    fn on_finished(&mut self, outcome: Option<RequestOutcome>) {
+        if let (Some(mut completion), Some(client)) = (self.completion.take(), &self.client) {
+            let outcome = outcome.unwrap_or(completion.outcome);
+            completion.finish(outcome, client);
+        }
+    }
+}
+
+impl Drop for ClientResponseBody {
+    fn drop(&mut self) {
+        // If the body is dropped before its end, the client has disconnected, and the dropped completion records that.
+        if let Some(client) = &self.client {
+            client.on_response_body_finished();
+        }
+    }
+}
+
+impl Body for ClientResponseBody {
+    type Data = Bytes;
+    type Error = io::Error;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
+        let next = match &mut self.source {
+            BodySource::Complete(bytes) => Poll::Ready(bytes.take().filter(|b| !b.is_empty()).map(Ok)),
+            BodySource::Relayed(relay) => relay.poll_next(cx),
+        };
+        match &next {
+            Poll::Ready(None) => self.on_finished(None),
+            // The client detects this: the body is shorter than its declared length, or has no last chunk.
+            Poll::Ready(Some(Err(_))) => self.on_finished(Some(RequestOutcome::Failed)),
+            Poll::Ready(Some(Ok(_))) if self.is_end_stream() => self.on_finished(None),
+            Poll::Ready(Some(Ok(_))) | Poll::Pending => {}
+        }
+        next.map(|next| next.map(|data| data.map(Frame::data)))
+    }
+
+    fn is_end_stream(&self) -> bool {
+        match &self.source {
+            BodySource::Complete(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            BodySource::Relayed(relay) => relay.is_finished(),
+        }
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        match &self.source {
+            BodySource::Complete(bytes) => SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64)),
+            BodySource::Relayed(relay) => relay.length().map(SizeHint::with_exact).unwrap_or_default(),
+        }
+    }
+}
--- a/crates/agent/src/upstream/relay.rs
+++ b/crates/agent/src/upstream/relay.rs
@@ -69,7 +69,7 @@
     }
 
     /// All of it has been passed on. Whoever takes a body of a known length need not ask for more to know.
-    pub fn over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.connection.is_none()
     }
 
--- a/crates/agent/tests/unit/head.rs
+++ b/crates/agent/tests/unit/head.rs
@@ -1,13 +1,13 @@
-//! How long requests are by their heads.
+//! Request lengths, parsed from heads.
 
 use super::*;
 
-fn framed(lines: &str) -> Frame {
-    frame(format!("POST /pay HTTP/1.1\r\n{lines}\r\nrest").as_bytes())
+fn parse_with_headers(lines: &str) -> HeadFraming {
+    parse_framing(format!("POST /pay HTTP/1.1\r\n{lines}\r\nrest").as_bytes())
 }
 
 #[test]
-fn a_length_that_can_be_read_in_two_ways_is_ambiguous() {
+fn conflicting_or_invalid_lengths_are_ambiguous() {
     for lines in [
         "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
         "Transfer-Encoding: chunked\r\nContent-Length: 4\r\n",
@@ -25,15 +25,15 @@
         "Transfer-Encoding: identity\r\n",
     ] {
         let head = "POST /pay HTTP/1.1\r\n\r\n".len() + lines.len();
-        assert_eq!(framed(lines), Frame::Ambiguous(head), "{lines}");
+        assert_eq!(parse_with_headers(lines), HeadFraming::Ambiguous(head), "{lines}");
     }
 }
 
 #[test]
-fn plain_lengths_are_read() {
-    assert_eq!(framed("Content-Length: 4\r\n"), Frame::Sized(41, 4));
-    assert_eq!(framed("A: b\r\n"), Frame::Sized(28, 0));
-    assert_eq!(framed("transfer-encoding: Chunked\r\n"), Frame::Chunked(50));
-    assert_eq!(frame(b"POST /pay HTTP/1.1\r\nContent-Le"), Frame::Partial);
-    assert_eq!(frame(b"\0\x01\x02"), Frame::Unreadable);
+fn unambiguous_lengths_are_parsed() {
+    assert_eq!(parse_with_headers("Content-Length: 4\r\n"), HeadFraming::Sized(41, 4));
+    assert_eq!(parse_with_headers("A: b\r\n"), HeadFraming::Sized(28, 0));
+    assert_eq!(parse_with_headers("transfer-encoding: Chunked\r\n"), HeadFraming::Chunked(50));
+    assert_eq!(parse_framing(b"POST /pay HTTP/1.1\r\nContent-Le"), HeadFraming::Partial);
+    assert_eq!(parse_framing(b"\0\x01\x02"), HeadFraming::Unreadable);
 }
--- a/crates/agent/tests/unit/request.rs
+++ b/crates/agent/tests/unit/request.rs
@@ -1,9 +1,9 @@
-//! How the times that requests name are read.
+//! Parsing of the timeout of a request.
 
 use super::*;
 
 #[test]
-fn waits_have_a_number_and_a_unit() {
+fn timeout_has_number_and_unit() {
     assert_eq!(parse_timeout("480m"), Some(Duration::from_millis(480)));
     assert_eq!(parse_timeout("900u"), Some(Duration::from_micros(900)));
     for text in
