--- a/crates/agent/src/upstream/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: one request to one backend, within its limits, until it ends or is cancelled.
+//! Attempts: one send of a request to one server, until its response, its deadline or its cancellation.
 
 use super::connection::Connection;
 use super::metered_stream::StreamProgress;
@@ -19,69 +19,69 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, timeout_at, Instant};
 
-/// Tells a backend how long the agent will wait.
+/// The header with the time that the agent waits for the response.
 const TIMEOUT_HEADER: HeaderName = HeaderName::from_static("x-timeout");
 
-/// Until when an attempt may do what.
+/// The limits of time of an attempt.
 pub struct AttemptLimits {
-    /// When it may begin, and when it ends.
+    /// The latest start of the attempt, and its end.
     pub window: AttemptWindow<Instant>,
-    /// The longest time that its backend is told, if it is told less than is left: of a body that is still coming.
+    /// The maximum of the timeout that the server receives, for a request whose body is still being received.
     pub max_timeout: Option<Duration>,
-    /// From its start to an open connection, if its route is stricter than the platform.
+    /// From the start of the attempt to an open connection, if the route has a limit of its own.
     pub connect_timeout: Option<Duration>,
-    /// From its hand-over to an open connection to the end of the response's head.
+    /// From sending the request over an open connection to the end of the response's head.
     pub first_byte_timeout: Option<Duration>,
 }
 
 impl AttemptLimits {
-    /// Tells the backend how long the agent will wait from now on.
-    fn tell_timeout(&self, request: &mut Request<OutgoingBody>, now: Instant) {
-        let left = self.window.end_by.saturating_duration_since(now);
-        let timeout = self.max_timeout.map_or(left, |most| left.min(most));
+    /// Sets the header that tells the server how long the agent waits from now on.
+    fn set_timeout_header(&self, request: &mut Request<OutgoingBody>, now: Instant) {
+        let remaining = self.window.end_by.saturating_duration_since(now);
+        let timeout = self.max_timeout.map_or(remaining, |max| remaining.min(max));
         if let Ok(timeout) = HeaderValue::from_str(&format!("{}u", timeout.as_micros().max(1))) {
             request.headers_mut().insert(TIMEOUT_HEADER, timeout);
         }
     }
 }
 
-/// How an exchange ended.
+/// The result of an attempt or a health check.
 pub struct AttemptResult {
     /// The outcome in the balancer's terms.
     pub outcome: Outcome,
-    /// The load report that came along.
+    /// The load report that the response had.
     pub report: Option<Vec<f64>>,
-    /// The answer of a served request: its content type and its body.
+    /// The response of a served request: its content type and its body.
     pub response: Option<(Option<HeaderValue>, ResponseBody)>,
 }
 
 impl AttemptResult {
-    /// An exchange with no answer for the client.
+    /// A result without a response for the client.
     pub fn without_response(outcome: Outcome) -> Self {
         AttemptResult { outcome, report: None, response: None }
     }
 }
 
-/// The body of a served request's answer.
+/// The body of a server's response.
 pub enum ResponseBody {
-    /// It has come completely.
+    /// A complete body.
     Complete(Bytes),
-    /// It is long, and has begun.
+    /// A long body, of which the server has sent the beginning.
     Streaming(Box<Relay>),
 }
 
-/// How far an attempt has come, shared by the driver and the attempt's task.
+/// The progress of an attempt, shared by the driver and the attempt's task.
 #[derive(Default)]
 pub struct AttemptProgress {
-    /// The stream that it goes over, and the count there when its last byte is written.
+    /// The stream of the attempt's connection, and its count of written bytes at the end of the request.
     stream: RefCell<Option<(Rc<StreamProgress>, u64)>>,
     cancelled: Cell<bool>,
     cancel: Notify,
-    /// Notified of its first byte.
+    /// Notified when the first byte is written.
     first_byte: Cell<Option<FirstByte>>,
-    /// Its body, if that is still coming when it starts.
+    /// The request's body, if it is still being received when the attempt starts.
     upload: Option<Rc<StreamingBody>>,
-    /// A time for its end that has become known since it started.
+    /// The deadline that replaced that of the attempt's window, once the request is complete.
     deadline: Cell<Option<Instant>>,
     deadline_changed: Notify,
 }
@@ -92,9 +92,9 @@
         AttemptProgress { first_byte: Cell::new(first_byte), upload, ..AttemptProgress::default() }
     }
 
-    /// Its last byte may be written: from here on it may have run.
+    /// Whether the last byte of the request may have been written, so that the server may have executed it.
     pub fn may_have_run(&self) -> bool {
-        // Of a body that did not tell its length, the last byte is known only when it has come.
+        // The last byte of a body without a declared length is known only once it has been received.
         let upload_complete = || self.upload.as_ref().is_some_and(|u| u.completed_at().is_some());
         let written = |(stream, end): &(Rc<StreamProgress>, u64)| {
             stream.written.get() >= *end || (*end == u64::MAX && upload_complete())
@@ -102,13 +102,13 @@
         self.stream.borrow().as_ref().is_some_and(written)
     }
 
-    /// Its request is complete, and its time runs: it ends by then.
+    /// Sets the deadline of the attempt, which is known once its request is complete.
     pub fn set_deadline(&self, deadline: Instant) {
         self.deadline.set(Some(deadline));
         self.deadline_changed.notify_one();
     }
 
-    /// Gives the attempt up. What has not been written stays unwritten.
+    /// Cancels the attempt. No further byte of it is written.
     pub fn cancel(&self) {
         self.cancelled.set(true);
         if let Some((stream, _)) = &*self.stream.borrow() {
@@ -117,10 +117,10 @@
         self.cancel.notify_one();
     }
 
-    /// Waits for its time to be over.
-    async fn expired(&self, first_deadline: Instant) {
+    /// Waits until the deadline has passed; it may change meanwhile.
+    async fn expired(&self, initial_deadline: Instant) {
         loop {
-            let deadline = self.deadline.get().unwrap_or(first_deadline);
+            let deadline = self.deadline.get().unwrap_or(initial_deadline);
             tokio::select! {
                 () = sleep_until(deadline) => return,
                 () = self.deadline_changed.notified() => {}
@@ -128,13 +128,14 @@
         }
     }
 
-    /// Its body can't be completed, by its client's fault.
-    fn upload_broken(&self) -> bool {
+    /// Whether the request's body cannot be completed, because its client disconnected or sent too much.
+    fn is_upload_broken(&self) -> bool {
         self.upload.as_ref().is_some_and(|upload| upload.is_broken())
     }
 
-    /// Prepares a connection for its request; the end of that in the count of bytes, the maximum if that is not known.
-    fn start_on(
+    /// Prepares a connection for the request. Returns the count of written bytes at the end of the request, or `u64::MAX` if
+    /// its length is unknown.
+    fn prepare_connection(
         &self,
         connection: &Connection,
         request: &Request<OutgoingBody>,
@@ -152,7 +153,7 @@
 }
 
 impl Upstream {
-    /// Sends an attempt and waits for its end, until the end of its window at the longest.
+    /// Sends an attempt and waits for its result, at most until its deadline.
     pub async fn attempt(
         &self,
         server: ServerId,
@@ -160,7 +161,7 @@
         limits: &AttemptLimits,
         progress: &AttemptProgress,
     ) -> AttemptResult {
-        let broken_by = tokio::select! {
+        let ended_by = tokio::select! {
             biased;
             () = progress.cancel.notified() => Some(Outcome::Cancelled),
             result = self.send_attempt(server, request, limits, progress) => match result {
@@ -170,19 +171,19 @@
             },
             () = progress.expired(limits.window.end_by) => Some(Outcome::TimedOut),
         };
-        if progress.upload_broken() && !progress.may_have_run() {
-            // It is the client's fault, and no server's.
+        if progress.is_upload_broken() && !progress.may_have_run() {
+            // The client caused this, so it must not count against the server.
             return AttemptResult::without_response(Outcome::NotSent);
         }
-        // Whether a broken attempt may have run rests on the bytes that were written and on nothing else.
-        AttemptResult::without_response(match (progress.may_have_run(), broken_by) {
+        // Whether a broken attempt may have been executed depends only on the bytes that were written.
+        AttemptResult::without_response(match (progress.may_have_run(), ended_by) {
             (true, outcome) => outcome.unwrap_or(Outcome::ConnectionReset),
             (false, _) if progress.cancelled.get() => Outcome::NotSent,
             (false, _) => Outcome::ConnectFailed,
         })
     }
 
-    /// Sends an attempt over a connection; `None` if that broke on the way.
+    /// Sends an attempt over a connection; `None` if the attempt was cancelled, or the connection broke.
     async fn send_attempt(
         &self,
         server: ServerId,
@@ -203,12 +204,12 @@
             self.pool.release(connection);
             return Some(AttemptResult::without_response(Outcome::NotSent));
         }
-        // Told now and not when it was decided: the connection may have come up late.
-        limits.tell_timeout(&mut request, now);
+        // Computed only now, since connecting may have taken long.
+        limits.set_timeout_header(&mut request, now);
         let stream = connection.progress.clone();
         let start = stream.written.get();
-        let end = progress.start_on(&connection, &request, limits.window);
-        // A body that is still coming takes its client's time, not the backend's.
+        let end = progress.prepare_connection(&connection, &request, limits.window);
+        // The timeout would include the time that the client takes to send its body.
         let first_byte_timeout = limits.first_byte_timeout.filter(|_| progress.upload.is_none());
         let mut result = self.exchange(connection, request, first_byte_timeout).await;
         if let Some(AttemptResult { response: Some((_, ResponseBody::Streaming(relay))), .. }) = &mut result {
@@ -224,25 +225,25 @@
         result
     }
 
-    /// A connection within the time to start. Past that it is of no use to the attempt: it has failed, and another one may
-    /// still be answered in the wanted time.
+    /// Acquires a connection before the latest start of the attempt. After that the attempt has failed, and another attempt
+    /// may still meet the latency objective.
     async fn connect(&self, server: ServerId, limits: &AttemptLimits) -> Result<Connection, Outcome> {
         let now = Instant::now();
         let start_by = limits.window.start_by;
-        let by = limits.connect_timeout.map_or(start_by, |most| start_by.min(now + most));
-        let connection = self.pool.acquire(server, by, SpareConnections::Allowed);
-        timeout_at(by, connection).await.unwrap_or(Err(Outcome::ConnectFailed))
+        let deadline = limits.connect_timeout.map_or(start_by, |timeout| start_by.min(now + timeout));
+        let connection = self.pool.acquire(server, deadline, SpareConnections::Allowed);
+        timeout_at(deadline, connection).await.unwrap_or(Err(Outcome::ConnectFailed))
     }
 }
 
-/// The bytes of a request as they are written, or a few less: short of them, its last byte is not written. None where its
-/// body has not told its length.
+/// A lower bound of the written length of a request, at most a few bytes too small: before that many bytes are written, the
+/// last one is not. None if the body has no declared length.
 fn request_length(request: &Request<OutgoingBody>) -> Option<u64> {
-    let line =
+    let request_line =
         request.method().as_str().len() + request.uri().path().len() + " ".len() + " HTTP/1.1\r\n".len();
     let headers: usize =
         request.headers().iter().map(|(n, v)| n.as_str().len() + v.len() + ": \r\n".len()).sum();
     let query = request.uri().query().map_or(0, |q| q.len() + "?".len());
     let body = request.body().size_hint().exact()?;
-    Some((line + query + headers + "\r\n".len()) as u64 + body)
+    Some((request_line + query + headers + "\r\n".len()) as u64 + body)
 }
--- a/crates/agent/src/upstream/connection.rs
+++ b/crates/agent/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One open connection to a backend, and the permit to hold it.
+//! An open connection to a server, and the permit that counts it.
 
 use super::metered_stream::{MeteredStream, StreamProgress};
 use super::response::MAX_HEAD_BYTES;
@@ -13,11 +13,11 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// One of the connections that the process may hold; dropping it makes room for another.
+/// A permit for one of the limited number of connections; dropping it releases the permit.
 pub struct ConnectionPermit(Rc<Cell<usize>>);
 
 impl ConnectionPermit {
-    /// Counts one more connection.
+    /// Counts a connection as open.
     pub fn new(open_connections: &Rc<Cell<usize>>) -> Self {
         open_connections.set(open_connections.get() + 1);
         ConnectionPermit(open_connections.clone())
@@ -30,40 +30,40 @@
     }
 }
 
-/// The process that a connection leads to.
+/// The process of a server that a connection is open to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Peer {
-    /// Its name in the endpoint list.
+pub struct ServerProcess {
+    /// The server in the endpoint list.
     pub server: ServerId,
-    /// Which of the processes and addresses behind that name it is.
+    /// Identifies the process and its address among all that the server has had.
     pub generation: u64,
 }
 
-/// One open connection; dropping it closes it.
+/// An open connection; dropping it closes it.
 pub struct Connection {
-    /// Takes requests.
+    /// Sends requests over the connection.
     pub sender: SendRequest<OutgoingBody>,
-    /// What has been written and may be read.
+    /// The byte counts and write permission of the connection.
     pub progress: Rc<StreamProgress>,
-    /// Where it leads.
-    pub peer: Peer,
-    /// Since when no exchange has used it.
+    /// The process at the other end.
+    pub process: ServerProcess,
+    /// The end of the last exchange on this connection, or the time when it was opened.
     pub idle_since: Instant,
-    /// From when on it may carry a request.
+    /// The time from which the connection may be used for a request.
     pub reusable_at: Instant,
     task: JoinHandle<()>,
     _permit: ConnectionPermit,
 }
 
 impl Connection {
-    /// Connects to an address.
+    /// Opens a connection to an address.
     ///
     /// # Errors
     ///
-    /// Whose fault it is that there is none.
+    /// The connection cannot be opened; the error tells whether for a reason on this machine.
     pub async fn open(
         address: SocketAddr,
-        peer: Peer,
+        process: ServerProcess,
         written_attempts: Rc<Cell<u64>>,
         permit: ConnectionPermit,
     ) -> Result<Self, ConnectError> {
@@ -75,12 +75,12 @@
         let handshake = builder.handshake(stream).await;
         let (sender, connection) = handshake.map_err(|e| ConnectError::Remote(io::Error::other(e)))?;
         let task = tokio::task::spawn_local(async move {
-            // How it ended shows at the sender and in the bytes written.
+            // `sender` reports a failure, and the count of written bytes tells how much of a request was sent.
             let _ = connection.await;
         });
-        // Nothing has been received over it that a second response could follow.
+        // A new connection needs no reuse delay: no response has been received that a second one could follow.
         let now = Instant::now();
-        Ok(Connection { sender, progress, peer, idle_since: now, reusable_at: now, task, _permit: permit })
+        Ok(Connection { sender, progress, process, idle_since: now, reusable_at: now, task, _permit: permit })
     }
 }
 
--- a/crates/agent/src/upstream/headers.rs
+++ b/crates/agent/src/upstream/headers.rs
@@ -1,8 +1,8 @@
-//! The headers of a request that go on to a backend.
+//! The headers of a request that are forwarded to a server.
 
 use hyper::header::HeaderMap;
 
-/// Headers that speak of one connection, or that the agent writes itself.
+/// Headers that concern a single connection, or that the agent sets itself.
 const NOT_FORWARDED: [&str; 12] = [
     "connection",
     "keep-alive",
@@ -18,7 +18,8 @@
     "x-timeout",
 ];
 
-/// The headers that go on: those that speak of the connection or are written by the agent itself stay behind.
+/// Returns the headers that are forwarded: all but those that concern a single connection, among them those that the
+/// `Connection` header names, and those that the agent sets itself.
 pub fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let named_by_connection: Vec<String> = headers
         .get_all("connection")
@@ -26,9 +27,9 @@
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(',').map(|name| name.trim().to_ascii_lowercase()))
         .collect();
-    let goes_on =
+    let is_forwarded =
         |name: &str| !NOT_FORWARDED.contains(&name) && !named_by_connection.iter().any(|n| n == name);
-    headers.iter().filter(|(n, _)| goes_on(n.as_str())).map(|(n, v)| (n.clone(), v.clone())).collect()
+    headers.iter().filter(|(n, _)| is_forwarded(n.as_str())).map(|(n, v)| (n.clone(), v.clone())).collect()
 }
 
 #[cfg(test)]
--- a/crates/agent/src/upstream/health_check.rs
+++ b/crates/agent/src/upstream/health_check.rs
@@ -1,4 +1,4 @@
-//! Health probes.
+//! Health checks of servers.
 
 use super::attempt::{AttemptResult, ResponseBody};
 use super::load_report::parse_load_report;
@@ -11,21 +11,23 @@
 use std::time::Duration;
 use tokio::time::{timeout, Instant};
 
-/// A probe that has not been answered by then has timed out.
-const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+/// The timeout of a health check.
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl Upstream {
-    /// Asks a backend for its health, and for its load where it reports that.
+    /// Sends a health check to a server. If the settings name fields of load reports, it requests one.
     pub async fn check_health(&self, server: ServerId) -> AttemptResult {
-        let probe = self.send_health_check(server);
-        timeout(PROBE_TIMEOUT, probe).await.unwrap_or(AttemptResult::without_response(Outcome::TimedOut))
+        let health_check = self.send_health_check(server);
+        timeout(HEALTH_CHECK_TIMEOUT, health_check)
+            .await
+            .unwrap_or(AttemptResult::without_response(Outcome::TimedOut))
     }
 
     async fn send_health_check(&self, server: ServerId) -> AttemptResult {
         let path = if self.report_fields.borrow().is_empty() { "/health" } else { "/status/load" };
         let request = Request::get(path).header("host", "backend").body(OutgoingBody::Complete(Bytes::new()));
-        let by = Instant::now() + PROBE_TIMEOUT;
-        let connection = self.pool.acquire(server, by, SpareConnections::Forbidden).await;
+        let deadline = Instant::now() + HEALTH_CHECK_TIMEOUT;
+        let connection = self.pool.acquire(server, deadline, SpareConnections::Forbidden).await;
         let (connection, request) = match (connection, request) {
             (Ok(connection), Ok(request)) => (connection, request),
             (Err(outcome), _) => return AttemptResult::without_response(outcome),
--- a/crates/agent/src/upstream/idle.rs
+++ b/crates/agent/src/upstream/idle.rs
@@ -1,42 +1,42 @@
-//! The idle connections to one backend.
+//! The idle connections to a server.
 
 use super::connection::Connection;
 use std::collections::VecDeque;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What an attempt finds among the idle connections to a backend.
+/// An idle connection for a request, if there is one.
 pub enum IdleConnection {
-    /// One that may be used at once.
+    /// A connection that may be used at once.
     Ready(Connection),
-    /// The one that may be used first, out of so many that may not be used yet.
+    /// The connection whose reuse delay expires first, and the number of connections whose delay has not expired.
     Resting(Connection, usize),
-    /// None.
+    /// No connection can be used in time.
     None,
 }
 
-/// The idle connections to a backend, in the order in which they became idle.
+/// The idle connections to a server, in the order in which they became idle.
 #[derive(Default)]
 pub struct IdleConnections {
-    /// Those that may be used at once; the last was used most recently.
+    /// Connections that may be used at once; the last one was used most recently.
     ready: Vec<Connection>,
-    /// Those whose reuse delay is not over; the first is reusable first.
+    /// Connections whose reuse delay has not expired; the first one's expires first.
     resting: VecDeque<Connection>,
 }
 
 impl IdleConnections {
-    /// Closes all of them.
+    /// Closes all idle connections.
     pub fn clear(&mut self) {
         self.ready.clear();
         self.resting.clear();
     }
 
-    /// Since when the oldest has been idle.
+    /// Since when the connection that has been idle longest is idle.
     pub fn oldest_idle_since(&self) -> Option<Instant> {
         self.ready.first().or(self.resting.front()).map(|connection| connection.idle_since)
     }
 
-    /// Closes the one that has been idle longest.
+    /// Closes the connection that has been idle longest.
     pub fn evict_oldest(&mut self) {
         if self.ready.is_empty() {
             self.resting.pop_front();
@@ -45,14 +45,14 @@
         }
     }
 
-    /// Closes those that have been idle for this long, and forgets those that are closed.
-    pub fn retire(&mut self, idle_timeout: Duration) {
+    /// Closes the connections that have been idle for this long, and removes those that are closed already.
+    pub fn close_expired(&mut self, idle_timeout: Duration) {
         let keep = |c: &Connection| c.idle_since.elapsed() < idle_timeout && !c.sender.is_closed();
         self.ready.retain(keep);
         self.resting.retain(keep);
     }
 
-    /// Adds a connection.
+    /// Adds an idle connection.
     pub fn add(&mut self, connection: Connection) {
         if connection.reusable_at <= Instant::now() {
             self.ready.push(connection);
@@ -62,13 +62,14 @@
         }
     }
 
-    /// Takes the most recently used connection that is reusable, else the one that will be first, if that is before `by`.
-    pub fn take(&mut self, idle_timeout: Duration, by: Instant) -> IdleConnection {
+    /// Takes the most recently used connection that is reusable, or else the one that will be reusable first, if that is
+    /// before the deadline.
+    pub fn take(&mut self, idle_timeout: Duration, deadline: Instant) -> IdleConnection {
         if let Some(connection) = self.take_ready(idle_timeout) {
             return IdleConnection::Ready(connection);
         }
         let count = self.resting.len();
-        self.take_resting(by).map_or(IdleConnection::None, |c| IdleConnection::Resting(c, count))
+        self.take_resting(deadline).map_or(IdleConnection::None, |c| IdleConnection::Resting(c, count))
     }
 
     fn take_ready(&mut self, idle_timeout: Duration) -> Option<Connection> {
@@ -76,13 +77,13 @@
         while self.resting.front().is_some_and(|c| c.reusable_at <= now) {
             self.ready.extend(self.resting.pop_front());
         }
-        let fit = |c: &Connection| c.idle_since.elapsed() < idle_timeout && c.sender.is_ready();
-        std::iter::from_fn(|| self.ready.pop()).find(fit)
+        let is_usable = |c: &Connection| c.idle_since.elapsed() < idle_timeout && c.sender.is_ready();
+        std::iter::from_fn(|| self.ready.pop()).find(is_usable)
     }
 
-    fn take_resting(&mut self, by: Instant) -> Option<Connection> {
+    fn take_resting(&mut self, deadline: Instant) -> Option<Connection> {
         self.resting.retain(|c| c.sender.is_ready());
-        self.resting.front().filter(|c| c.reusable_at < by)?;
+        self.resting.front().filter(|c| c.reusable_at < deadline)?;
         self.resting.pop_front()
     }
 }
--- a/crates/agent/src/upstream/load_report.rs
+++ b/crates/agent/src/upstream/load_report.rs
@@ -1,6 +1,7 @@
-//! The load reports of backends.
+//! The load reports of servers.
 
-/// Reads `TEXT inflight=7, queue=2` into the order of the settings; `None` if it says nothing of these.
+/// Parses a load report such as `TEXT inflight=7, queue=2`. Returns the values in the order of `fields`, NaN for missing ones;
+/// `None` if it has no finite value of any field.
 pub fn parse_load_report(text: &str, fields: &[String]) -> Option<Vec<f64>> {
     let text = text.trim();
     let pairs = text.strip_prefix("TEXT").unwrap_or(text);
--- a/crates/agent/src/upstream/metered_stream.rs
+++ b/crates/agent/src/upstream/metered_stream.rs
@@ -1,4 +1,5 @@
-//! A socket that counts its bytes, so that the fate of a broken attempt is known, and that stops writing when told.
+//! A stream that counts its bytes, so that it is known whether a broken attempt may have been executed, and that can be
+//! stopped from writing.
 
 use crate::telemetry::FirstByte;
 use bellcroft_agent_core::guard::AttemptWindow;
@@ -12,30 +13,30 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Bytes read at a time.
-const READ_SIZE: usize = 16 << 10;
+/// The size of a read.
+const READ_CHUNK_BYTES: usize = 16 << 10;
 
-/// The state that a connection's task and its user share: bytes written so far, those that may still be read, and
-/// permission to write more.
+/// The state that a connection's task shares with the user of the connection: the number of written bytes, the number of bytes
+/// that may still be read, and the permission to write.
 pub struct StreamProgress {
-    /// Bytes that the kernel has taken.
+    /// The number of bytes that the kernel has taken.
     pub written: Cell<u64>,
-    /// Bytes that may still be read.
+    /// The number of bytes that may still be read.
     pub read_budget: Cell<u64>,
-    /// Nothing more may be written.
+    /// Whether nothing more may be written.
     pub writes_stopped: Cell<bool>,
-    /// What starts at this count of bytes must start within this window, or not at all.
+    /// The count of written bytes at the start of an attempt, and the window in which its first byte may be written.
     pub start_window: Cell<Option<(u64, AttemptWindow<Instant>)>>,
     /// Notified when the next byte is written.
     pub first_byte: Cell<Option<FirstByte>>,
-    /// The count of bytes at which an attempt has been written completely; the maximum while none is being written.
+    /// The count of written bytes at the end of an attempt; `u64::MAX` while none is being written, or its end is unknown.
     pub request_end: Cell<u64>,
-    /// Attempts that were written completely, over all connections.
+    /// The number of attempts that were written completely, over all connections.
     written_attempts: Rc<Cell<u64>>,
 }
 
 impl StreamProgress {
-    /// A connection over which nothing has been written.
+    /// The state of a connection over which nothing has been written.
     pub fn new(written_attempts: Rc<Cell<u64>>) -> Self {
         StreamProgress {
             written: Cell::new(0),
@@ -60,27 +61,28 @@
         count
     }
 
-    /// Nothing is written for a request that has its answer, not even what is queued already.
+    /// Fails if nothing may be written: the attempt is cancelled, or its latest start has passed. Bytes that hyper has queued
+    /// already are not written either.
     fn check_write_allowed(&self) -> io::Result<()> {
-        // However late the connection came up, or this task was run: past its time a request is not started.
-        let late = |(start, window): (u64, AttemptWindow<Instant>)| {
+        // Checked at the write itself, since connecting may have taken long, or this task may have run late.
+        let is_late = |(start, window): (u64, AttemptWindow<Instant>)| {
             self.written.get() == start && !window.may_start(Instant::now())
         };
-        if self.writes_stopped.get() || self.start_window.get().is_some_and(late) {
+        if self.writes_stopped.get() || self.start_window.get().is_some_and(is_late) {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
         Ok(())
     }
 }
 
-/// A socket that keeps its [`StreamProgress`].
+/// A stream that updates its [`StreamProgress`].
 pub struct MeteredStream {
     io: Stream<TcpStream>,
     progress: Rc<StreamProgress>,
 }
 
 impl MeteredStream {
-    /// Meters a connected socket.
+    /// Wraps a connected stream.
     pub fn new(io: Stream<TcpStream>, progress: Rc<StreamProgress>) -> Self {
         MeteredStream { io, progress }
     }
@@ -92,9 +94,9 @@
         cx: &mut Context<'_>,
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let mut chunk = [0; READ_SIZE];
-        let room = chunk.len().min(buf.remaining());
-        let count = ready!(self.io.poll_read(cx, &mut chunk[..room]))?;
+        let mut chunk = [0; READ_CHUNK_BYTES];
+        let size = chunk.len().min(buf.remaining());
+        let count = ready!(self.io.poll_read(cx, &mut chunk[..size]))?;
         let budget = self.progress.read_budget.get().checked_sub(count as u64);
         self.progress.read_budget.set(budget.ok_or(io::ErrorKind::InvalidData)?);
         buf.put_slice(&chunk[..count]);
--- a/crates/agent/src/upstream/mod.rs
+++ b/crates/agent/src/upstream/mod.rs
@@ -1,7 +1,7 @@
-//! Connections to backends, and what goes over them: attempts and probes.
+//! The servers' side: connections, attempts and health checks.
 //!
-//! A connection carries one exchange at a time and is used again only after a complete response. Whatever else ends an
-//! exchange (a time-out, a cancel, an error) ends its connection with it.
+//! A connection carries one exchange (a request and its response) at a time, and is reused only after a complete response. If
+//! an exchange ends otherwise (timeout, cancellation or error), its connection is closed.
 
 mod attempt;
 mod connection;
@@ -26,15 +26,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// All backends and the connections to them.
+/// All servers and the connections to them.
 pub struct Upstream {
     pool: Rc<ConnectionPool>,
-    /// The names of the figures in a load report, in the order of the settings.
+    /// The names of the fields of a load report, in the order of the settings.
     report_fields: RefCell<Vec<String>>,
 }
 
 impl Upstream {
-    /// Knows no backend yet; holds at most `max_connections` connections.
+    /// No servers yet; at most `max_connections` open connections.
     pub fn new(
         max_connections: usize,
         connect_timeout: Duration,
@@ -47,43 +47,43 @@
         }
     }
 
-    /// Goes by other settings from now on.
+    /// Applies new settings.
     pub fn reconfigure(&self, connect_timeout: Duration, keepalive: Duration, report_fields: Vec<String>) {
         self.pool.reconfigure(connect_timeout, keepalive);
         *self.report_fields.borrow_mut() = report_fields;
     }
 
-    /// Takes in an entry of the endpoint list.
-    pub fn update_endpoint(&self, server: ServerId, host: &EndpointRecord) {
-        self.pool.update_endpoint(server, host);
+    /// Applies an entry of the endpoint list.
+    pub fn update_endpoint(&self, server: ServerId, endpoint: &EndpointRecord) {
+        self.pool.update_endpoint(server, endpoint);
     }
 
-    /// Forgets the backends that a full snapshot no longer names.
-    pub fn retain_listed(&self, named: impl Fn(ServerId) -> bool) {
-        self.pool.retain_listed(named);
+    /// Removes the servers that a snapshot no longer lists.
+    pub fn retain_listed(&self, is_listed: impl Fn(ServerId) -> bool) {
+        self.pool.retain_listed(is_listed);
     }
 
-    /// Closes the idle connections to a backend.
+    /// Closes the idle connections to a server.
     pub fn close_idle(&self, server: ServerId) {
         self.pool.close_idle(server);
     }
 
-    /// Connections that it holds, and may hold.
+    /// The number of open connections, and its limit.
     pub fn connections(&self) -> (usize, usize) {
         self.pool.connections()
     }
 
-    /// From now on it may hold so many connections; what is in flight beyond that goes on.
+    /// Sets the limit of open connections; attempts in flight above it continue.
     pub fn set_max_connections(&self, max_connections: usize) {
         self.pool.set_max_connections(max_connections);
     }
 
-    /// Attempts that were written completely to a backend.
+    /// The number of attempts that were written completely.
     pub fn attempts_sent(&self) -> u64 {
         self.pool.written_attempts()
     }
 
-    /// Closes the connections that have been idle for too long.
+    /// Closes the connections that have been idle for longer than the idle timeout.
     pub fn close_expired_idle(&self) {
         self.pool.close_expired_idle();
     }
--- a/crates/agent/src/upstream/pool.rs
+++ b/crates/agent/src/upstream/pool.rs
@@ -1,6 +1,6 @@
-//! The pool of connections to all backends.
+//! The pool of connections to all servers.
 
-use super::connection::{Connection, ConnectionPermit, Peer};
+use super::connection::{Connection, ConnectionPermit, ServerProcess};
 use super::idle::{IdleConnection, IdleConnections};
 use crate::discovery::codec::{EndpointRecord, Health};
 use bellcroft_balancer::{Outcome, ServerId};
@@ -15,62 +15,62 @@
 use tokio::time::{sleep_until, timeout, Instant};
 use tracing::debug;
 
-/// An idle connection is closed after this share of the time in the settings: one that the backend closes while a
-/// request is on its way to it costs that request a reset of which nobody knows whether it ran.
+/// The share of the keep-alive time in the settings after which an idle connection is closed. If a server closed it while a
+/// request is on its way, the attempt would be reset, and it would be unknown whether the request was executed.
 const IDLE_TIMEOUT_SHARE: f64 = 0.7;
-/// After a complete response a connection is ready again at once, or there is something wrong with it.
+/// How long a connection may take to become ready again after a complete response. A connection that takes longer is faulty.
 const SETTLE_TIMEOUT: Duration = Duration::from_millis(5);
-/// A connection is not used for so long after a response. A server may send a second one some milliseconds later (the
-/// standing page), and whoever reads it once the next request is out can't tell whose it is: it would be served to another
-/// client. What arrives meanwhile closes the connection. Second responses of join days came 1.0 to 3.4 ms late.
+/// How long a connection is not used after a response. A server may send a second response some milliseconds after the first;
+/// read after the next request was sent, it could not be told from the response to that request, and would go to the wrong
+/// client. Bytes that arrive during the delay close the connection. Second responses arrive 1.0 to 3.4 ms late.
 const REUSE_DELAY: Duration = Duration::from_millis(8);
-/// While fewer connections to a backend wait for their reuse delay, an attempt that finds no other opens one more instead
-/// of waiting. With as many the next of them is ready about a millisecond later, and is waited for.
+/// If fewer connections to a server than this wait for their reuse delay, an attempt without another connection opens a new
+/// one. If as many wait, the attempt waits for the first of them, which is ready about one millisecond later.
 const MAX_RESTING: usize = 8;
 
-/// A connection that is being waited for in a task of its own.
+/// A connection that is acquired in a task of its own.
 type PendingConnection = oneshot::Receiver<Result<Connection, Outcome>>;
 
-/// Whether one more connection may be opened while others only wait for their reuse delay.
+/// Whether a new connection may be opened while others wait for their reuse delay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SpareConnections {
-    /// While few wait.
+    /// It may be, if fewer than [`MAX_RESTING`] wait.
     Allowed,
-    /// What asks can wait.
+    /// It may not be: the caller can wait.
     Forbidden,
 }
 
-/// A backend as the endpoint list last described it, and the idle connections to it.
-struct BackendPool {
+/// A server as last described by the endpoint list, and the idle connections to it.
+struct ServerEntry {
     address: Option<SocketAddr>,
     born_ms: f64,
-    /// Counts its processes and addresses; connections of an earlier one are not used again.
+    /// Identifies the server's present process and address; connections of earlier generations are not reused.
     generation: u64,
     serving: bool,
     idle: IdleConnections,
 }
 
-/// The connections to all backends.
+/// The connections to all servers.
 pub struct ConnectionPool {
-    backends: RefCell<HashMap<ServerId, BackendPool>>,
-    /// The last generation that was given; no two processes share one, or a connection to an earlier one could be taken
-    /// for the later one's.
+    servers: RefCell<HashMap<ServerId, ServerEntry>>,
+    /// The last assigned generation. Generations are unique among all servers: otherwise a connection to an earlier process
+    /// could be mistaken for one to a later process.
     last_generation: Cell<u64>,
-    /// Who was last named at an address.
+    /// The server that the endpoint list last gave for each address.
     servers_by_address: RefCell<HashMap<SocketAddr, ServerId>>,
     open_connections: Rc<Cell<usize>>,
     max_connections: Cell<usize>,
-    /// Attempts that were written completely.
+    /// The number of attempts that were written completely.
     written_attempts: Rc<Cell<u64>>,
     connect_timeout: Cell<Duration>,
     idle_timeout: Cell<Duration>,
 }
 
 impl ConnectionPool {
-    /// Knows no backend yet; holds at most `max_connections` connections.
+    /// No servers yet; at most `max_connections` open connections.
     pub fn new(max_connections: usize, connect_timeout: Duration, keepalive: Duration) -> Self {
         ConnectionPool {
-            backends: RefCell::default(),
+            servers: RefCell::default(),
             last_generation: Cell::new(0),
             servers_by_address: RefCell::default(),
             open_connections: Rc::default(),
@@ -81,127 +81,129 @@
         }
     }
 
-    /// Goes by other settings from now on.
+    /// Applies new settings.
     pub fn reconfigure(&self, connect_timeout: Duration, keepalive: Duration) {
         self.connect_timeout.set(connect_timeout);
         self.idle_timeout.set(keepalive.mul_f64(IDLE_TIMEOUT_SHARE));
     }
 
-    /// Connections that it holds, and may hold.
+    /// The number of open connections, and its limit.
     pub fn connections(&self) -> (usize, usize) {
         (self.open_connections.get(), self.max_connections.get())
     }
 
-    /// From now on it may hold so many connections; what is in flight beyond that goes on.
+    /// Sets the limit of open connections; attempts in flight above it continue.
     pub fn set_max_connections(&self, max_connections: usize) {
         self.max_connections.set(max_connections);
         while self.open_connections.get() > max_connections && self.evict_oldest_idle() {}
     }
 
-    /// Attempts that were written completely to a backend.
+    /// The number of attempts that were written completely.
     pub fn written_attempts(&self) -> u64 {
         self.written_attempts.get()
     }
 
-    /// Counts an attempt whose length was not known before its end.
+    /// Counts a completely written attempt whose length was unknown while it was written.
     pub fn count_written_attempt(&self) {
         self.written_attempts.set(self.written_attempts.get() + 1);
     }
 
-    /// Closes the connections that have been idle for too long.
+    /// Closes the connections that have been idle for longer than the idle timeout.
     pub fn close_expired_idle(&self) {
         let idle_timeout = self.idle_timeout.get();
-        self.backends.borrow_mut().values_mut().for_each(|backend| backend.idle.retire(idle_timeout));
+        self.servers.borrow_mut().values_mut().for_each(|entry| entry.idle.close_expired(idle_timeout));
     }
 }
 
-/// What the endpoint list says.
+/// Changes by the endpoint list.
 impl ConnectionPool {
-    /// Takes in an entry of the list. A new address or a new process means new connections; one that drains keeps none
-    /// that are idle, and one that has left is forgotten. What is in flight goes on.
-    pub fn update_endpoint(&self, server: ServerId, host: &EndpointRecord) {
-        if host.health == Health::Removed {
-            return self.forget(server);
+    /// Applies an entry of the endpoint list. A new address or process of a server needs new connections; the idle
+    /// connections to a draining server are closed, and a removed server is forgotten. Attempts in flight continue.
+    pub fn update_endpoint(&self, server: ServerId, endpoint: &EndpointRecord) {
+        if endpoint.health == Health::Removed {
+            return self.remove_server(server);
         }
-        let mut backends = self.backends.borrow_mut();
-        if let Some(address) = host.dial.filter(|_| host.health == Health::Up) {
-            let last = self.servers_by_address.borrow_mut().insert(address, server);
-            // Whoever was there has gone, reported or not: no connection to it may reach for the newcomer.
-            if let Some(last) = last.filter(|l| *l != server).and_then(|l| backends.get_mut(&l)) {
-                last.generation = self.next_generation();
-                last.idle.clear();
+        let mut servers = self.servers.borrow_mut();
+        if let Some(address) = endpoint.dial.filter(|_| endpoint.health == Health::Up) {
+            let previous = self.servers_by_address.borrow_mut().insert(address, server);
+            // The previous server at the address has exited, even if that is not reported yet: its connections must not be
+            // used for the new one.
+            if let Some(previous) = previous.filter(|p| *p != server).and_then(|p| servers.get_mut(&p)) {
+                previous.generation = self.next_generation();
+                previous.idle.clear();
             }
         }
-        let backend = backends.entry(server).or_insert_with(|| BackendPool {
-            address: host.dial,
-            born_ms: host.born_ms,
+        let entry = servers.entry(server).or_insert_with(|| ServerEntry {
+            address: endpoint.dial,
+            born_ms: endpoint.born_ms,
             generation: 0,
             serving: true,
             idle: IdleConnections::default(),
         });
-        let moved = host.dial.filter(|address| backend.address != Some(*address));
-        if backend.generation == 0 || moved.is_some() || host.born_ms != backend.born_ms {
-            backend.generation = self.next_generation();
-            backend.idle.clear();
-            backend.born_ms = host.born_ms;
+        let moved = endpoint.dial.filter(|address| entry.address != Some(*address));
+        if entry.generation == 0 || moved.is_some() || endpoint.born_ms != entry.born_ms {
+            entry.generation = self.next_generation();
+            entry.idle.clear();
+            entry.born_ms = endpoint.born_ms;
         }
-        if let Some(former) = moved.and(backend.address) {
-            self.vacate(former, server);
+        if let Some(old_address) = moved.and(entry.address) {
+            self.remove_address(old_address, server);
         }
-        backend.address = moved.or(backend.address);
-        backend.serving = host.health == Health::Up;
-        if !backend.serving {
-            backend.idle.clear();
+        entry.address = moved.or(entry.address);
+        entry.serving = endpoint.health == Health::Up;
+        if !entry.serving {
+            entry.idle.clear();
         }
     }
 
-    /// Forgets the backends that a full snapshot no longer names.
-    pub fn retain_listed(&self, named: impl Fn(ServerId) -> bool) {
-        let absent = |server: &ServerId| !named(*server);
-        let removed: Vec<ServerId> = self.backends.borrow().keys().copied().filter(absent).collect();
-        removed.into_iter().for_each(|server| self.forget(server));
+    /// Removes the servers that a snapshot no longer lists.
+    pub fn retain_listed(&self, is_listed: impl Fn(ServerId) -> bool) {
+        let is_absent = |server: &ServerId| !is_listed(*server);
+        let removed: Vec<ServerId> = self.servers.borrow().keys().copied().filter(is_absent).collect();
+        removed.into_iter().for_each(|server| self.remove_server(server));
     }
 
-    /// Closes the idle connections to a backend.
+    /// Closes the idle connections to a server.
     pub fn close_idle(&self, server: ServerId) {
-        if let Some(backend) = self.backends.borrow_mut().get_mut(&server) {
-            backend.idle.clear();
+        if let Some(entry) = self.servers.borrow_mut().get_mut(&server) {
+            entry.idle.clear();
         }
     }
 
-    /// A generation that no process has had.
+    /// A new generation.
     fn next_generation(&self) -> u64 {
         self.last_generation.set(self.last_generation.get() + 1);
         self.last_generation.get()
     }
 
-    fn vacate(&self, address: SocketAddr, server: ServerId) {
-        let mut servers = self.servers_by_address.borrow_mut();
-        if servers.get(&address) == Some(&server) {
-            servers.remove(&address);
+    fn remove_address(&self, address: SocketAddr, server: ServerId) {
+        let mut by_address = self.servers_by_address.borrow_mut();
+        if by_address.get(&address) == Some(&server) {
+            by_address.remove(&address);
         }
     }
 
-    fn forget(&self, server: ServerId) {
-        let address = self.backends.borrow_mut().remove(&server).and_then(|backend| backend.address);
+    fn remove_server(&self, server: ServerId) {
+        let address = self.servers.borrow_mut().remove(&server).and_then(|entry| entry.address);
         if let Some(address) = address {
-            self.vacate(address, server);
+            self.remove_address(address, server);
         }
     }
 }
 
-/// Connections for attempts, and back.
+/// Acquiring and releasing connections.
 impl ConnectionPool {
-    /// The most recently used connection that is reusable. Where there is none, whichever is ready first of the one that
-    /// will be reusable first and, where spare connections are allowed and few wait, of a new one.
+    /// Returns the most recently used connection that is reusable. If there is none, waits for the one that will be reusable
+    /// first or, if `spare` allows one, for a new connection, and returns the one that is ready first. A connection that is
+    /// not reusable before the deadline is not waited for.
     pub async fn acquire(
         self: &Rc<Self>,
         server: ServerId,
-        by: Instant,
+        deadline: Instant,
         spare: SpareConnections,
     ) -> Result<Connection, Outcome> {
         loop {
-            let (resting, count) = match self.take_idle(server, by)? {
+            let (resting, count) = match self.take_idle(server, deadline)? {
                 IdleConnection::Ready(connection) => return Ok(connection),
                 IdleConnection::Resting(connection, count) => (connection, count),
                 IdleConnection::None => {
@@ -209,11 +211,11 @@
                     return opened.unwrap_or(Err(Outcome::ConnectFailed));
                 }
             };
-            // No other backend's connection is evicted for one that is not surely needed.
-            let room = self.open_connections.get() < self.max_connections.get();
-            let may_open = spare == SpareConnections::Allowed && count < MAX_RESTING && room;
+            // The new connection may not be needed, so no other server's idle connection is evicted for it.
+            let below_limit = self.open_connections.get() < self.max_connections.get();
+            let may_open = spare == SpareConnections::Allowed && count < MAX_RESTING && below_limit;
             let opening = if may_open { self.open(server).ok() } else { None };
-            // In a task of its own, for an attempt that is given up meanwhile has to cost neither of them.
+            // In a task of its own, so that neither connection is lost if the attempt is cancelled meanwhile.
             let first = self.spawn_acquisition(self.clone().first_ready(resting, opening));
             if let Ok(Ok(connection)) = first.await {
                 return Ok(connection);
@@ -221,8 +223,8 @@
         }
     }
 
-    /// Keeps a connection whose response is complete for the next attempt. One that brings more than the response is closed
-    /// by hyper instead of becoming ready. The response is good all the same and does not wait for that.
+    /// Returns a connection to the pool after a complete response. If further bytes arrive on it, hyper closes it instead of
+    /// making it ready. The response is valid nevertheless, and is not delayed for this check.
     pub fn release_after_response(self: &Rc<Self>, mut connection: Connection) {
         connection.reusable_at = Instant::now() + REUSE_DELAY;
         if connection.sender.is_ready() {
@@ -237,37 +239,42 @@
         }
     }
 
-    /// Gives back a connection that is idle from now on.
+    /// Returns a connection to the pool, as idle from now on.
     pub fn release(&self, mut connection: Connection) {
         connection.idle_since = Instant::now();
         self.add_idle(connection);
     }
 
-    /// Puts a connection to those that are idle, if it may be used again.
+    /// Adds a connection to the idle ones if it may be reused; closes it otherwise.
     fn add_idle(&self, connection: Connection) {
-        let mut backends = self.backends.borrow_mut();
-        let Some(backend) = backends.get_mut(&connection.peer.server) else { return };
-        let same_process = backend.generation == connection.peer.generation;
-        if backend.serving && same_process && !connection.sender.is_closed() {
-            backend.idle.add(connection);
+        let mut servers = self.servers.borrow_mut();
+        let Some(entry) = servers.get_mut(&connection.process.server) else { return };
+        let same_process = entry.generation == connection.process.generation;
+        if entry.serving && same_process && !connection.sender.is_closed() {
+            entry.idle.add(connection);
         }
     }
 
-    fn take_idle(&self, server: ServerId, by: Instant) -> Result<IdleConnection, Outcome> {
-        let mut backends = self.backends.borrow_mut();
-        let backend = backends.get_mut(&server).ok_or(Outcome::NotSent)?;
-        Ok(backend.idle.take(self.idle_timeout.get(), by))
+    fn take_idle(&self, server: ServerId, deadline: Instant) -> Result<IdleConnection, Outcome> {
+        let mut servers = self.servers.borrow_mut();
+        let entry = servers.get_mut(&server).ok_or(Outcome::NotSent)?;
+        Ok(entry.idle.take(self.idle_timeout.get(), deadline))
     }
 
-    /// Whichever is ready first of a connection that waits for its reuse delay and one that is being opened. The other one
-    /// goes to those that are idle.
+    /// Waits for a connection's reuse delay and for one that is being opened, and returns the one that is ready first. The
+    /// other one becomes idle.
     async fn first_ready(
         self: Rc<Self>,
         resting: Connection,
         opening: Option<PendingConnection>,
     ) -> Result<Connection, Outcome> {
-        let usable =
-            |connection| if self.usable(&connection) { Ok(connection) } else { Err(Outcome::ConnectFailed) };
+        let usable = |connection| {
+            if self.is_usable(&connection) {
+                Ok(connection)
+            } else {
+                Err(Outcome::ConnectFailed)
+            }
+        };
         let Some(mut opening) = opening else {
             sleep_until(resting.reusable_at).await;
             return usable(resting);
@@ -287,7 +294,7 @@
                 }
             },
             () = &mut reusable => {
-                if self.usable(&resting) {
+                if self.is_usable(&resting) {
                     return Ok(resting);
                 }
                 opening.await.unwrap_or(Err(Outcome::ConnectFailed))
@@ -295,31 +302,33 @@
         }
     }
 
-    /// Whether a connection whose reuse delay is over may be used: what has arrived meanwhile has closed it, and its
-    /// backend may be another process by now.
-    fn usable(&self, connection: &Connection) -> bool {
-        let backends = self.backends.borrow();
-        let backend = backends.get(&connection.peer.server);
-        connection.sender.is_ready() && backend.is_some_and(|b| b.generation == connection.peer.generation)
+    /// Whether a connection may be used after its reuse delay: bytes that arrived meanwhile have closed it, and its server
+    /// may be another process by now.
+    fn is_usable(&self, connection: &Connection) -> bool {
+        let servers = self.servers.borrow();
+        let entry = servers.get(&connection.process.server);
+        connection.sender.is_ready()
+            && entry.is_some_and(|entry| entry.generation == connection.process.generation)
     }
 
-    /// Starts to open a connection. What this process lacks, a permit or an address, is no fault of the backend's.
+    /// Starts to open a connection. A missing permit or address must not count against the server, so the outcome is then
+    /// [`Outcome::NotSent`].
     fn open(self: &Rc<Self>, server: ServerId) -> Result<PendingConnection, Outcome> {
-        let (address, peer) = {
-            let backends = self.backends.borrow();
-            let backend = backends.get(&server).ok_or(Outcome::NotSent)?;
-            let peer = Peer { server, generation: backend.generation };
-            (backend.address.ok_or(Outcome::NotSent)?, peer)
+        let (address, process) = {
+            let servers = self.servers.borrow();
+            let entry = servers.get(&server).ok_or(Outcome::NotSent)?;
+            let process = ServerProcess { server, generation: entry.generation };
+            (entry.address.ok_or(Outcome::NotSent)?, process)
         };
         let permit = self.permit().ok_or(Outcome::NotSent)?;
-        let opening = Connection::open(address, peer, self.written_attempts.clone(), permit);
+        let opening = Connection::open(address, process, self.written_attempts.clone(), permit);
         let connect_timeout = self.connect_timeout.get();
         Ok(self.spawn_acquisition(async move {
             match timeout(connect_timeout, opening).await {
                 Ok(Ok(connection)) => Ok(connection),
-                // What this machine lacks says nothing of the backend.
+                // A shortage on this machine must not count against the server.
                 Ok(Err(ConnectError::Local(error))) => {
-                    debug!(server = server.0, %error, "no connection for want of something on this machine");
+                    debug!(server = server.0, %error, "cannot open a connection because of a shortage on this machine");
                     Err(Outcome::NotSent)
                 }
                 Ok(Err(ConnectError::Remote(_))) | Err(_) => Err(Outcome::ConnectFailed),
@@ -327,8 +336,8 @@
         }))
     }
 
-    /// Waits for a connection in a task of its own: when its attempt is given up meanwhile, the connection, which has cost
-    /// the backend work by then, serves the next one.
+    /// Acquires a connection in a task of its own. If its attempt is cancelled meanwhile, the connection, which the server has
+    /// accepted by then, is kept for the next attempt.
     fn spawn_acquisition(
         self: &Rc<Self>,
         connection: impl Future<Output = Result<Connection, Outcome>> + 'static,
@@ -343,7 +352,8 @@
         receiver
     }
 
-    /// A permit for one more connection; an idle one of another backend is evicted if all are taken.
+    /// A permit for one more connection. At the limit, the connection that has been idle longest is closed for it; none if no
+    /// connection is idle.
     fn permit(&self) -> Option<ConnectionPermit> {
         if self.open_connections.get() >= self.max_connections.get() && !self.evict_oldest_idle() {
             return None;
@@ -351,13 +361,13 @@
         Some(ConnectionPermit::new(&self.open_connections))
     }
 
-    /// Closes the connection that has been idle longest; false if none is.
+    /// Closes the connection that has been idle longest; false if no connection is idle.
     fn evict_oldest_idle(&self) -> bool {
-        let mut backends = self.backends.borrow_mut();
-        let oldest = backends
+        let mut servers = self.servers.borrow_mut();
+        let oldest = servers
             .values_mut()
-            .filter_map(|backend| Some((backend.idle.oldest_idle_since()?, backend)))
+            .filter_map(|entry| Some((entry.idle.oldest_idle_since()?, entry)))
             .min_by_key(|(idle_since, _)| *idle_since);
-        oldest.map(|(_, backend)| backend.idle.evict_oldest()).is_some()
+        oldest.map(|(_, entry)| entry.idle.evict_oldest()).is_some()
     }
 }
--- a/crates/agent/src/upstream/relay.rs
+++ b/crates/agent/src/upstream/relay.rs
@@ -1,4 +1,4 @@
-//! Long responses that are passed on to the client as they come.
+//! Long responses, which are forwarded to the client while the server sends them.
 
 use super::connection::Connection;
 use super::pool::ConnectionPool;
@@ -15,71 +15,72 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant, Sleep};
 
-/// A backend that has begun a long response and sends nothing for this long, or next to nothing, will not end it.
+/// The timeout of a long response: a server that sends no bytes for this long, or very few, is not expected to complete it.
 const STALL_TIMEOUT: Micros = Micros(30_000_000);
 
-/// A long response that is passed on as it comes. Its connection serves the next attempt once it is over, and ends if it
-/// is dropped before.
+/// A long response that is forwarded while the server sends it. Its connection is reused after the last byte, and closed if
+/// the relay is dropped before.
 pub struct Relay {
-    first: Option<Bytes>,
+    /// The buffered beginning, until it is forwarded.
+    beginning: Option<Bytes>,
     rest: Incoming,
     length: Option<u64>,
-    passed: ForwardedBytes,
-    /// A body of unknown length that is not long yet has its request's time, and no other.
-    until: Instant,
-    begin: Instant,
-    patience: ProgressTimeout,
-    wake: Pin<Box<Sleep>>,
-    /// None once it is over.
+    forwarded: ForwardedBytes,
+    /// The request's deadline. It applies to a body of unknown length as long as that may still be a short one.
+    deadline: Instant,
+    created_at: Instant,
+    stall_timeout: ProgressTimeout,
+    timer: Pin<Box<Sleep>>,
+    /// The connection and its pool; none once the response is complete.
     connection: Option<(Rc<ConnectionPool>, Connection)>,
 }
 
 impl Relay {
-    /// A response whose body has started; `None` if that is longer than what is carried.
+    /// A response with this beginning of its body; `None` if that exceeds the maximum of a body.
     pub fn new(
         start: BodyStart,
         rest: Incoming,
         length: Option<u64>,
         connection: (Rc<ConnectionPool>, Connection),
     ) -> Option<Self> {
-        let mut passed = ForwardedBytes::default();
-        passed.add(start.bytes.len()).ok()?;
+        let mut forwarded = ForwardedBytes::default();
+        forwarded.add(start.bytes.len()).ok()?;
         connection.1.progress.read_budget.set(MAX_RELAYED_BYTES);
         Some(Relay {
-            first: Some(start.bytes),
+            beginning: Some(start.bytes),
             rest,
             length,
-            passed,
-            until: Instant::now(),
-            begin: Instant::now(),
-            patience: ProgressTimeout::new(STALL_TIMEOUT),
-            wake: Box::pin(sleep_until(Instant::now())),
+            forwarded,
+            deadline: Instant::now(),
+            created_at: Instant::now(),
+            stall_timeout: ProgressTimeout::new(STALL_TIMEOUT),
+            timer: Box::pin(sleep_until(Instant::now())),
             connection: Some(connection),
         })
     }
 
-    /// Sets the time of its request.
-    pub fn set_deadline(&mut self, until: Instant) {
-        self.until = until;
+    /// Sets the request's deadline.
+    pub fn set_deadline(&mut self, deadline: Instant) {
+        self.deadline = deadline;
     }
 
-    /// Its length, if the backend sent it.
+    /// The declared length of the body.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// All of it has been passed on. Whoever takes a body of a known length need not ask for more to know.
+    /// Whether the body has been forwarded completely. With a declared length, this is true right after its last byte.
     pub fn is_finished(&self) -> bool {
         self.connection.is_none()
     }
 
-    /// Whether it may still be one that the platform carries, whose time is that of its last byte.
-    fn short(&self) -> bool {
-        self.length.is_none() && self.passed.total() <= MAX_BUFFERED_BODY_BYTES as u64
+    /// Whether the body may still be a short one, whose last byte is due by the request's deadline.
+    fn has_request_deadline(&self) -> bool {
+        self.length.is_none() && self.forwarded.total() <= MAX_BUFFERED_BODY_BYTES as u64
     }
 
     fn now(&self) -> Time {
-        Time(self.begin.elapsed().as_micros() as u64)
+        Time(self.created_at.elapsed().as_micros() as u64)
     }
 
     fn finish(&mut self) {
@@ -88,13 +89,13 @@
         }
     }
 
-    /// What comes next; after an error the response will not be complete.
+    /// Returns the next bytes of the body, or none at its end. After an error the response stays incomplete.
     pub fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<io::Result<Bytes>>> {
-        if let Some(first) = self.first.take() {
-            return Poll::Ready(Some(Ok(first)));
+        if let Some(beginning) = self.beginning.take() {
+            return Poll::Ready(Some(Ok(beginning)));
         }
         loop {
-            if self.short() && Instant::now() >= self.until {
+            if self.has_request_deadline() && Instant::now() >= self.deadline {
                 return Poll::Ready(Some(Err(io::ErrorKind::TimedOut.into())));
             }
             match Pin::new(&mut self.rest).poll_frame(cx) {
@@ -111,30 +112,31 @@
                 }
                 Poll::Ready(Some(Ok(frame))) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    return Poll::Ready(Some(self.take_data(data)));
+                    return Poll::Ready(Some(self.on_data(data)));
                 }
             }
         }
     }
 
-    fn take_data(&mut self, data: Bytes) -> io::Result<Bytes> {
-        self.passed.add(data.len()).map_err(|_| io::ErrorKind::InvalidData)?;
-        if self.length == Some(self.passed.total()) {
+    fn on_data(&mut self, data: Bytes) -> io::Result<Bytes> {
+        self.forwarded.add(data.len()).map_err(|_| io::ErrorKind::InvalidData)?;
+        if self.length == Some(self.forwarded.total()) {
             self.finish();
         }
-        self.patience.on_bytes(data.len(), self.now());
+        self.stall_timeout.on_bytes(data.len(), self.now());
         Ok(data)
     }
 
-    /// Ready once the backend has been waited for long enough.
+    /// Ready once the body has timed out.
     fn poll_timeout(&mut self, cx: &mut Context<'_>) -> Poll<()> {
-        self.patience.on_wait(self.now());
-        let stalled = self.patience.deadline().map(|at| self.begin + Duration::from_micros(at.0));
-        let stalled = stalled.unwrap_or(self.until);
-        let at = if self.short() { stalled.min(self.until) } else { stalled };
-        if self.wake.deadline() != at {
-            self.wake.as_mut().reset(at);
+        self.stall_timeout.on_wait(self.now());
+        let stalled_at =
+            self.stall_timeout.deadline().map(|at| self.created_at + Duration::from_micros(at.0));
+        let stalled_at = stalled_at.unwrap_or(self.deadline);
+        let at = if self.has_request_deadline() { stalled_at.min(self.deadline) } else { stalled_at };
+        if self.timer.deadline() != at {
+            self.timer.as_mut().reset(at);
         }
-        self.wake.as_mut().poll(cx)
+        self.timer.as_mut().poll(cx)
     }
 }
--- a/crates/agent/src/upstream/response.rs
+++ b/crates/agent/src/upstream/response.rs
@@ -1,4 +1,4 @@
-//! One request over a connection, and what its response means.
+//! An exchange over a connection: sends a request, reads its response, and determines the outcome.
 
 use super::attempt::{AttemptResult, ResponseBody};
 use super::connection::Connection;
@@ -18,24 +18,25 @@
 use std::time::Duration;
 use tokio::time::{timeout, timeout_at, Instant};
 
-/// The longest head of a response, and the most that hyper buffers.
+/// The maximum length of a response's head, and of hyper's buffer, in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
-/// All bytes that one response may bring: its body, what its framing adds, and heads, those of 1xx responses ahead of it
-/// among them. A backend that goes on past that is noise, however well formed.
+/// The maximum of bytes that are read for one buffered response: its body with chunk framing, its head, and the heads of 1xx
+/// responses before it. A server that sends more is faulty, even if the bytes are well-formed.
 const MAX_RESPONSE_BYTES: u64 = 2 * (MAX_BUFFERED_BODY_BYTES + MAX_HEAD_BYTES) as u64;
-/// The same for one that is passed on: pieces of a single byte each carry six of framing.
+/// The same for a streamed response: a chunk of one byte has another six bytes of framing.
 pub const MAX_RELAYED_BYTES: u64 = 8 * MAX_BODY_BYTES;
 
-/// The start of a body: all of a short one, or as much of a long one as is kept back before it goes on.
+/// The beginning of a body: a complete short one, or the part of a long one that is buffered before it is streamed.
 pub struct BodyStart {
-    /// What has come.
+    /// The bytes received so far.
     pub bytes: Bytes,
-    /// That is all of it.
+    /// Whether these are the complete body.
     complete: bool,
 }
 
 impl Upstream {
-    /// One request and its response over a connection, complete or well begun; `None` if that broke on the way.
+    /// Sends a request over a connection and reads the response, completely or up to the point from which it is streamed.
+    /// `None` if the connection broke, or the response is invalid.
     pub(super) async fn exchange(
         &self,
         mut connection: Connection,
@@ -45,7 +46,7 @@
         connection.progress.read_budget.set(MAX_RESPONSE_BYTES);
         let response = connection.sender.send_request(request);
         let response = match first_byte_timeout {
-            Some(most) => match timeout(most, response).await {
+            Some(first_byte_timeout) => match timeout(first_byte_timeout, response).await {
                 Ok(response) => response,
                 Err(_) => return Some(AttemptResult::without_response(Outcome::TimedOut)),
             },
@@ -60,8 +61,8 @@
         let report = self.load_report_of(&response);
         let content_type = response.headers().get(CONTENT_TYPE).cloned();
         let mut rest = response.into_body();
-        let start = read_start(&mut rest, length).await?;
-        let content = if start.complete {
+        let start = read_body_start(&mut rest, length).await?;
+        let body = if start.complete {
             self.pool.release_after_response(connection);
             ResponseBody::Complete(start.bytes)
         } else if outcome == Outcome::Success {
@@ -74,7 +75,7 @@
         } else {
             return None;
         };
-        let response = (outcome == Outcome::Success).then_some((content_type, content));
+        let response = (outcome == Outcome::Success).then_some((content_type, body));
         Some(AttemptResult { outcome, report, response })
     }
 
@@ -84,15 +85,16 @@
     }
 }
 
-/// Two lengths are none: hyper would go by one of them, and what it then took for the response need not be.
+/// Whether a response declares its length twice. hyper would use one of the lengths, and could mistake other bytes for the
+/// response.
 fn has_ambiguous_length<B>(response: &Response<B>) -> bool {
     let headers = response.headers();
     let lengths = headers.get_all(CONTENT_LENGTH).iter().count();
     lengths > 1 || (lengths == 1 && headers.contains_key(TRANSFER_ENCODING))
 }
 
-/// What a response means. Only a rejection that says so proves that the request has not run: a bare 503 may come from
-/// something that ran it.
+/// The outcome of a response. Only a rejection with `X-Not-Processed: 1` proves that the request was not executed: a 503
+/// without it may come from a server that executed the request.
 fn outcome_of<B>(response: &Response<B>) -> Outcome {
     let not_processed = response.headers().get("x-not-processed").is_some_and(|v| v.as_bytes() == b"1");
     match response.status() {
@@ -102,39 +104,39 @@
     }
 }
 
-/// Reads the start of a body; `None` if it broke.
-async fn read_start(body: &mut Incoming, length: Option<u64>) -> Option<BodyStart> {
-    let head = Instant::now();
-    let now = || Time(head.elapsed().as_micros() as u64);
-    let mut begin = BufferingPhase::new(length, now());
-    let mut parts: Vec<Bytes> = Vec::new();
+/// Reads the beginning of a body; `None` if the connection broke.
+async fn read_body_start(body: &mut Incoming, length: Option<u64>) -> Option<BodyStart> {
+    let head_received_at = Instant::now();
+    let now = || Time(head_received_at.elapsed().as_micros() as u64);
+    let mut buffering = BufferingPhase::new(length, now());
+    let mut chunks: Vec<Bytes> = Vec::new();
     let complete = loop {
-        let next = match begin.deadline().filter(|_| !parts.is_empty()) {
-            Some(until) => timeout_at(head + Duration::from_micros(until.0), body.frame()).await,
+        let next = match buffering.deadline().filter(|_| !chunks.is_empty()) {
+            Some(at) => timeout_at(head_received_at + Duration::from_micros(at.0), body.frame()).await,
             None => Ok(body.frame().await),
         };
-        let more = match next {
+        let data = match next {
             Ok(None) => break true,
             Ok(Some(frame)) => frame.ok()?.into_data().unwrap_or_default(),
             Err(_) => Bytes::new(),
         };
-        let goes_on = begin.on_bytes(more.len(), now());
-        if !more.is_empty() {
-            parts.push(more);
+        let must_stream = buffering.on_bytes(data.len(), now());
+        if !data.is_empty() {
+            chunks.push(data);
         }
-        if goes_on {
+        if must_stream {
             break body.is_end_stream();
         }
     };
-    Some(BodyStart { bytes: concat_chunks(parts), complete })
+    Some(BodyStart { bytes: concat_chunks(chunks), complete })
 }
 
-/// Pieces as one; a single one is not copied.
-pub fn concat_chunks(mut parts: Vec<Bytes>) -> Bytes {
-    if parts.len() == 1 {
-        return parts.remove(0);
+/// Concatenates chunks; a single one is not copied.
+pub fn concat_chunks(mut chunks: Vec<Bytes>) -> Bytes {
+    if chunks.len() == 1 {
+        return chunks.remove(0);
     }
-    let mut all = BytesMut::with_capacity(parts.iter().map(Bytes::len).sum());
-    parts.iter().for_each(|part| all.extend_from_slice(part));
-    all.freeze()
+    let mut joined = BytesMut::with_capacity(chunks.iter().map(Bytes::len).sum());
+    chunks.iter().for_each(|chunk| joined.extend_from_slice(chunk));
+    joined.freeze()
 }
