--- a/crates/agent/src/downstream/capacity.rs
+++ b/crates/agent/src/downstream/capacity.rs
@@ -99,8 +99,8 @@
                 (since + HEAD_TIMEOUT).min(accepted_at + FIRST_HEAD_TIMEOUT)
             }
             (ConnectionState::ReceivingHead, since) => since + HEAD_TIMEOUT,
-            // A body has no limit of time as a whole, and is read only as fast as its server takes it; only the time
-            // without progress is limited.
+            // A slow client may take any time for a body, which is also read only as fast as its server takes it. Only the
+            // time without progress is limited.
             (ConnectionState::ReceivingBody, _) => {
                 client.body_deadline().unwrap_or_else(|| Instant::now() + STATE_CHECK_INTERVAL)
             }
--- a/crates/agent/src/upstream/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Whether the request's body cannot be completed, because its client disconnected or sent too much.
+    /// Whether the request's body cannot be completed: its client disconnected, or sent too many or invalid bytes.
     fn is_upload_broken(&self) -> bool {
         self.upload.as_ref().is_some_and(|upload| upload.is_broken())
     }
@@ -209,7 +209,7 @@
         let stream = connection.progress.clone();
         let start = stream.written.get();
         let end = progress.prepare_connection(&connection, &request, limits.window);
-        // The timeout would include the time that the client takes to send its body.
+        // Not applied to a body that is still being received: the timeout would include the time that the client takes.
         let first_byte_timeout = limits.first_byte_timeout.filter(|_| progress.upload.is_none());
         let mut result = self.exchange(connection, request, first_byte_timeout).await;
         if let Some(AttemptResult { response: Some((_, ResponseBody::Streaming(relay))), .. }) = &mut result {
--- a/crates/agent/src/upstream/pool.rs
+++ b/crates/agent/src/upstream/pool.rs
@@ -20,9 +20,9 @@
 const IDLE_TIMEOUT_SHARE: f64 = 0.7;
 /// How long a connection may take to become ready again after a complete response. A connection that takes longer is faulty.
 const SETTLE_TIMEOUT: Duration = Duration::from_millis(5);
-/// How long a connection is not used after a response. A server may send a second response some milliseconds after the first;
-/// read after the next request was sent, it could not be told from the response to that request, and would go to the wrong
-/// client. Bytes that arrive during the delay close the connection. Second responses arrive 1.0 to 3.4 ms late.
+/// How long a connection is not used after a response. A server may send a second response to a request, 1.0 to 3.4 ms after
+/// the first. If it were read after the next request was sent, it could not be told from the response to that request, and
+/// would be served to another client. Bytes that arrive during the delay close the connection.
 const REUSE_DELAY: Duration = Duration::from_millis(8);
 /// If fewer connections to a server than this wait for their reuse delay, an attempt without another connection opens a new
 /// one. If as many wait, the attempt waits for the first of them, which is ready about one millisecond later.
@@ -193,9 +193,9 @@
 
 /// Acquiring and releasing connections.
 impl ConnectionPool {
-    /// Returns the most recently used connection that is reusable. If there is none, waits for the one that will be reusable
-    /// first or, if `spare` allows one, for a new connection, and returns the one that is ready first. A connection that is
-    /// not reusable before the deadline is not waited for.
+    /// Returns the most recently used connection that is reusable. If there is none, but one will be reusable before the
+    /// deadline, waits for that one and, if `spare` allows it, also opens a new one, and returns the one that is ready first.
+    /// Otherwise opens a new connection.
     pub async fn acquire(
         self: &Rc<Self>,
         server: ServerId,
