--- a/crates/agent/src/driver/attempts.rs
+++ b/crates/agent/src/driver/attempts.rs
@@ -51,7 +51,7 @@
     /// Cancels an attempt, if it is in flight.
     pub(super) fn cancel(&self, key: AttemptKey) {
         if let Some(progress) = self.progress.get(&key) {
-            progress.call_off();
+            progress.cancel();
         }
     }
 
@@ -59,14 +59,14 @@
     /// executed by their servers, so they continue.
     pub(super) fn cancel_unwritten(&self, request: RequestId, attempts: u32) {
         for progress in self.of_request(request, attempts).filter(|progress| !progress.may_have_run()) {
-            progress.call_off();
+            progress.cancel();
         }
     }
 
     /// Sets the time at which a request's first `attempts` attempts time out.
     pub(super) fn set_deadline(&self, request: RequestId, attempts: u32, deadline: Instant) {
         for progress in self.of_request(request, attempts) {
-            progress.end_by(deadline);
+            progress.set_deadline(deadline);
         }
     }
 
@@ -128,8 +128,8 @@
                 end_by: self.clock.instant(window.end_by),
             },
             max_timeout: request.body.upload().map(|_| request.response_timeout),
-            connect: route.and_then(|route| route.connect_timeout).map(duration),
-            first_byte: route.and_then(|route| route.first_byte_timeout).map(duration),
+            connect_timeout: route.and_then(|route| route.connect_timeout).map(duration),
+            first_byte_timeout: route.and_then(|route| route.first_byte_timeout).map(duration),
         }
     }
 
@@ -169,7 +169,7 @@
                 state.response_times[class.0].add(elapsed);
             }
             state.attempts.progress.remove(&key);
-            if let Some((content_type, body)) = result.answer {
+            if let Some((content_type, body)) = result.response {
                 let response = FinalResponse::Served(content_type, body);
                 self.respond(&mut state, key.request, response, ResponseReason::Served);
             }
@@ -190,7 +190,7 @@
         let driver = self.clone();
         tokio::task::spawn_local(async move {
             let sent_at = Instant::now();
-            let AttemptResult { outcome, report, .. } = driver.upstream.probe(server).await;
+            let AttemptResult { outcome, report, .. } = driver.upstream.check_health(server).await;
             let elapsed = micros_since(sent_at);
             if let Some(telemetry) = &driver.telemetry {
                 telemetry.probed(outcome);
--- a/crates/agent/src/driver/endpoints.rs
+++ b/crates/agent/src/driver/endpoints.rs
@@ -306,13 +306,13 @@
         let mut endpoints = Vec::with_capacity(list.endpoints.len());
         for record in &list.endpoints {
             let server = table.intern(&record.name);
-            self.upstream.describe(server, record);
+            self.upstream.update_endpoint(server, record);
             endpoints.push(table.update(server, record, &names));
         }
         let listed: Option<HashSet<ServerId>> =
             list.is_snapshot.then(|| endpoints.iter().map(|endpoint| endpoint.server).collect());
         if let Some(listed) = &listed {
-            self.upstream.keep_only(|server| listed.contains(&server));
+            self.upstream.retain_listed(|server| listed.contains(&server));
         }
         let forgotten = table.expire(&endpoints, listed.as_ref());
         if let Some(telemetry) = &self.telemetry {
