--- a/crates/agent/src/daemon/config/validate.rs
+++ b/crates/agent/src/daemon/config/validate.rs
@@ -26,7 +26,7 @@
     names: &Names,
     errors: &mut Vec<ConfigError>,
 ) {
-    if let Err(source) = settings.check() {
+    if let Err(source) = settings.validate() {
         errors.push(ConfigError::Settings { location: file.location("settings"), source });
     }
     for (key, reason) in bellcroft_platform_settings::faults(&file.contents.settings) {
--- a/crates/agent/src/driver/attempts.rs
+++ b/crates/agent/src/driver/attempts.rs
@@ -218,7 +218,7 @@
             outcome,
             elapsed,
             report,
-            closed: !self.requests.contains(key.request),
+            is_final: !self.requests.contains(key.request),
         });
     }
 }
--- a/crates/agent/src/driver/endpoints.rs
+++ b/crates/agent/src/driver/endpoints.rs
@@ -168,7 +168,7 @@
         let status = match host.health {
             Health::Up => Status::Serving,
             Health::Draining => Status::Draining,
-            Health::Removed => Status::Gone,
+            Health::Removed => Status::Removed,
         };
         if status == Status::Serving {
             self.up.insert(server);
@@ -200,7 +200,7 @@
                 self.left.entry(server).or_insert(now);
             }
         }
-        let gone = endpoints.iter().filter(|endpoint| endpoint.status == Status::Gone);
+        let gone = endpoints.iter().filter(|endpoint| endpoint.status == Status::Removed);
         self.left.extend(gone.map(|endpoint| (endpoint.server, now)));
         let is_expired = |left_at: &Instant| now.duration_since(*left_at) >= SERVER_NAME_RETENTION;
         let expired = self.left.iter().filter(|(_, left_at)| is_expired(left_at));
@@ -235,7 +235,7 @@
                     zone: endpoint.zone.0,
                     cell: endpoint.dedup_group.0,
                     up: endpoint.status == Status::Serving,
-                    here: endpoint.status != Status::Gone,
+                    here: endpoint.status != Status::Removed,
                     started: endpoint.started_at,
                 },
             );
--- a/crates/agent/src/driver/mod.rs
+++ b/crates/agent/src/driver/mod.rs
@@ -214,7 +214,7 @@
             }
             state.actions = actions;
             if let Some(peers) = &*self.peers.borrow() {
-                peers.record_responses(state.balancer.signals());
+                peers.record_responses(state.balancer.drain_samples());
             }
         }
     }
--- a/crates/agent/src/driver/reload.rs
+++ b/crates/agent/src/driver/reload.rs
@@ -17,7 +17,7 @@
     ///
     /// The balancer cannot work with them; nothing has changed then.
     pub fn reconfigure(self: &Rc<Self>, newer: &Config) -> Result<(), SettingsError> {
-        newer.settings.check()?;
+        newer.settings.validate()?;
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
         let former = state.balancer.settings().clone();
--- a/crates/agent/src/peers/mod.rs
+++ b/crates/agent/src/peers/mod.rs
@@ -7,7 +7,7 @@
 pub mod status;
 
 use crate::clock::Clock;
-use bellcroft_balancer::{FleetState, PeerId, Signal, Time};
+use bellcroft_balancer::{FleetState, PeerId, ResponseSample, Time};
 use bellcroft_membership::{Config, Digest, Id, Membership, Output, PeerReports, ReportVerdict, Stats};
 use bellcroft_net::DatagramSocket;
 use status::MembershipStatus;
@@ -207,7 +207,7 @@
     }
 
     /// Records the signals of this instance's decisions in the digest.
-    pub fn record_responses(&self, signals: impl ExactSizeIterator<Item = Signal>) {
+    pub fn record_responses(&self, signals: impl ExactSizeIterator<Item = ResponseSample>) {
         // Most events have none.
         if signals.len() == 0 {
             return;
--- a/crates/balancer/src/api/endpoint.rs
+++ b/crates/balancer/src/api/endpoint.rs
@@ -10,7 +10,7 @@
     /// Completes the requests in flight; must not receive new ones.
     Draining,
     /// Removed from the list.
-    Gone,
+    Removed,
 }
 
 /// An entry of the endpoint list.
--- a/crates/balancer/src/api/event.rs
+++ b/crates/balancer/src/api/event.rs
@@ -41,7 +41,7 @@
         /// The server's load report, if there was one.
         report: Option<Vec<f64>>,
         /// The request has its final response; if false, one is still pending.
-        closed: bool,
+        is_final: bool,
     },
     /// The client has disconnected; no response is pending any more.
     ClientDisconnected {
@@ -79,7 +79,7 @@
 
 /// A sample taken from one response, for the host to share with the other balancers.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Signal {
+pub struct ResponseSample {
     /// The server's zone.
     pub zone: ZoneId,
     /// The response time, as a fraction of the latency objective.
--- a/crates/balancer/src/api/limits.rs
+++ b/crates/balancer/src/api/limits.rs
@@ -38,7 +38,7 @@
     }
 
     /// Whether an attempt that may have been processed may be retried.
-    pub fn after_it_may_have_run(self) -> bool {
+    pub fn retries_possibly_processed(self) -> bool {
         self.reset || self.timeout || self.error
     }
 }
@@ -85,7 +85,7 @@
     /// Retries stay in the zone of the first attempt.
     pub same_zone: bool,
     /// The budgets that retries and hedged requests are charged to, each of them.
-    pub budgets: Vec<RetryBudget>,
+    pub retry_budgets: Vec<RetryBudget>,
     /// Further budgets that hedged requests alone are charged to.
     pub hedge_budgets: Vec<RetryBudget>,
     /// The concurrency limits that apply.
--- a/crates/balancer/src/api/mod.rs
+++ b/crates/balancer/src/api/mod.rs
@@ -13,7 +13,7 @@
 
 pub use action::Action;
 pub use endpoint::{Endpoint, EndpointUpdate, Status};
-pub use event::{Event, FleetState, Signal, UNCONFIRMED_HINT};
+pub use event::{Event, FleetState, ResponseSample, UNCONFIRMED_HINT};
 pub use ids::{
     AttemptNo, ClassId, DedupGroupId, KeyId, MachineTypeId, PeerId, RequestId, ServerId, TenantId, TimerId,
     ZoneId,
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -118,9 +118,9 @@
     #[default]
     None,
     /// With outcomes and with health-check results.
-    Answers,
+    Responses,
     /// With health-check results only.
-    Probes,
+    HealthChecks,
 }
 
 /// The meaning of [`Endpoint::weight`](crate::Endpoint::weight).
@@ -139,7 +139,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Objective {
     /// All requests together.
-    pub whole: f64,
+    pub all_requests: f64,
     /// The worst time window.
     pub worst_window: f64,
     /// The class with the worst result.
@@ -150,7 +150,7 @@
 
 impl Default for Objective {
     fn default() -> Self {
-        Objective { whole: 1.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 }
+        Objective { all_requests: 1.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 }
     }
 }
 
@@ -160,7 +160,7 @@
     /// An attempt that leaves the balancer's zone.
     pub cross_zone: f64,
     /// A health check.
-    pub probe: f64,
+    pub health_check: f64,
     /// A new connection.
     pub handshake: f64,
     /// Open connections, in units of one hundred per server.
@@ -222,10 +222,10 @@
     pub initial_capacity: f64,
     /// The duration of slow start, after which a server has its full capacity.
     pub slow_start_window: Micros,
-    /// A server in slow start fails when it is sent more than this multiple of its capacity for `fall_after`.
+    /// A server in slow start fails when it is sent more than this multiple of its capacity for `overload_tolerance`.
     pub overload_factor: f64,
     /// How long a server in slow start withstands overload.
-    pub fall_after: Micros,
+    pub overload_tolerance: Micros,
     /// The minimum interval between events.
     pub event_interval: Micros,
 }
@@ -258,7 +258,7 @@
             initial_capacity: 0.1,
             slow_start_window: Micros::from_ms(20_000.0),
             overload_factor: 2.0,
-            fall_after: Micros::from_ms(1000.0),
+            overload_tolerance: Micros::from_ms(1000.0),
             event_interval: Micros::from_ms(1.0),
         }
     }
@@ -270,7 +270,7 @@
     /// # Errors
     ///
     /// The first setting that is out of range.
-    pub fn check(&self) -> Result<(), SettingsError> {
+    pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
@@ -291,13 +291,13 @@
         // The tolerance allows for rounding: a fraction may be the sum of others.
         let is_fraction = |value: f64| (0.0..=1.0 + 1e-6).contains(&value);
         if let Some(tenant) = self.tenants.iter().find(|tenant| !is_fraction(tenant.fraction)) {
-            return Err(SettingsError::BadShare { value: tenant.fraction });
+            return Err(SettingsError::InvalidFraction { value: tenant.fraction });
         }
         let factors = [("cold_share", self.initial_capacity), ("overload_factor", self.overload_factor)];
         let weights = self.classes.iter().map(|class| ("worth", class.priority_weight));
         for (setting, value) in factors.into_iter().chain(weights) {
             if !value.is_finite() || value < 0.0 {
-                return Err(SettingsError::BadNumber { setting, value });
+                return Err(SettingsError::InvalidNumber { setting, value });
             }
         }
         Ok(())
--- a/crates/balancer/src/api/settings_error.rs
+++ b/crates/balancer/src/api/settings_error.rs
@@ -9,14 +9,14 @@
     /// No request class is defined; at least one is required.
     NoClasses,
     /// A number is negative, infinite or NaN.
-    BadNumber {
+    InvalidNumber {
         /// The name of the setting.
         setting: &'static str,
         /// Its value.
         value: f64,
     },
     /// A tenant's fraction is outside 0 to 1.
-    BadShare {
+    InvalidFraction {
         /// Its value.
         value: f64,
     },
@@ -33,10 +33,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             SettingsError::NoClasses => write!(f, "settings name no request class; at least one is needed"),
-            SettingsError::BadNumber { setting, value } => {
+            SettingsError::InvalidNumber { setting, value } => {
                 write!(f, "setting {setting} is {value}; a finite number of zero or more is needed")
             }
-            SettingsError::BadShare { value } => {
+            SettingsError::InvalidFraction { value } => {
                 write!(f, "a tenant's share (fraction) is {value}; a number from 0 to 1 is needed")
             }
             SettingsError::ZeroDuration { setting } => {
--- a/crates/balancer/src/decisions/dispatch.rs
+++ b/crates/balancer/src/decisions/dispatch.rs
@@ -89,7 +89,7 @@
 
     fn record_sent_work(&mut self, now: Time, server: usize, work_ms: f64) {
         let is_warm = self.warmth(&self.servers[server], now) >= 1.0;
-        let window_ms = SENT_WORK_WINDOW * self.settings.fall_after.ms();
+        let window_ms = SENT_WORK_WINDOW * self.settings.overload_tolerance.ms();
         let server = &mut self.servers[server];
         server.sends_since_report += 1;
         if is_warm {
--- a/crates/balancer/src/decisions/endpoints.rs
+++ b/crates/balancer/src/decisions/endpoints.rs
@@ -26,7 +26,7 @@
         self.watch.backoff = MIN_WATCH_RETRY_DELAY;
         if is_complete {
             for server in &mut self.servers {
-                server.endpoint.status = Status::Gone;
+                server.endpoint.status = Status::Removed;
             }
         }
         for endpoint in endpoints {
--- a/crates/balancer/src/decisions/fleet_load.rs
+++ b/crates/balancer/src/decisions/fleet_load.rs
@@ -138,6 +138,6 @@
         let rate = self.traffic.requests_per_s();
         let state_ms = STATE_TIME_CONSTANT_MS * (1.0 + (rate / HIGH_REQUEST_RATE).min(1.0));
         let load = self.fleet_load.add(now, latency, reported_load, state_ms);
-        self.record_signal(Signal { zone, latency, load });
+        self.record_sample(ResponseSample { zone, latency, load });
     }
 }
--- a/crates/balancer/src/decisions/mod.rs
+++ b/crates/balancer/src/decisions/mod.rs
@@ -41,7 +41,7 @@
     elapsed: Micros,
     report: Option<Vec<f64>>,
     /// The request has its final response.
-    closed: bool,
+    is_final: bool,
 }
 
 impl Balancer {
@@ -51,7 +51,7 @@
     ///
     /// Invalid settings.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
-        settings.check()?;
+        settings.validate()?;
         Ok(Balancer::empty(settings, seed, HINT_BUDGET_MAX))
     }
 
@@ -70,8 +70,8 @@
             Event::BodyComplete { request, time_left } => self.on_body_complete(now, request, time_left),
             Event::AttemptsExhausted { request } => self.on_attempts_exhausted(request),
             Event::FirstByte { request, attempt } => self.on_first_byte(request, attempt),
-            Event::Outcome { request, attempt, outcome, elapsed, report, closed } => {
-                let result = AttemptResult { outcome, elapsed, report, closed };
+            Event::Outcome { request, attempt, outcome, elapsed, report, is_final } => {
+                let result = AttemptResult { outcome, elapsed, report, is_final };
                 self.on_attempt_finished(now, AttemptKey { request, attempt }, result, actions);
             }
             Event::ClientDisconnected { request } => {
--- a/crates/balancer/src/decisions/outcomes.rs
+++ b/crates/balancer/src/decisions/outcomes.rs
@@ -27,7 +27,7 @@
         }
         self.learn(now, &attempt, result.outcome, result.elapsed, actions);
         self.close_idle_connections(attempt.server, actions);
-        if result.closed {
+        if result.is_final {
             self.on_final_response(key, actions);
         } else {
             self.on_attempt_failed(now, key, result.outcome, actions);
--- a/crates/balancer/src/decisions/probes.rs
+++ b/crates/balancer/src/decisions/probes.rs
@@ -18,9 +18,9 @@
             .report_fields
             .iter()
             .any(|field| matches!(field, LoadReportField::InFlight | LoadReportField::Queue));
-        let cost = settings.costs.probe * (DRAWS + REMEMBERED) as f64;
+        let cost = settings.costs.health_check * (DRAWS + REMEMBERED) as f64;
         settings.health_checks
-            && settings.report_source == LoadReportSource::Probes
+            && settings.report_source == LoadReportSource::HealthChecks
             && reports_load
             && cost <= MAX_PROBE_COST
             && self.sparse
--- a/crates/balancer/src/decisions/protection.rs
+++ b/crates/balancer/src/decisions/protection.rs
@@ -17,7 +17,7 @@
         let (mut cost, mut freed) = (objective.worst_class * total, 0.0);
         let (mut least_cost, mut shed_first) = (f64::INFINITY, 0);
         for (i, &class) in by_value.iter().enumerate() {
-            cost += (objective.whole + objective.worst_window) * self.class_value(class);
+            cost += (objective.all_requests + objective.worst_window) * self.class_value(class);
             freed += self.class_work(class);
             if cost / freed < least_cost {
                 (least_cost, shed_first) = (cost / freed, i + 1);
--- a/crates/balancer/src/decisions/retry_budget.rs
+++ b/crates/balancer/src/decisions/retry_budget.rs
@@ -21,17 +21,17 @@
         max_attempts: u32::MAX,
         retry_on: RetryOn::ALL,
         same_zone: false,
-        budgets: Vec::new(),
+        retry_budgets: Vec::new(),
         hedge_budgets: Vec::new(),
         concurrency_limits: Vec::new(),
     };
 }
 
 fn budgets(limits: &Limits) -> &[RetryBudget] {
-    if limits.budgets.is_empty() {
+    if limits.retry_budgets.is_empty() {
         &[DEFAULT_BUDGET]
     } else {
-        &limits.budgets
+        &limits.retry_budgets
     }
 }
 
--- a/crates/balancer/src/state/mod.rs
+++ b/crates/balancer/src/state/mod.rs
@@ -17,7 +17,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Maximum number of signals that are stored for a host that does not collect them; the oldest are dropped.
-const MAX_PENDING_SIGNALS: usize = 64;
+const MAX_PENDING_SAMPLES: usize = 64;
 
 /// The latency that a class or a fleet is assumed to have before its first response, as a fraction of the objective.
 const INITIAL_LATENCY: f64 = 0.2;
@@ -108,8 +108,8 @@
     pub(crate) next_unreachable_attempt: Time,
     /// Bytes that may be spent on hints to peers.
     pub(crate) hint_budget: f64,
-    /// Signals that the host has not collected yet.
-    pub(crate) signals: Vec<Signal>,
+    /// Samples that the host has not collected yet.
+    pub(crate) pending_samples: Vec<ResponseSample>,
     /// The average load by the last reports of all servers.
     pub(crate) average_reported_load: f64,
     pub(crate) watch: WatchState,
@@ -146,7 +146,7 @@
             zones: BTreeMap::new(),
             next_unreachable_attempt: Time(0),
             hint_budget,
-            signals: Vec::new(),
+            pending_samples: Vec::new(),
             average_reported_load: 0.0,
             watch: WatchState { backoff: MIN_WATCH_RETRY_DELAY, retry_at: None, started_at: Time(0) },
             next_tick: Time(0),
@@ -160,19 +160,19 @@
     }
 
     /// Drains the signals since the last call, at most the latest 64. Empty unless [`Settings::peers`] is set.
-    pub fn signals(&mut self) -> std::vec::Drain<'_, Signal> {
-        self.signals.drain(..)
+    pub fn drain_samples(&mut self) -> std::vec::Drain<'_, ResponseSample> {
+        self.pending_samples.drain(..)
     }
 
     /// Stores a signal for the host to share with the peers.
-    pub(crate) fn record_signal(&mut self, signal: Signal) {
+    pub(crate) fn record_sample(&mut self, sample: ResponseSample) {
         if !self.settings.peers {
             return;
         }
-        if self.signals.len() >= MAX_PENDING_SIGNALS {
-            self.signals.remove(0);
+        if self.pending_samples.len() >= MAX_PENDING_SAMPLES {
+            self.pending_samples.remove(0);
         }
-        self.signals.push(signal);
+        self.pending_samples.push(sample);
     }
 
     /// Whether a request or an attempt of the class is in progress.
@@ -185,7 +185,7 @@
     /// those that are considered slow, failing, silent or unreachable.
     pub fn avoided_servers(&self, now: Time) -> usize {
         let is_avoided = |server: &Server| match (server.endpoint.status, self.sparse) {
-            (Status::Gone, _) => false,
+            (Status::Removed, _) => false,
             (Status::Draining, _) => true,
             (Status::Serving, true) => now < server.deprioritized_until || self.is_unreachable(server, now),
             (Status::Serving, false) => server.ejection.is_some(),
--- a/crates/balancer/src/state/reconfigure.rs
+++ b/crates/balancer/src/state/reconfigure.rs
@@ -17,7 +17,7 @@
         settings: Settings,
         changed: &[(usize, Option<usize>)],
     ) -> Result<(), SettingsError> {
-        settings.check()?;
+        settings.validate()?;
         self.cap_pending_attempts(&settings);
         self.classes.resize(settings.classes.len(), ClassStats::INITIAL);
         self.traffic.resize(settings.classes.len(), settings.tenants.len());
--- a/crates/balancer/src/state/servers.rs
+++ b/crates/balancer/src/state/servers.rs
@@ -135,7 +135,7 @@
     /// Forgets servers that were removed [`REMOVED_RETENTION`] ago and have nothing in flight.
     pub(crate) fn forget_removed_servers(&mut self, now: Time) {
         for server in &mut self.servers {
-            let is_removed = server.endpoint.status == Status::Gone;
+            let is_removed = server.endpoint.status == Status::Removed;
             server.removed_at = is_removed.then(|| server.removed_at.unwrap_or(now));
         }
         let is_expired = |server: &Server| {
--- a/crates/balancer/tests/bounded_memory.rs
+++ b/crates/balancer/tests/bounded_memory.rs
@@ -32,7 +32,7 @@
                 outcome: Outcome::Success,
                 elapsed: Micros::from_ms(20.0),
                 report: None,
-                closed: true,
+                is_final: true,
             };
             balancer.handle(now, outcome, &mut actions);
         }
--- a/crates/balancer/tests/common/harness.rs
+++ b/crates/balancer/tests/common/harness.rs
@@ -110,7 +110,7 @@
             outcome,
             elapsed: Micros::from_ms(ms),
             report,
-            closed: outcome == Outcome::Success,
+            is_final: outcome == Outcome::Success,
         })
     }
 
--- a/crates/balancer/tests/common/observer.rs
+++ b/crates/balancer/tests/common/observer.rs
@@ -68,7 +68,7 @@
     servers: BTreeMap<ServerId, Endpoint>,
     /// Since when servers are draining or removed.
     leaving: BTreeMap<ServerId, Time>,
-    /// The sends of the last `fall_after`.
+    /// The sends of the last `overload_tolerance`.
     sends: VecDeque<ObservedSend>,
     warm: BTreeSet<ServerId>,
     warm_since: Time,
@@ -96,12 +96,12 @@
     pub fn event(&mut self, now: Time, event: &Event) {
         match event {
             Event::Request(request) => self.on_request(now, request),
-            Event::Outcome { request, attempt, outcome, closed, .. } => {
+            Event::Outcome { request, attempt, outcome, is_final, .. } => {
                 if let Some(observed) = self.requests.get_mut(request) {
                     if let Some(attempt) = observed.attempts.get_mut(attempt.0 as usize) {
                         attempt.outcome.get_or_insert(*outcome);
                     }
-                    observed.has_ended |= *closed;
+                    observed.has_ended |= *is_final;
                 }
             }
             Event::BodyComplete { request, time_left } => {
@@ -299,7 +299,7 @@
     /// Compares this balancer's sends to a server in slow start with its sends to warm ones: at most its share, times the
     /// overload factor, with a tolerance for random variation.
     fn check_slow_start(&mut self, now: Time, server: ServerId) {
-        let window = self.settings.fall_after;
+        let window = self.settings.overload_tolerance;
         while self.sends.front().is_some_and(|send| send.sent_at + window < now) {
             self.sends.pop_front();
         }
--- a/crates/balancer/tests/drain.rs
+++ b/crates/balancer/tests/drain.rs
@@ -19,7 +19,7 @@
 
 #[test]
 fn delta_stops_sends_to_draining_and_removed() {
-    for status in [Status::Draining, Status::Gone] {
+    for status in [Status::Draining, Status::Removed] {
         assert_drained(|endpoints| EndpointUpdate::Delta(vec![Endpoint { status, ..endpoints[0].clone() }]));
     }
 }
--- a/crates/balancer/tests/observer.rs
+++ b/crates/balancer/tests/observer.rs
@@ -35,7 +35,7 @@
         outcome,
         elapsed: Micros::from_ms(1.0),
         report: None,
-        closed: false,
+        is_final: false,
     }
 }
 
@@ -125,5 +125,5 @@
 
 /// The observer judges only after a complete window without changes of the fleet.
 fn settings_window() -> Micros {
-    Settings::default().fall_after
+    Settings::default().overload_tolerance
 }
--- a/crates/balancer/tests/overload.rs
+++ b/crates/balancer/tests/overload.rs
@@ -221,7 +221,7 @@
 #[test]
 fn overload_sheds_low_priority_first_without_starvation() {
     let worth = |worth| Class { priority_weight: worth, ..class(RetrySafety::Idempotent) };
-    let goal = Objective { whole: 0.7, worst_window: 0.0, worst_class: 0.3, worst_tenant: 0.0 };
+    let goal = Objective { all_requests: 0.7, worst_window: 0.0, worst_class: 0.3, worst_tenant: 0.0 };
     let settings = Settings {
         classes: vec![worth(1.0), worth(3.0), worth(10.0)],
         objective: goal,
--- a/crates/balancer/tests/random_walk.rs
+++ b/crates/balancer/tests/random_walk.rs
@@ -19,7 +19,7 @@
         cancel: seed % 3 != 0,
         retry_after: seed % 5 == 0,
         health_checks: seed % 4 == 0,
-        report_source: if seed % 3 == 0 { LoadReportSource::None } else { LoadReportSource::Answers },
+        report_source: if seed % 3 == 0 { LoadReportSource::None } else { LoadReportSource::Responses },
         report_fields: vec![LoadReportField::InFlight, LoadReportField::ServiceTime],
         discovery: if seed % 2 == 1 { Discovery::OnRequest } else { Discovery::Pushed },
         initial_capacity: 0.2,
@@ -128,7 +128,7 @@
             outcome,
             elapsed: self.harness.now.since(ended.sent_at),
             report,
-            closed: outcome == Outcome::Success || ended.is_bound,
+            is_final: outcome == Outcome::Success || ended.is_bound,
         };
         self.harness.handle(event).to_vec()
     }
@@ -167,7 +167,8 @@
         let rng = &mut self.rng;
         let index = rng.usize(0..self.endpoints.len());
         let endpoint = &mut self.endpoints[index];
-        endpoint.status = [Status::Serving, Status::Serving, Status::Draining, Status::Gone][rng.usize(0..4)];
+        endpoint.status =
+            [Status::Serving, Status::Serving, Status::Draining, Status::Removed][rng.usize(0..4)];
         if rng.bool() && endpoint.status == Status::Serving {
             endpoint.started_at = Some(self.harness.now);
         }
--- a/crates/balancer/tests/retry_budgets.rs
+++ b/crates/balancer/tests/retry_budgets.rs
@@ -10,7 +10,7 @@
 fn retry_budgets_of_route_and_pool_hold() {
     let mut route = RouteHarness::new(8);
     let pool = budget(3, 0.0, 3.0);
-    let routes = [1, 2].map(|id| limits(|l| l.budgets = vec![budget(id, 0.0, 2.0), pool]));
+    let routes = [1, 2].map(|id| limits(|l| l.retry_budgets = vec![budget(id, 0.0, 2.0), pool]));
     let mut spent = [0, 0];
     for (place, route_limits) in routes.iter().enumerate() {
         for outcome in [Outcome::Rejected, Outcome::ServerError, Outcome::ConnectFailed, Outcome::Rejected] {
@@ -76,11 +76,11 @@
 #[test]
 fn retries_stay_within_budget_in_any_window() {
     let (ratio, burst) = (0.1, 5.0);
-    let kept = limits(|l| l.budgets.push(budget(1, ratio, burst)));
+    let kept = limits(|l| l.retry_budgets.push(budget(1, ratio, burst)));
     let (worst, asked, all) = storm(&kept, Some(100.0));
     assert!(worst as f64 <= ratio * asked + burst + 1.0, "{worst} of {asked}");
     assert!(all > 20, "{all}: too few retries");
-    let loose = limits(|l| l.budgets.push(budget(1, 1.0, 1e6)));
+    let loose = limits(|l| l.retry_budgets.push(budget(1, 1.0, 1e6)));
     let (storm, ..) = storm(&loose, Some(100.0));
     assert!(storm > 2 * worst, "{storm} without a budget, {worst} with one");
 }
--- a/crates/balancer/tests/settings.rs
+++ b/crates/balancer/tests/settings.rs
@@ -27,13 +27,13 @@
     for fraction in [1.5, -0.1, f64::NAN] {
         let tenants = vec![Tenant { fraction, ..Tenant::default() }];
         let wrong = Balancer::new(Settings { tenants, ..Settings::default() }, 1).err();
-        assert!(matches!(wrong, Some(SettingsError::BadShare { .. })), "{fraction}");
+        assert!(matches!(wrong, Some(SettingsError::InvalidFraction { .. })), "{fraction}");
     }
-    assert!(matches!(with(|s| s.initial_capacity = f64::NAN), Some(SettingsError::BadNumber { .. })));
-    assert!(matches!(with(|s| s.overload_factor = -1.0), Some(SettingsError::BadNumber { .. })));
+    assert!(matches!(with(|s| s.initial_capacity = f64::NAN), Some(SettingsError::InvalidNumber { .. })));
+    assert!(matches!(with(|s| s.overload_factor = -1.0), Some(SettingsError::InvalidNumber { .. })));
     assert!(matches!(
         with(|s| s.classes[0].priority_weight = f64::INFINITY),
-        Some(SettingsError::BadNumber { .. })
+        Some(SettingsError::InvalidNumber { .. })
     ));
     assert_eq!(with(|_| ()), None);
 }
@@ -44,7 +44,7 @@
     let settings = Settings {
         classes: vec![class(RetrySafety::Idempotent)],
         cancel: false,
-        objective: Objective { whole: 0.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 },
+        objective: Objective { all_requests: 0.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 },
         slow_start_window: Micros::ZERO,
         ..Settings::default()
     };
--- a/crates/balancer/tests/slow_start/fleet.rs
+++ b/crates/balancer/tests/slow_start/fleet.rs
@@ -285,7 +285,7 @@
 
     /// Counts a request that reaches a server in slow start, and compares the window that ends now with the bound.
     fn count(&mut self, attempt: Attempt, server: usize, work: Micros) {
-        let (now, fall_after) = (self.now, self.scenario.settings.fall_after);
+        let (now, overload_tolerance) = (self.now, self.scenario.settings.overload_tolerance);
         let s = &mut self.servers[server];
         let Some(age) = s.up_since.filter(|_| s.has_restarted).map(|since| now.since(since)) else { return };
         if age >= self.scenario.settings.slow_start_window {
@@ -295,7 +295,7 @@
             self.processes[attempt.process].notified.get(&s.endpoint.server) == Some(&s.endpoint.started_at);
         let work = work.ms() / self.scenario.mean_work.ms() + HANDSHAKE_WORK;
         s.window.push_back(Arrival { at: now, work, notified });
-        while s.window.front().is_some_and(|a| a.at + fall_after <= now) {
+        while s.window.front().is_some_and(|a| a.at + overload_tolerance <= now) {
             s.window.pop_front();
         }
         let work: f64 = s.window.iter().map(|a| a.work).sum();
@@ -313,12 +313,12 @@
         if process.generation != generation || !process.open.remove(&(request, number)) {
             return;
         }
-        let closed = outcome == Outcome::Success && process.requests.remove(&request).is_some();
-        self.observed.served += u32::from(closed);
-        let report = report.filter(|_| self.scenario.settings.report_source == LoadReportSource::Answers);
+        let is_final = outcome == Outcome::Success && process.requests.remove(&request).is_some();
+        self.observed.served += u32::from(is_final);
+        let report = report.filter(|_| self.scenario.settings.report_source == LoadReportSource::Responses);
         let (attempt, elapsed) = (AttemptNo(number), self.now.since(sent));
         let report = report.map(|queue| vec![queue]);
-        self.notify(index, Event::Outcome { request, attempt, outcome, elapsed, report, closed });
+        self.notify(index, Event::Outcome { request, attempt, outcome, elapsed, report, is_final });
     }
 
     fn on_server_up(&mut self, server: usize) {
@@ -340,7 +340,7 @@
     fn start_scenario(&mut self) {
         let kind = self.scenario.kind;
         let all = self.scenario.servers;
-        self.burst_until = self.now + DOWN_TIME + self.scenario.settings.fall_after * 3.0;
+        self.burst_until = self.now + DOWN_TIME + self.scenario.settings.overload_tolerance * 3.0;
         let restarting = match kind {
             StartKind::OneServer | StartKind::OneServerEveryProcess => 1,
             StartKind::ThirdOfServers => all / 3,
--- a/crates/balancer/tests/slow_start/mod.rs
+++ b/crates/balancer/tests/slow_start/mod.rs
@@ -1,6 +1,6 @@
 //! Simulates a fleet in virtual time: many balancers side by side, without peers, and servers in slow start.
 //!
-//! Each server counts the work that reaches it and compares each window of `fall_after` with the bound by the settings. The
+//! Each server counts the work that reaches it and compares each window of `overload_tolerance` with the bound by the settings. The
 //! balancers know only the settings and the endpoint list.
 
 mod fleet;
--- a/crates/balancer/tests/slow_start/scenario.rs
+++ b/crates/balancer/tests/slow_start/scenario.rs
@@ -72,10 +72,10 @@
             initial_capacity: range(&mut rng, 0.12, 0.5),
             slow_start_window: Micros::from_ms(range(&mut rng, 3500.0, 12_000.0)),
             overload_factor: [2.5, 3.0, 4.0][rng.usize(0..3)],
-            fall_after: Micros::from_ms([1500.0, 2000.0, 3000.0][rng.usize(0..3)]),
+            overload_tolerance: Micros::from_ms([1500.0, 2000.0, 3000.0][rng.usize(0..3)]),
             max_attempts: 6,
             hedging: true,
-            report_source: if reports { LoadReportSource::Answers } else { LoadReportSource::None },
+            report_source: if reports { LoadReportSource::Responses } else { LoadReportSource::None },
             report_fields: if reports { vec![LoadReportField::Queue] } else { Vec::new() },
             event_interval: Micros::from_ms(5.0),
             ..Settings::default()
@@ -114,7 +114,7 @@
             classes: classes.collect(),
             initial_capacity: 0.1 + 0.05 * rng.f64(),
             overload_factor: 2.5,
-            fall_after: Micros::from_ms(1500.0),
+            overload_tolerance: Micros::from_ms(1500.0),
             ..drawn.settings
         };
         let servers = if rng.bool() { processes + rng.u32(1..10) } else { drawn.servers };
@@ -134,7 +134,7 @@
 
     /// The work per window, in mean requests, above which a server of this age fails.
     pub(super) fn bound(&self, age: Micros) -> f64 {
-        let window = self.settings.fall_after.ms() / 1e3;
+        let window = self.settings.overload_tolerance.ms() / 1e3;
         let allowed = self.settings.overload_factor * self.warmth(age) * self.capacity_per_s() * window;
         allowed + 2.0 * allowed.sqrt() + 2.0
     }
--- a/crates/balancer/tests/slow_start_fleet.rs
+++ b/crates/balancer/tests/slow_start_fleet.rs
@@ -32,7 +32,7 @@
             println!(
                 "       {ratio:.2}: seed {} servers {} cores {} work {:.0} ms, load {:.2}, factor {} cold {:.2} warm {:.0} fall {:.0} spread {:.0} reports {:?}: {work:.1} at {age:.0} ms",
                 s.seed, s.servers, s.cores, s.mean_work.ms(), s.utilisation, s.settings.overload_factor,
-                s.settings.initial_capacity, s.settings.slow_start_window.ms(), s.settings.fall_after.ms(), s.list_spread.ms(),
+                s.settings.initial_capacity, s.settings.slow_start_window.ms(), s.settings.overload_tolerance.ms(), s.list_spread.ms(),
                 s.settings.report_source
             );
         }
--- a/crates/balancer/tests/slow_start_share.rs
+++ b/crates/balancer/tests/slow_start_share.rs
@@ -9,7 +9,7 @@
         initial_capacity: 0.2,
         slow_start_window: Micros::from_ms(10_000.0),
         overload_factor: 2.5,
-        fall_after: Micros::from_ms(1500.0),
+        overload_tolerance: Micros::from_ms(1500.0),
         balancers: 3,
         ..Settings::default()
     }
--- a/crates/balancer/tests/sparse_selection.rs
+++ b/crates/balancer/tests/sparse_selection.rs
@@ -204,7 +204,7 @@
 fn probing() -> Settings {
     Settings {
         health_checks: true,
-        report_source: LoadReportSource::Probes,
+        report_source: LoadReportSource::HealthChecks,
         report_fields: vec![LoadReportField::Utilisation, LoadReportField::InFlight],
         ..settings()
     }
@@ -262,7 +262,7 @@
 
 #[test]
 fn expensive_or_uninformative_probes_are_not_sent() {
-    let dear = Costs { probe: 0.01, ..Costs::default() };
+    let dear = Costs { health_check: 0.01, ..Costs::default() };
     for settings in [
         Settings { costs: dear, ..probing() },
         Settings { report_fields: vec![LoadReportField::Utilisation], ..probing() },
--- a/crates/balancer/tests/sparse_state.rs
+++ b/crates/balancer/tests/sparse_state.rs
@@ -11,7 +11,7 @@
     Settings {
         balancers,
         classes: vec![class(RetrySafety::Idempotent)],
-        report_source: LoadReportSource::Answers,
+        report_source: LoadReportSource::Responses,
         report_fields: vec![LoadReportField::InFlight],
         ..Settings::default()
     }
--- a/crates/balancer/tests/streaming_requests.rs
+++ b/crates/balancer/tests/streaming_requests.rs
@@ -77,7 +77,7 @@
     harness.handle(streaming_request(900));
     let server = harness.sent_to(RequestId(900)).expect("it is sent");
     harness.handle(Event::ClientDisconnected { request: RequestId(900) });
-    let removed = |id: u32| Endpoint { status: Status::Gone, ..Endpoint::serving(ServerId(id)) };
+    let removed = |id: u32| Endpoint { status: Status::Removed, ..Endpoint::serving(ServerId(id)) };
     harness.handle(Event::Endpoints(EndpointUpdate::Delta(vec![removed(server.0)])));
     harness.advance(Micros::from_ms(30_000.0));
     harness.handle(Event::Endpoints(EndpointUpdate::Delta(vec![Endpoint::serving(ServerId(77))])));
--- a/crates/balancer/tests/unit/state.rs
+++ b/crates/balancer/tests/unit/state.rs
@@ -17,10 +17,10 @@
     sent.expect("it is sent")
 }
 
-fn answer(balancer: &mut Balancer, now: Time, id: u64, closed: bool) {
+fn answer(balancer: &mut Balancer, now: Time, id: u64, is_final: bool) {
     let (request, attempt, elapsed) = (RequestId(id), AttemptNo(0), Micros::from_ms(20.0));
     let outcome = Outcome::Success;
-    let event = Event::Outcome { request, attempt, outcome, elapsed, report: None, closed };
+    let event = Event::Outcome { request, attempt, outcome, elapsed, report: None, is_final };
     balancer.handle(now, event, &mut Vec::new());
 }
 
@@ -37,7 +37,7 @@
     changes(&mut balancer, now, vec![listed(0, Status::Serving)]);
     for id in 1..5000 {
         now = now + Micros::from_ms(1000.0);
-        changes(&mut balancer, now, vec![listed(id, Status::Serving), listed(id - 1, Status::Gone)]);
+        changes(&mut balancer, now, vec![listed(id, Status::Serving), listed(id - 1, Status::Removed)]);
         assert_eq!(request(&mut balancer, now, id.into()), ServerId(id));
         answer(&mut balancer, now + Micros::from_ms(20.0), id.into(), true);
     }
@@ -61,10 +61,10 @@
     let mut now = Time::from_ms(1000.0);
     changes(&mut balancer, now, vec![listed(0, Status::Serving)]);
     assert_eq!(request(&mut balancer, now, 7), ServerId(0));
-    changes(&mut balancer, now, vec![listed(0, Status::Gone)]);
+    changes(&mut balancer, now, vec![listed(0, Status::Removed)]);
     for id in 1..30 {
         now = now + Micros::from_ms(5000.0);
-        changes(&mut balancer, now, vec![listed(id, Status::Serving), listed(id - 1, Status::Gone)]);
+        changes(&mut balancer, now, vec![listed(id, Status::Serving), listed(id - 1, Status::Removed)]);
     }
     assert!(balancer.index.contains_key(&ServerId(0)), "an attempt is in flight there");
     answer(&mut balancer, now, 7, false);
--- a/crates/platform-settings/src/convert.rs
+++ b/crates/platform-settings/src/convert.rs
@@ -37,7 +37,7 @@
         initial_capacity: rules.initial_capacity.unwrap_or(default.initial_capacity),
         slow_start_window: duration(rules.slow_start_window_ms, default.slow_start_window),
         overload_factor: rules.overload_factor.unwrap_or(default.overload_factor),
-        fall_after: duration(rules.fall_after_ms, default.fall_after),
+        overload_tolerance: duration(rules.fall_after_ms, default.overload_tolerance),
         event_interval: duration(params.event_interval_ms, default.event_interval),
     }
 }
@@ -76,7 +76,7 @@
 
 fn objective(params: &GoalParams) -> Objective {
     Objective {
-        whole: params.whole,
+        all_requests: params.whole,
         worst_window: params.worst_window,
         worst_class: params.worst_class,
         worst_tenant: params.worst_tenant,
@@ -86,7 +86,7 @@
 fn costs(params: &Penalties) -> Costs {
     Costs {
         cross_zone: params.cross_zone,
-        probe: params.probe,
+        health_check: params.probe,
         handshake: params.handshake,
         connection: params.connection,
         waste: params.waste,
@@ -103,8 +103,8 @@
 
 fn report_source(source: ReportSource) -> LoadReportSource {
     match source {
-        ReportSource::Piggyback => LoadReportSource::Answers,
-        ReportSource::Pull => LoadReportSource::Probes,
+        ReportSource::Piggyback => LoadReportSource::Responses,
+        ReportSource::Pull => LoadReportSource::HealthChecks,
         ReportSource::Silent => LoadReportSource::None,
     }
 }
--- a/crates/routes/src/check.rs
+++ b/crates/routes/src/check.rs
@@ -219,7 +219,7 @@
     fn check_retry_safety(&mut self, route: &RouteConfig, class: usize) {
         let name = &self.platform.classes[class];
         let class = &self.platform.settings.classes[class];
-        let repeats = route.retry_on.is_none_or(bellcroft_balancer::RetryOn::after_it_may_have_run);
+        let repeats = route.retry_on.is_none_or(bellcroft_balancer::RetryOn::retries_possibly_processed);
         let copies = route.hedge != HedgePolicy::Never;
         match class.retry_safety {
             RetrySafety::Idempotent => {}
--- a/crates/routes/src/table.rs
+++ b/crates/routes/src/table.rs
@@ -109,7 +109,7 @@
         let owner = self.owner;
         if let Some(RetryBudgetConfig { ratio, burst }) = self.retry_budget {
             let id = ids.id_for(format!("{owner} retries"));
-            limits.budgets.push(RetryBudget { id, ratio, burst, strict: true });
+            limits.retry_budgets.push(RetryBudget { id, ratio, burst, strict: true });
         }
         if let Some(ratio) = self.max_hedge_ratio {
             let id = ids.id_for(format!("{owner} copies"));
--- a/crates/routes/tests/random_routes/simulation.rs
+++ b/crates/routes/tests/random_routes/simulation.rs
@@ -201,7 +201,7 @@
                     outcome,
                     elapsed: now.since(sent_at),
                     report: None,
-                    closed: outcome == Outcome::Success,
+                    is_final: outcome == Outcome::Success,
                 };
                 let unwritten = attempt.written_at.is_none();
                 if unwritten && now >= attempt.connected_at && now <= attempt.timeout_at {
--- a/crates/routes/tests/unit/table.rs
+++ b/crates/routes/tests/unit/table.rs
@@ -90,7 +90,7 @@
     let budget = Some(RetryBudgetConfig { ratio: 0.1, burst: 3.0 });
     config.routes[0].retry_budget = budget;
     config.routes[0].max_queued = Some(4);
-    let id = |table: &RouteTable| table.routes[0].limits.budgets[0].id;
+    let id = |table: &RouteTable| table.routes[0].limits.retry_budgets[0].id;
     let first = id(&RouteTable::unchecked(&config, &mut ids));
     assert_ne!(first, 0);
     let mut other = config.clone();
--- a/crates/simulation/src/engine.rs
+++ b/crates/simulation/src/engine.rs
@@ -200,7 +200,7 @@
         peers: scenario.peers,
         // Who can be told to come back later is told.
         retry_after: scenario.habits.retries > 0,
-        report_source: if reports { LoadReportSource::Answers } else { LoadReportSource::None },
+        report_source: if reports { LoadReportSource::Responses } else { LoadReportSource::None },
         report_fields: if reports { vec![LoadReportField::InFlight] } else { Vec::new() },
         ..Settings::default()
     }
@@ -261,7 +261,7 @@
         share: settings.initial_capacity,
         warm_after: settings.slow_start_window,
         overload: settings.overload_factor,
-        fall_after: settings.fall_after,
+        fall_after: settings.overload_tolerance,
     };
     let mut servers = Vec::with_capacity(scenario.server_count());
     let mut troubles = Vec::new();
@@ -776,7 +776,7 @@
             outcome,
             elapsed: now.since(attempt.sent),
             report,
-            closed: asked.answered,
+            is_final: asked.answered,
         };
         self.say(id, Some(number), || format!("over for its instance: {outcome:?}"));
         self.settle(id);
@@ -944,7 +944,7 @@
                 if !self.linked(End::Discovery, End::Instance(instance)) {
                     return;
                 }
-                let status = [Status::Serving, Status::Draining, Status::Gone][status as usize];
+                let status = [Status::Serving, Status::Draining, Status::Removed][status as usize];
                 self.judge.told(self.now, instance as u32, server as u32, status == Status::Serving);
                 let line = self.line(server, status);
                 self.tell(instance, Event::Endpoints(EndpointUpdate::Delta(vec![line])));
--- a/crates/simulation/src/policy.rs
+++ b/crates/simulation/src/policy.rs
@@ -7,8 +7,8 @@
 
 use crate::random::{stream, Actor};
 use bellcroft_balancer::{
-    Action, Balancer, DedupScope, EndpointUpdate, Event, Micros, Outcome, RetrySafety, Settings,
-    SettingsError, Signal, Status, Time, TimerId,
+    Action, Balancer, DedupScope, EndpointUpdate, Event, Micros, Outcome, ResponseSample, RetrySafety,
+    Settings, SettingsError, Status, Time, TimerId,
 };
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -117,7 +117,7 @@
     /// What is true now, server by server.
     fn see(&mut self, _truth: Vec<Truth>) {}
     /// What it has seen of answers since this was last asked, to be shared with the others.
-    fn signs(&mut self) -> Vec<Signal> {
+    fn signs(&mut self) -> Vec<ResponseSample> {
         Vec::new()
     }
 }
@@ -140,8 +140,8 @@
         Balancer::handle(self, now, event, out);
     }
 
-    fn signs(&mut self) -> Vec<Signal> {
-        Balancer::signals(self).collect()
+    fn signs(&mut self) -> Vec<ResponseSample> {
+        Balancer::drain_samples(self).collect()
     }
 }
 
@@ -515,7 +515,7 @@
                 out.push(Action::SetTimer { at: deadline, timer: TimerId(id) });
                 self.send(now, id, out);
             }
-            Event::Outcome { request, attempt, outcome, elapsed, closed, .. } => {
+            Event::Outcome { request, attempt, outcome, elapsed, is_final, .. } => {
                 let id = request.0;
                 if let Some((server, _)) = self.attempts.remove(&(id, attempt.0)) {
                     if let Some(load) = self.view.in_flight.get_mut(&server) {
@@ -524,7 +524,7 @@
                     self.view.total = self.view.total.saturating_sub(1);
                     self.pick.ended(now, server, elapsed);
                 }
-                if closed || outcome == Outcome::Success {
+                if is_final || outcome == Outcome::Success {
                     self.requests.remove(&id);
                     return;
                 }
--- a/crates/simulation/tests/deployment.rs
+++ b/crates/simulation/tests/deployment.rs
@@ -214,7 +214,7 @@
             return;
         }
         let late = match (&event, self.how) {
-            (Event::Outcome { request, closed: true, attempt, .. }, How::Late) if attempt.0 == 0 => {
+            (Event::Outcome { request, is_final: true, attempt, .. }, How::Late) if attempt.0 == 0 => {
                 Some(request.0)
             }
             _ => None,
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -36,7 +36,7 @@
                 status: match entry.status {
                     wire::EntryStatus::Serving => Status::Serving,
                     wire::EntryStatus::Draining => Status::Draining,
-                    wire::EntryStatus::Deleted => Status::Gone,
+                    wire::EntryStatus::Deleted => Status::Removed,
                 },
                 weight: entry.units.unwrap_or(1.0),
                 started_at: entry.last_start_ms.filter(|ms| *ms > 0.0).map(Time::from_ms),
@@ -179,7 +179,7 @@
                     outcome: decode_outcome(ending),
                     elapsed: Micros::from_ms(time_taken_ms),
                     report: gauge,
-                    closed: finished,
+                    is_final: finished,
                 })
             }
             Incoming::Aborted { ticket } => {
--- a/crates/telemetry/src/observer.rs
+++ b/crates/telemetry/src/observer.rs
@@ -81,7 +81,7 @@
             cold_share: s.initial_capacity,
             warm_after: s.slow_start_window,
             overload_factor: s.overload_factor,
-            fall_after: s.fall_after,
+            fall_after: s.overload_tolerance,
         }
     }
 }
--- a/crates/telemetry/tests/observer.rs
+++ b/crates/telemetry/tests/observer.rs
@@ -242,7 +242,7 @@
                 outcome,
                 elapsed: Micros(1000),
                 report: None,
-                closed: over.contains(&key.0),
+                is_final: over.contains(&key.0),
             });
         }
         for event in events.drain(..) {
