--- a/crates/balancer/src/api/action.rs
+++ b/crates/balancer/src/api/action.rs
@@ -1,52 +1,52 @@
-//! The actions that a balancer requests of its host.
+//! The actions that a balancer requests from its host.
 
 use super::{AttemptNo, Micros, PeerId, RequestId, ServerId, Time, TimerId};
 
-/// An output of the balancer.
+/// An action that the host must carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send an attempt; the attempts of a request are numbered in the order of their sends.
+    /// Send an attempt of a request to a server.
     Send {
         /// The request.
         request: RequestId,
-        /// Its number among the request's attempts. The host reports an outcome for each attempt, also for one that it
-        /// does not start because the request has just ended ([`Outcome::NotSent`](crate::Outcome::NotSent)); otherwise
-        /// the attempt would count as in flight for ever.
+        /// The number of the attempt, in the order of the request's sends. The host must report an outcome for each
+        /// attempt, even if it does not start it because the request has just got its final response
+        /// ([`Outcome::NotSent`](crate::Outcome::NotSent)); otherwise the attempt would count as in flight forever.
         attempt: AttemptNo,
         /// The destination.
         server: ServerId,
-        /// When the attempt times out.
+        /// The time at which the attempt times out.
         timeout_at: Time,
-        /// The latest time for writing the attempt's first byte. A connection may become ready long after the decision,
-        /// when servers no longer drop duplicates or the server is draining; the outcome is then
-        /// [`Outcome::NotSent`](crate::Outcome::NotSent). If the connection is not established by then, the outcome is
+        /// The latest time for writing the attempt's first byte. Later, servers may no longer discard duplicates or the
+        /// server may be draining. If the connection becomes ready too late, the outcome is
+        /// [`Outcome::NotSent`](crate::Outcome::NotSent). If it is not established by this time, the outcome is
         /// [`Outcome::ConnectFailed`](crate::Outcome::ConnectFailed), and there may be time for a retry.
         write_by: Time,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNo,
     },
-    /// Final response: rejected; the client may retry safely.
+    /// Give the final response that the request is shed; the client may retry safely.
     Shed {
         /// The request.
         request: RequestId,
-        /// The Retry-After for the client, if known.
+        /// The Retry-After for the client, if any.
         retry_after: Option<Micros>,
     },
-    /// Final response: failed; the request may have been processed.
+    /// Give the final response that the request has failed; it may have been processed.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Deliver [`Event::Timer`](crate::Event::Timer) at this time; timers are never cancelled.
+    /// Deliver [`Event::Timer`](crate::Event::Timer) at a given time; timers are never cancelled.
     SetTimer {
-        /// When.
+        /// The time.
         at: Time,
-        /// The identifier that the event returns.
+        /// The identifier that the event carries.
         timer: TimerId,
     },
     /// Send a health check.
@@ -59,11 +59,11 @@
         /// The server.
         server: ServerId,
     },
-    /// Send a hint to one other balancer, or to all.
+    /// Send a hint to one other balancer or to all.
     SendHint {
         /// The recipient; `None` for all.
         to: Option<PeerId>,
-        /// The content.
+        /// The content of the hint.
         payload: Vec<u8>,
     },
     /// Open or close the watch on the endpoint list.
--- a/crates/balancer/src/api/endpoint.rs
+++ b/crates/balancer/src/api/endpoint.rs
@@ -5,11 +5,11 @@
 /// The lifecycle state of a server in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Status {
-    /// Accepts requests.
+    /// The server accepts requests.
     Serving,
-    /// Completes the requests in flight; must not receive new ones.
+    /// The server completes its requests in flight and must not receive new ones.
     Draining,
-    /// Removed from the list.
+    /// The server has been removed from the list.
     Removed,
 }
 
@@ -28,12 +28,12 @@
     pub status: Status,
     /// Its relative weight; see [`Settings::weights`](crate::Settings::weights).
     pub weight: f64,
-    /// When it last started, if that was recent.
+    /// The time of its last start, if that was recent.
     pub started_at: Option<Time>,
 }
 
 impl Endpoint {
-    /// A serving endpoint past slow start, in zone 0, machine type 0 and deduplication group 0.
+    /// A serving endpoint past slow start, in zone 0, of machine type 0 and in deduplication group 0.
     pub fn serving(server: ServerId) -> Self {
         Endpoint {
             server,
@@ -50,11 +50,11 @@
 /// An update of the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EndpointUpdate {
-    /// The changed entries only.
+    /// A delta: only the changed entries.
     Delta(Vec<Endpoint>),
-    /// The full list; a server that is missing from it has been removed.
+    /// A snapshot: the full list. A server that is missing from it has been removed.
     Snapshot(Vec<Endpoint>),
-    /// The full list as cached before a restart; may be stale.
+    /// A snapshot that was saved before a restart and may be outdated.
     SavedSnapshot(Vec<Endpoint>),
     /// The fetch or the watch failed; the last known list stays valid.
     Failed,
--- a/crates/balancer/src/api/event.rs
+++ b/crates/balancer/src/api/event.rs
@@ -4,19 +4,19 @@
     AttemptNo, EndpointUpdate, Micros, Outcome, PeerId, Request, RequestId, ServerId, TimerId, ZoneId,
 };
 
-/// An input of the balancer.
+/// An event that the host reports to the balancer.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// A client has submitted a request.
     Request(Request),
-    /// The body of a streaming request has arrived completely; its deadline runs from here.
+    /// The body of a streaming request is complete; its deadline starts now.
     BodyComplete {
         /// The request.
         request: RequestId,
         /// The remaining time until the client's deadline.
         time_left: Micros,
     },
-    /// A part of the body was forwarded and is no longer buffered: the request can't be retried.
+    /// A part of the request's body has been forwarded and is no longer buffered, so that the request can't be retried.
     AttemptsExhausted {
         /// The request.
         request: RequestId,
@@ -25,59 +25,59 @@
     FirstByte {
         /// The request.
         request: RequestId,
-        /// The attempt that it is bound to.
+        /// The attempt that the request is bound to.
         attempt: AttemptNo,
     },
-    /// An attempt has ended.
+    /// An attempt has finished.
     Outcome {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: AttemptNo,
-        /// How it ended.
+        /// The outcome of the attempt.
         outcome: Outcome,
-        /// The time since the attempt was sent.
+        /// The duration of the attempt.
         elapsed: Micros,
         /// The server's load report, if there was one.
         report: Option<Vec<f64>>,
-        /// The request has its final response; if false, one is still pending.
+        /// True if the request has its final response; if false, it is still pending.
         is_final: bool,
     },
-    /// The client has disconnected; no response is pending any more.
+    /// The client has disconnected; the request no longer needs a response.
     ClientDisconnected {
         /// The request.
         request: RequestId,
     },
     /// A timer has expired.
     Timer(TimerId),
-    /// The result of a health check.
+    /// A health check has finished.
     HealthChecked {
         /// The server.
         server: ServerId,
-        /// How the health check ended.
+        /// The outcome of the health check.
         outcome: Outcome,
-        /// The time since it was sent.
+        /// The duration of the health check.
         elapsed: Micros,
         /// The server's load report, if there was one.
         report: Option<Vec<f64>>,
     },
-    /// An update of the endpoint list.
+    /// The endpoint list has been updated, or the update has failed.
     Endpoints(EndpointUpdate),
-    /// A hint from another balancer. The host appends [`UNCONFIRMED_HINT`] to one that no second peer has confirmed.
+    /// Another balancer has sent a hint. The host appends [`UNCONFIRMED_HINT`] to a hint that no second peer has confirmed.
     PeerMessage {
         /// The sender.
         from: PeerId,
-        /// The content.
+        /// The content of the hint.
         payload: Vec<u8>,
     },
-    /// The fleet's recent state, aggregated over all balancers, this one included.
+    /// The host has updated the state of the server fleet, aggregated over all balancers including this one.
     Fleet(FleetState),
 }
 
-/// The last byte of a hint about a server that only one balancer has sent: the fault may be on that balancer's link.
+/// Last byte of a hint that only one balancer has sent; the fault may be in that balancer's network instead of the server.
 pub const UNCONFIRMED_HINT: u8 = 1;
 
-/// A sample taken from one response, for the host to share with the other balancers.
+/// A sample of the fleet's latency and load from one response, which the host shares with the other balancers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ResponseSample {
     /// The server's zone.
@@ -91,7 +91,7 @@
 /// The state of the server fleet, aggregated over all balancers.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct FleetState {
-    /// The decayed number of responses that it is based on; 0 if there are none.
+    /// The decayed number of samples behind this state; 0 if there are none.
     pub weight: f64,
     /// The recent response time, as a fraction of the latency objective.
     pub latency: f64,
--- a/crates/balancer/src/api/ids.rs
+++ b/crates/balancer/src/api/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers, each a newtype over an integer.
+//! Identifiers as newtypes over integers.
 
 macro_rules! id {
     ($(#[$doc:meta] $name:ident($inner:ty)),* $(,)?) => {$(
@@ -9,21 +9,21 @@
 }
 
 id! {
-    /// A request, numbered by the caller; never reused within the lifetime of a balancer.
+    /// A request. Numbered by the caller and never reused within the lifetime of a balancer.
     RequestId(u64),
-    /// A server, numbered by the caller; stable across restarts of the server and equal at every balancer.
+    /// A server. Numbered by the caller; stable across restarts of the server and equal at every balancer.
     ServerId(u32),
-    /// A request class: its index in [`Settings::classes`](crate::Settings::classes).
+    /// A request class, given by its index in [`Settings::classes`](crate::Settings::classes).
     ClassId(usize),
-    /// A tenant: its index in [`Settings::tenants`](crate::Settings::tenants).
+    /// A tenant, given by its index in [`Settings::tenants`](crate::Settings::tenants).
     TenantId(usize),
-    /// An availability zone, numbered as in the endpoint list.
+    /// An availability zone, as numbered in the endpoint list.
     ZoneId(u32),
-    /// A machine type, numbered as in the endpoint list.
+    /// A machine type, as numbered in the endpoint list.
     MachineTypeId(u32),
-    /// A group of servers that deduplicate requests together, numbered as in the endpoint list.
+    /// A group of servers that share their deduplication state, as numbered in the endpoint list.
     DedupGroupId(u32),
-    /// The entity that a request concerns; requests for the same entity carry the same key.
+    /// An affinity key: requests that concern the same entity carry the same key.
     KeyId(u64),
     /// An attempt of a request, counted from 0.
     AttemptNo(u32),
--- a/crates/balancer/src/api/limits.rs
+++ b/crates/balancer/src/api/limits.rs
@@ -1,11 +1,11 @@
-//! A route's limits: timeouts, retry conditions, retry budgets and concurrency limits.
+//! The limits of a route: timeouts, retry conditions, retry budgets and concurrency limits.
 
 use super::{Micros, Outcome};
 
-/// The outcomes of an attempt that may be retried.
+/// The outcomes after which an attempt may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RetryOn {
-    /// The connection failed, or nothing was sent.
+    /// The connection failed or the attempt was not sent.
     pub connect: bool,
     /// The server rejected the request before processing it.
     pub rejected: bool,
@@ -18,10 +18,10 @@
 }
 
 impl RetryOn {
-    /// All of them.
+    /// Retries after all outcomes.
     pub const ALL: RetryOn =
         RetryOn { connect: true, rejected: true, reset: true, timeout: true, error: true };
-    /// None of them.
+    /// No retries.
     pub const NONE: RetryOn =
         RetryOn { connect: false, rejected: false, reset: false, timeout: false, error: false };
 
@@ -37,30 +37,30 @@
         }
     }
 
-    /// Whether an attempt that may have been processed may be retried.
+    /// Whether retries are allowed after any outcome that leaves it open whether the request was processed.
     pub fn retries_possibly_processed(self) -> bool {
         self.reset || self.timeout || self.error
     }
 }
 
-/// A retry budget: a token bucket that requests fill and retries drain.
+/// A retry budget: a token bucket that requests fill and that retries take tokens from.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget {
-    /// Its number, chosen by the caller: small, and equal for all requests that share the budget. 0 is the budget of
-    /// requests without a route.
+    /// Its id, chosen by the caller and equal for all requests that share the budget. Ids must be small because they are
+    /// used as indices. 0 is the default budget.
     pub id: u32,
-    /// Retries earned per request.
+    /// Number of retries that each request adds to the balance.
     pub ratio: f64,
     /// Maximum balance in retries; also the initial balance.
     pub burst: f64,
-    /// Retries of attempts that were never processed are charged as well.
+    /// True if retries after attempts that never ran are charged as well.
     pub strict: bool,
 }
 
 /// A concurrency limit that requests share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConcurrencyLimit {
-    /// Its number, chosen by the caller in the same way as that of a [`RetryBudget`].
+    /// Its id, chosen by the caller in the same way as that of a [`RetryBudget`].
     pub id: u32,
     /// Maximum number of attempts in flight.
     pub max_in_flight: u32,
@@ -68,11 +68,11 @@
     pub max_queued: u32,
 }
 
-/// The limits of a route, within those of [`Settings`](crate::Settings). A timeout of the greatest value of [`Micros`]
-/// is disabled.
+/// The limits of a route, which apply in addition to those of [`Settings`](crate::Settings). The maximum value of
+/// [`Micros`] disables a timeout.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
-    /// The request fails after this time, or at the client's deadline if that is earlier.
+    /// The timeout of the request; the client's deadline applies if it is earlier.
     pub timeout: Micros,
     /// The timeout of one attempt.
     pub attempt_timeout: Micros,
@@ -80,13 +80,13 @@
     pub queue_timeout: Micros,
     /// Maximum number of attempts, the first one included.
     pub max_attempts: u32,
-    /// The outcomes that may be retried.
+    /// The outcomes after which an attempt may be retried.
     pub retry_on: RetryOn,
-    /// Retries stay in the zone of the first attempt.
+    /// True if retries must stay in the zone of the first attempt.
     pub same_zone: bool,
-    /// The budgets that retries and hedged requests are charged to, each of them.
+    /// The budgets that retries and hedged requests are charged to. Each of them must allow the retry.
     pub retry_budgets: Vec<RetryBudget>,
-    /// Further budgets that hedged requests alone are charged to.
+    /// Additional budgets that only hedged requests are charged to.
     pub hedge_budgets: Vec<RetryBudget>,
     /// The concurrency limits that apply.
     pub concurrency_limits: Vec<ConcurrencyLimit>,
--- a/crates/balancer/src/api/mod.rs
+++ b/crates/balancer/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! The interface of [`crate::Balancer`]: its settings, the events it takes and the actions it returns.
+//! The interface of [`crate::Balancer`]: its settings, the events that it handles and the actions that it returns.
 
 mod action;
 mod endpoint;
--- a/crates/balancer/src/api/outcome.rs
+++ b/crates/balancer/src/api/outcome.rs
@@ -1,23 +1,23 @@
-//! The outcome of an attempt or health check, and the load report that comes with it.
+//! The outcome of an attempt or health check and the load report that comes with it.
 
-/// How an attempt or a health check ended.
+/// The outcome of an attempt or a health check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// The response was a success.
+    /// The server responded with a success.
     Success,
     /// The server responded with an error; the request may have been processed.
     ServerError,
     /// The server rejected the request before processing it.
     Rejected,
-    /// No response in time; the request may have been processed or may still be running.
+    /// The attempt timed out; the request may have been processed or may still be running.
     TimedOut,
     /// The connection could not be established in time; nothing was processed.
     ConnectFailed,
     /// The connection was reset; the request may have been processed.
     ConnectionReset,
-    /// Cancelled; the request may have been processed.
+    /// The attempt was cancelled; the request may have been processed.
     Cancelled,
-    /// Never sent: the request had ended, or its attempts or its time were exhausted.
+    /// The attempt was never sent: the request already had its final response, or its attempts or its time were exhausted.
     NotSent,
 }
 
--- a/crates/balancer/src/api/request.rs
+++ b/crates/balancer/src/api/request.rs
@@ -1,4 +1,4 @@
-//! A client's request, as the balancer sees it.
+//! The properties of a client's request that the balancer uses.
 
 use super::{ClassId, KeyId, Limits, Micros, RequestId, TenantId};
 use std::sync::Arc;
@@ -6,31 +6,31 @@
 /// A request that a client has submitted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
-    /// Its number.
+    /// Its identifier.
     pub id: RequestId,
     /// Its class.
     pub class: ClassId,
     /// Its tenant.
     pub tenant: Option<TenantId>,
-    /// The entity that it concerns.
+    /// Its affinity key.
     pub key: Option<KeyId>,
     /// Estimated work, in core time.
     pub cost_hint: Option<Micros>,
-    /// The client marks it as a retry of its own.
+    /// True if the client has marked it as a retry.
     pub is_retry: bool,
-    /// The remaining time until the client's deadline; while the body is streaming, the upper bound for its arrival.
+    /// The remaining time until the client's deadline; for a streaming request, the maximum time until its body is complete.
     pub time_left: Micros,
-    /// Its body is forwarded while it arrives: the deadline runs from
-    /// [`Event::BodyComplete`](crate::Event::BodyComplete) on.
+    /// True if its body is forwarded while it arrives; the deadline then starts with
+    /// [`Event::BodyComplete`](crate::Event::BodyComplete).
     pub streaming: bool,
     /// The limits of its route; `None` stands for [`Limits::STANDARD`].
     pub limits: Option<Arc<Limits>>,
-    /// A hedged request is sent when an attempt has no response after this time; `None` disables hedging.
+    /// The time without a response after which a hedged request is sent; `None` disables hedging.
     pub hedge_after: Option<Micros>,
 }
 
 impl Request {
-    /// A client's first attempt, without tenant, key or cost hint.
+    /// A client's first try, without tenant, key and cost hint.
     pub fn new(id: RequestId, class: ClassId, time_left: Micros) -> Self {
         Request {
             id,
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -1,21 +1,21 @@
-//! The settings of a balancer: request classes, tenants, objective, costs and the capabilities of the platform.
+//! The settings of a balancer: request classes, tenants, objective, costs and the features that the platform supports.
 
 use super::{Micros, SettingsError, ZoneId};
 
-/// Whether and where a request may be retried without running twice.
+/// Whether a request may be retried without running twice, and on which servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub enum RetrySafety {
-    /// Idempotent: may be retried anywhere.
+    /// The request is idempotent and may be retried on any server.
     #[default]
     Idempotent,
-    /// Carries an idempotency key: the servers of `scope` drop duplicates for `window` from the first send on.
+    /// The request carries an idempotency key, by which the servers of `scope` discard duplicates within `window`.
     Deduplicated {
         /// The servers that share their deduplication state.
         scope: DedupScope,
-        /// How long duplicates are dropped, from the first send on.
+        /// The dedup window: the time for which duplicates are discarded, from the first send on.
         window: Micros,
     },
-    /// Must not run twice.
+    /// The request must not run twice.
     AtMostOnce,
 }
 
@@ -37,15 +37,15 @@
     pub retry_safety: RetrySafety,
     /// A response within this time earns the full `priority_weight`.
     pub latency_objective: Micros,
-    /// The latency objective grows by this multiple of the request's own work, up to the deadline.
+    /// The multiple of the request's own work that is added to the latency objective, up to the deadline.
     pub objective_stretch: f64,
-    /// How long a client waits in total, over all its own retries.
+    /// The total time that a client waits, its own retries included.
     pub deadline: Micros,
     /// The value of a response within the latency objective.
     pub priority_weight: f64,
-    /// The fraction of `priority_weight` earned by a response between the latency objective and the deadline.
+    /// The fraction of `priority_weight` that a response between the latency objective and the deadline earns.
     pub late_weight: f64,
-    /// The response is a stream, announced by [`Event::FirstByte`](crate::Event::FirstByte).
+    /// True if the response is a stream, whose start [`Event::FirstByte`](crate::Event::FirstByte) reports.
     pub stream: bool,
 }
 
@@ -63,88 +63,90 @@
     }
 }
 
-/// A tenant with a quota of the service.
+/// A tenant and its quota of the service.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Tenant {
-    /// Its quota, as a fraction of the service.
+    /// Its quota as a fraction of the service's traffic.
     pub fraction: f64,
     /// Its quota in requests per second, over all balancers.
     pub allowance_per_s: f64,
 }
 
-/// A value of a server's load report; [`Settings::report_fields`] gives their order.
+/// The meaning of a value in a server's load report; [`Settings::report_fields`] gives the order of the values.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum LoadReportField {
-    /// Requests in flight at the server.
+    /// Number of requests in flight at the server.
     InFlight,
-    /// Requests queued at the server.
+    /// Number of requests queued at the server.
     Queue,
-    /// Utilisation of its cores, as a fraction.
+    /// Utilisation of the server's cores, as a fraction.
     Utilisation,
-    /// Recent service time in milliseconds, without queueing.
+    /// Recent service time without queueing, in milliseconds.
     ServiceTime,
-    /// Responses per second.
+    /// Number of responses per second.
     Rate,
-    /// Errors per second.
+    /// Number of errors per second.
     Errors,
     /// A value that the balancer does not use.
     Other,
 }
 
-/// Upper bound of the time between the start of a failed watch and its retry, unless [`MIN_WATCH_RETRY_DELAY`] after the
-/// failure is later; jitter and the tick interval of the balancer are included. Two retries fit into the 6 s within which
-/// the platform counts a change as delivered once discovery is reachable again; a discovery service that rejects
-/// calls is given time to recover.
+/// Upper bound of the time from the start of a failed watch to its retry, jitter and the tick interval included. If
+/// [`MIN_WATCH_RETRY_DELAY`] after the failure is later, that bound applies instead.
+///
+/// The platform expects a change to be delivered within 6 s after discovery is reachable again, and two retries fit into
+/// this time. A discovery service that rejects calls still has time to recover.
 pub const MAX_WATCH_RETRY_DELAY: Micros = Micros(3_750_000);
 
-/// The backoff after the first failed watch; it doubles with each further failure. Also the minimum backoff after a call
-/// that timed out, before jitter.
+/// Backoff after the first failed watch; it doubles with each further failure. Also the minimum backoff after a call that
+/// timed out, before jitter.
 pub const MIN_WATCH_RETRY_DELAY: Micros = Micros(600_000);
 
-/// How changes of the endpoint list reach the balancer.
+/// How the balancer receives changes of the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub enum Discovery {
-    /// The host pushes them without a request.
+    /// The host delivers them without being asked.
     #[default]
     Pushed,
-    /// Only after [`Action::Watch`](crate::Action::Watch) or [`Action::FetchEndpoints`](crate::Action::FetchEndpoints).
+    /// The host delivers them only after [`Action::Watch`](crate::Action::Watch) or
+    /// [`Action::FetchEndpoints`](crate::Action::FetchEndpoints).
     OnRequest,
 }
 
-/// Where load reports come from.
+/// The source of load reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub enum LoadReportSource {
-    /// There are none.
+    /// There are no load reports.
     #[default]
     None,
-    /// With outcomes and with health-check results.
+    /// Load reports come with the outcomes of attempts and of health checks.
     Responses,
-    /// With health-check results only.
+    /// Load reports come with the outcomes of health checks only.
     HealthChecks,
 }
 
 /// The meaning of [`Endpoint::weight`](crate::Endpoint::weight).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub enum Weights {
-    /// None: weights are ignored.
+    /// Weights have no meaning and are ignored.
     #[default]
     None,
-    /// The capacity of the machine, exact or approximate.
+    /// The exact or approximate capacity of the machine.
     Size,
     /// The capacity divided by a past load.
     Live,
 }
 
-/// How the service weighs its results; the weights need not add up to one.
+/// The weights with which the service rates its results; they need not add up to one.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Objective {
-    /// All requests together.
+    /// The weight of the result over all requests.
     pub all_requests: f64,
-    /// The worst time window.
+    /// The weight of the worst time window.
     pub worst_window: f64,
-    /// The class with the worst result.
+    /// The weight of the class with the worst result.
     pub worst_class: f64,
-    /// The tenant with the worst result within its quota.
+    /// The weight of the tenant with the worst result within its quota.
     pub worst_tenant: f64,
 }
 
@@ -154,27 +156,27 @@
     }
 }
 
-/// Costs, each as a fraction of the result at one occurrence per request.
+/// Costs, each as a fraction of the result that it takes away if it occurs once per request.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Costs {
-    /// An attempt that leaves the balancer's zone.
+    /// The cost of an attempt that leaves the balancer's zone.
     pub cross_zone: f64,
-    /// A health check.
+    /// The cost of a health check.
     pub health_check: f64,
-    /// A new connection.
+    /// The cost of a new connection.
     pub handshake: f64,
-    /// Open connections, in units of one hundred per server.
+    /// The cost of open connections, per hundred connections at each server.
     pub connection: f64,
-    /// Work whose response was not used.
+    /// The cost of work whose response is not used.
     pub waste: f64,
-    /// A request that fails after its latency objective.
+    /// The cost of a request that fails after its latency objective.
     pub late_fail: f64,
 }
 
 /// The configuration of a balancer.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Number of balancers of this service, this one included.
+    /// The number of balancers of this service, this one included.
     pub balancers: u32,
     /// The zone of this balancer.
     pub zone: ZoneId,
@@ -182,49 +184,50 @@
     pub classes: Vec<Class>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The fraction of its weight that a request over its tenant's quota keeps.
+    /// The fraction of its weight that a request beyond its tenant's quota keeps.
     pub over_quota_weight: f64,
-    /// Weights count per unit of work instead of per request.
+    /// True if priority weights apply per unit of work instead of per request.
     pub weight_by_work: bool,
-    /// How the results are weighed.
+    /// The weights with which results are rated.
     pub objective: Objective,
-    /// What attempts, connections and health checks cost.
+    /// The costs of attempts, connections and health checks.
     pub costs: Costs,
-    /// How changes of the endpoint list reach the balancer.
+    /// How the balancer receives changes of the endpoint list.
     pub discovery: Discovery,
-    /// Without a watch the endpoint list must be polled at least this often.
+    /// The maximum interval between polls of the endpoint list without a watch.
     pub poll_interval: Micros,
-    /// Where load reports come from.
+    /// The source of load reports.
     pub report_source: LoadReportSource,
     /// The values of a load report, in order.
     pub report_fields: Vec<LoadReportField>,
     /// The meaning of the weights in the endpoint list.
     pub weights: Weights,
-    /// A server that served a key recently serves it again at lower cost.
+    /// True if a server that has recently served a key serves it again at lower cost.
     pub key_affinity: bool,
-    /// Maximum number of attempts per request.
+    /// The maximum number of attempts per request.
     pub max_attempts: u32,
-    /// A request may have two attempts in flight at once.
+    /// True if a request may have two attempts in flight at the same time.
     pub hedging: bool,
-    /// [`Action::Cancel`](crate::Action::Cancel) is supported.
+    /// True if [`Action::Cancel`](crate::Action::Cancel) is supported.
     pub cancel: bool,
-    /// [`Action::HealthCheck`](crate::Action::HealthCheck) is supported.
+    /// True if [`Action::HealthCheck`](crate::Action::HealthCheck) is supported.
     pub health_checks: bool,
-    /// [`Action::SendHint`](crate::Action::SendHint) is supported.
+    /// True if [`Action::SendHint`](crate::Action::SendHint) is supported.
     pub peers: bool,
-    /// Clients receive the Retry-After of [`Action::Shed`](crate::Action::Shed).
+    /// True if clients receive the Retry-After of [`Action::Shed`](crate::Action::Shed).
     pub retry_after: bool,
     /// The longest Retry-After that a client honours.
     pub max_retry_after: Micros,
-    /// A draining or removed server may receive new requests for this long after the balancer was notified.
+    /// The time for which a draining or removed server may still receive new requests after the balancer was notified.
     pub drain_grace_period: Micros,
     /// The minimum capacity of a server at its start, as a fraction of its full capacity.
     pub initial_capacity: f64,
-    /// The duration of slow start, after which a server has its full capacity.
+    /// The duration of slow start, after which a server has reached its full capacity.
     pub slow_start_window: Micros,
-    /// A server in slow start fails when it is sent more than this multiple of its capacity for `overload_tolerance`.
+    /// The multiple of its capacity above which a server in slow start is overloaded; it fails if this lasts for
+    /// `overload_tolerance`.
     pub overload_factor: f64,
-    /// How long a server in slow start withstands overload.
+    /// The time for which a server in slow start withstands overload.
     pub overload_tolerance: Micros,
     /// The minimum interval between events.
     pub event_interval: Micros,
@@ -269,7 +272,7 @@
     ///
     /// # Errors
     ///
-    /// The first setting that is out of range.
+    /// The first setting that is found to be out of range.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -288,7 +291,7 @@
                 return Err(SettingsError::ZeroDuration { setting: "dedup window" });
             }
         }
-        // The tolerance allows for rounding: a fraction may be the sum of others.
+        // A fraction may be the sum of others, so a small tolerance allows for rounding.
         let is_fraction = |value: f64| (0.0..=1.0 + 1e-6).contains(&value);
         if let Some(tenant) = self.tenants.iter().find(|tenant| !is_fraction(tenant.fraction)) {
             return Err(SettingsError::InvalidFraction { value: tenant.fraction });
--- a/crates/balancer/src/api/settings_error.rs
+++ b/crates/balancer/src/api/settings_error.rs
@@ -2,11 +2,11 @@
 
 use std::fmt;
 
-/// Why settings are invalid.
+/// The reason why settings are invalid.
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// No request class is defined; at least one is required.
+    /// There is no request class; at least one is required.
     NoClasses,
     /// A number is negative, infinite or NaN.
     InvalidNumber {
@@ -34,16 +34,16 @@
         match self {
             SettingsError::NoClasses => write!(f, "settings name no request class; at least one is needed"),
             SettingsError::InvalidNumber { setting, value } => {
-                write!(f, "setting {setting} is {value}; a finite number of zero or more is needed")
+                write!(f, "setting {setting} is {value}; it must be a finite number of at least zero")
             }
             SettingsError::InvalidFraction { value } => {
-                write!(f, "a tenant's share (fraction) is {value}; a number from 0 to 1 is needed")
+                write!(f, "a tenant's share (fraction) is {value}; it must be between 0 and 1")
             }
             SettingsError::ZeroDuration { setting } => {
                 write!(f, "setting {setting} is zero; it must be longer")
             }
             SettingsError::NoAttempts => {
-                write!(f, "settings allow no attempt for a request; at least one is needed")
+                write!(f, "settings allow no attempts per request; at least one is required")
             }
         }
     }
--- a/crates/balancer/src/api/time.rs
+++ b/crates/balancer/src/api/time.rs
@@ -1,4 +1,4 @@
-//! Points in time and durations, in microseconds of the caller's clock.
+//! Points in time and durations in microseconds of the caller's clock.
 
 use std::ops::{Add, Mul, Sub};
 
@@ -11,7 +11,7 @@
 pub struct Micros(pub u64);
 
 impl Time {
-    /// The point `ms` milliseconds after the epoch; a negative value or NaN yields the epoch.
+    /// The time `ms` milliseconds after the epoch; a negative value or NaN yields the epoch.
     pub fn from_ms(ms: f64) -> Self {
         Time(Micros::from_ms(ms).0)
     }
@@ -26,7 +26,7 @@
 }
 
 impl Micros {
-    /// The empty duration.
+    /// The duration zero.
     pub const ZERO: Micros = Micros(0);
     /// `ms` milliseconds, rounded to the microsecond; a negative value or NaN yields zero.
     pub fn from_ms(ms: f64) -> Self {
@@ -36,7 +36,7 @@
     pub fn ms(self) -> f64 {
         self.0 as f64 / 1e3
     }
-    /// This duration minus `other`, at least zero.
+    /// This duration minus `other`, or zero if `other` is longer.
     #[must_use]
     pub fn saturating_sub(self, other: Micros) -> Micros {
         Micros(self.0.saturating_sub(other.0))
--- a/crates/balancer/src/decisions/admission.rs
+++ b/crates/balancer/src/decisions/admission.rs
@@ -1,16 +1,16 @@
-//! Admission of requests: each is sent, queued or shed on arrival.
+//! Admission of requests: a new request is sent, queued or shed.
 
 use super::tuning::*;
 use crate::api::*;
 use crate::state::*;
 
-/// Maximum number of votes for the usual time left of a class; a change in the clients' behaviour is accepted after as many
-/// requests.
-const MAX_VOTES: u32 = 50;
-/// With fewer recent rejections and failures no request is taken for a retry that is not marked as one; less than one, for
-/// they decay.
-const MIN_RETRIABLE_ENDINGS: f64 = 0.5;
-/// The fraction of its class's baseline latency that a response takes at least.
+/// Maximum number of votes for the usual time left of a class. When clients change their deadlines, the new time left is
+/// accepted after this many requests.
+const MAX_TIME_LEFT_VOTES: u32 = 50;
+/// Minimum count of recent rejections and failures for a request without a retry mark to be treated as a client's retry.
+/// It is less than one because the count decays.
+const MIN_AWAITED_CLIENT_RETRIES: f64 = 0.5;
+/// Lower bound of the time until a response, as a fraction of the baseline latency of the class.
 const FASTEST_RESPONSE: f64 = 0.7;
 
 impl Balancer {
@@ -26,17 +26,17 @@
         let pending = self.pending_request(now, request);
         let is_too_late = self.is_too_late(now, &pending);
         let class = pending.request.class.0;
-        self.retry_balances.deposit(pending.request.limits(), self.sparse);
+        self.retry_balances.deposit(pending.request.limits(), self.is_sparse);
         self.requests.insert(id, pending);
         self.hint_budget = (self.hint_budget + HINT_BUDGET_PER_REQUEST).min(HINT_BUDGET_MAX);
         if is_too_late || !self.admits(now, class) || self.all_zones_unreachable(now) {
-            self.finish(now, id, actions);
+            self.give_final_response(now, id, actions);
         } else if !self.try_send(now, id, actions) {
             self.enqueue(now, id, actions);
         }
     }
 
-    /// The state of a new request, which is counted as traffic here.
+    /// Creates the state of a new request and counts the request as traffic.
     fn pending_request(&mut self, now: Time, request: Request) -> PendingRequest {
         let spent = self.time_spent_before(now, &request);
         let deadline = now + request.time_left.min(request.limits().timeout);
@@ -51,16 +51,18 @@
             objective_deadline: (now + time_to_objective).min(deadline),
             attempts: Vec::new(),
             is_client_retry: spent > Micros::ZERO,
-            is_bound: false,
+            has_response_started: false,
             is_exhausted: false,
             over_quota,
             queued_since: None,
         }
     }
 
-    /// The time that a client's earlier attempts have taken. First attempts of a class usually arrive with equal time left.
-    /// A request with another one is a retry with the remainder of its deadline if its client marks it, or if a request of
-    /// its class was rejected or has failed that no retry has followed yet. Otherwise its client has less patience.
+    /// Estimates the time that the client has already spent on earlier tries of this request.
+    ///
+    /// Clients of a class usually send their first try with the same time left. A request with a different time left is
+    /// considered a retry within the original deadline if the client marks it as a retry, or if a recent request of the
+    /// class was rejected or failed and no retry has followed it yet. Otherwise the client has a shorter deadline than usual.
     fn time_spent_before(&mut self, now: Time, request: &Request) -> Micros {
         let tolerance = self.settings.event_interval;
         let deadline = self.settings.classes[request.class.0].deadline;
@@ -68,28 +70,28 @@
         let (usual, time_left) = (stats.usual_time_left, request.time_left);
         let is_usual =
             time_left.saturating_sub(usual) <= tolerance && usual.saturating_sub(time_left) <= tolerance;
-        let is_first = is_usual || stats.usual_votes == 0 || request.streaming;
-        match stats.usual_votes {
+        let is_first = is_usual || stats.usual_time_left_votes == 0 || request.streaming;
+        match stats.usual_time_left_votes {
             _ if request.streaming => {}
-            0 => (stats.usual_time_left, stats.usual_votes) = (time_left, 1),
-            votes if is_first => stats.usual_votes = (votes + 1).min(MAX_VOTES),
-            _ => stats.usual_votes -= 1,
+            0 => (stats.usual_time_left, stats.usual_time_left_votes) = (time_left, 1),
+            votes if is_first => stats.usual_time_left_votes = (votes + 1).min(MAX_TIME_LEFT_VOTES),
+            _ => stats.usual_time_left_votes -= 1,
         }
         if is_first {
             return Micros::ZERO;
         }
-        let follows_an_ending = stats.retriable_endings.at(now) >= MIN_RETRIABLE_ENDINGS;
-        if follows_an_ending {
-            stats.retriable_endings.add(now, deadline.ms(), -1.0);
+        let is_retry_awaited = stats.awaited_client_retries.value_at(now) >= MIN_AWAITED_CLIENT_RETRIES;
+        if is_retry_awaited {
+            stats.awaited_client_retries.add(now, deadline.ms(), -1.0);
         }
-        if request.is_retry || follows_an_ending {
+        if request.is_retry || is_retry_awaited {
             deadline.saturating_sub(time_left)
         } else {
             Micros::ZERO
         }
     }
 
-    /// The body of a streaming request is complete: its servers can process it now, and its deadline runs.
+    /// Handles the end of a streaming request's body: its servers can process it from now on, and its deadline starts.
     pub(super) fn on_body_complete(&mut self, now: Time, id: RequestId, time_left: Micros) {
         let Some(pending) = self.requests.get_mut(&id).filter(|pending| pending.request.streaming) else {
             return;
@@ -116,15 +118,16 @@
 
     pub(super) fn on_first_byte(&mut self, id: RequestId, attempt: AttemptNo) {
         if let Some(pending) = self.requests.get_mut(&id) {
-            pending.is_bound = (attempt.0 as usize) < pending.attempts.len();
+            pending.has_response_started = (attempt.0 as usize) < pending.attempts.len();
         }
     }
 
-    /// Admits a part of the requests at random while the fleet is congested, protected classes first. Limits per server
-    /// have no effect for a sparse balancer, which sends each of them one request in many seconds.
+    /// Decides at random whether to admit a request while the fleet is congested; protected classes take precedence. A
+    /// sparse balancer needs this because it sends each server only one request in many seconds, so that concurrency limits
+    /// per server have no effect.
     fn admits(&mut self, now: Time, class: usize) -> bool {
-        let admitted = if self.sparse { self.admitted_fraction(now) } else { 1.0 };
-        let admitted = admitted.min(self.slow_start.admitted);
+        let admitted = if self.is_sparse { self.admitted_fraction(now) } else { 1.0 };
+        let admitted = admitted.min(self.slow_start.admitted_fraction);
         if admitted >= 1.0 {
             return true;
         }
@@ -143,9 +146,9 @@
         self.rng.f64() < probability.max(MIN_ADMITTED)
     }
 
-    /// Whether all serving servers are unreachable and the next attempt is not due yet; if it is due, it is used up.
+    /// Whether all serving servers are considered unreachable and no attempt is due. A due attempt is consumed by this call.
     fn all_zones_unreachable(&mut self, now: Time) -> bool {
-        if !self.sparse || self.zones.values().all(|zone| zone.unreachable_until <= now) {
+        if !self.is_sparse || self.zones.values().all(|zone| zone.unreachable_until <= now) {
             return false;
         }
         if self.serving.iter().any(|&server| !self.is_unreachable(&self.servers[server], now)) {
@@ -158,7 +161,7 @@
         false
     }
 
-    /// Whether the response to a request sent now would come too late to be of value.
+    /// Whether even a fast response to a request sent now would arrive too late to earn any weight.
     pub(super) fn is_too_late(&self, now: Time, pending: &PendingRequest) -> bool {
         let index = pending.request.class.0;
         let class = &self.settings.classes[index];
--- a/crates/balancer/src/decisions/dispatch.rs
+++ b/crates/balancer/src/decisions/dispatch.rs
@@ -1,16 +1,17 @@
-//! Sends attempts to the selected server.
+//! Sends attempts to the selected server and records them.
 
 use super::selection::Selection;
 use super::tuning::*;
 use crate::api::*;
 use crate::state::*;
 
-/// The longest pause of the process between reading the clock and writing to the connection that is allowed for.
+/// Longest stall of the process, between reading the clock and writing to the connection, that the drain grace period must
+/// cover.
 const MAX_STALL: Micros = Micros(150_000);
-/// Time constant of the work sent, as a fraction of the time that a server in slow start withstands overload.
-const SENT_WORK_WINDOW: f64 = 0.5;
+/// Time constant of the sums of sent work, as a fraction of [`Settings::overload_tolerance`].
+const SENT_WORK_TIME_CONSTANT: f64 = 0.5;
 
-/// Attempts in flight by the number of their concurrency limit.
+/// Number of attempts in flight under each concurrency limit, indexed by the limit's id.
 #[derive(Default)]
 pub(crate) struct ConcurrencyUsage(Vec<u32>);
 
@@ -53,7 +54,7 @@
         let attempt = AttemptNo(pending.attempts.len() as u32);
         self.concurrency.acquire(pending.request.limits());
         if let (false, Some(delay)) = (selection.is_hedge, pending.request.hedge_after) {
-            self.hedges.insert((now + delay, id));
+            self.hedge_schedule.insert((now + delay, id));
             actions.push(Action::SetTimer { at: now + delay, timer: HEDGE_TIMER });
         }
         self.record_sent_work(now, server, selection.work_ms);
@@ -67,8 +68,8 @@
         });
     }
 
-    /// The latest time for the first byte of an attempt: within the connect timeout, the drain grace period and the
-    /// deduplication window of an earlier attempt.
+    /// Latest time for writing the first byte of an attempt. It lies within the connect timeout, the drain grace period and
+    /// the dedup window that the first attempt that may have run has opened.
     fn write_deadline(&self, now: Time, pending: &PendingRequest, timeout_at: Time) -> Time {
         let time_to_objective = pending.objective_deadline.since(now);
         let connect_timeout = (time_to_objective * CONNECT_TIMEOUT_FRACTION).max(MIN_CONNECT_TIMEOUT);
@@ -80,22 +81,22 @@
         }
     }
 
-    /// How long after its decision an attempt may start. The drain grace period covers both a drain just after the
-    /// decision and a stall of the process before the write.
+    /// Maximum delay between the decision to send an attempt and its first byte. The server may start draining right after
+    /// the decision and the process may stall before the write; the drain grace period must cover both.
     fn max_start_delay(&self) -> Micros {
         let grace = self.settings.drain_grace_period;
         grace.saturating_sub(MAX_STALL).max(MIN_CONNECT_TIMEOUT.min(grace))
     }
 
     fn record_sent_work(&mut self, now: Time, server: usize, work_ms: f64) {
-        let is_warm = self.warmth(&self.servers[server], now) >= 1.0;
-        let window_ms = SENT_WORK_WINDOW * self.settings.overload_tolerance.ms();
+        let is_warm = self.guaranteed_capacity(&self.servers[server], now) >= 1.0;
+        let time_constant_ms = SENT_WORK_TIME_CONSTANT * self.settings.overload_tolerance.ms();
         let server = &mut self.servers[server];
         server.sends_since_report += 1;
         if is_warm {
-            self.slow_start.record_warm_work(now, window_ms, work_ms);
+            self.slow_start.record_warm_work(now, time_constant_ms, work_ms);
         } else {
-            server.slow_start_work.add(now, window_ms, work_ms);
+            server.slow_start_work.add(now, time_constant_ms, work_ms);
         }
     }
 
--- a/crates/balancer/src/decisions/ejection.rs
+++ b/crates/balancer/src/decisions/ejection.rs
@@ -1,21 +1,22 @@
-//! Ejection of outliers and their trials; deprioritized servers and unreachable zones at sparse balancers.
+//! Ejection of outliers and the trials that end it. A sparse balancer deprioritizes outliers instead and marks zones as
+//! unreachable.
 
 use super::tuning::*;
 use crate::api::*;
 use crate::state::*;
 
-/// At most this fraction of the serving servers is ejected; beyond it the fault is not the servers'.
+/// Maximum fraction of the serving servers that is ejected. If more servers are outliers, the cause is not the servers.
 const MAX_EJECTED: f64 = 0.75;
-/// All balancers together try a deprioritized server or an unreachable zone once in this time.
+/// Intended interval between two tries of a deprioritized server or an unreachable zone, over all balancers together.
 const FLEET_TRIAL_INTERVAL: Micros = Micros(5_000);
-/// The range of the jitter factor of how long a server stays deprioritized or a zone unreachable.
-const JITTER: (f64, f64) = (0.75, 1.25);
-/// A request that is not idempotent may be a trial only this many backoffs after the trial was due.
+/// Range of the jitter factor on the time for which a server is deprioritized or a zone considered unreachable.
+const DURATION_JITTER: (f64, f64) = (0.75, 1.25);
+/// A non-idempotent request may be used as a trial only this many backoffs after the trial was due.
 const NON_IDEMPOTENT_DELAY: f64 = 2.0;
 
 impl Ejection {
-    /// Whether a request may be sent as a trial. Idempotent ones come first; others follow if there was none, or a service
-    /// without idempotent classes would never use the server again.
+    /// Whether a request may be sent as a trial. Idempotent requests are preferred. Others are used after a delay, because
+    /// otherwise a service without idempotent classes would never use the server again.
     pub(super) fn is_trial_due(&self, now: Time, is_idempotent: bool) -> bool {
         let delay = if is_idempotent { Micros::ZERO } else { self.backoff * NON_IDEMPOTENT_DELAY };
         !self.trial_in_flight && now >= self.next_trial + delay
@@ -30,16 +31,16 @@
 }
 
 impl Balancer {
-    /// Ejects an outlier; a sparse balancer deprioritizes it instead. `reason` is for the log line.
+    /// Ejects an outlier, or deprioritizes it at a sparse balancer. `reason` appears in the log line.
     pub(super) fn on_outlier(&mut self, now: Time, server: usize, reason: &str, actions: &mut Vec<Action>) {
-        if self.sparse {
+        if self.is_sparse {
             self.deprioritize(now, server, actions);
         } else {
             self.eject(now, server, reason, actions);
         }
     }
 
-    /// Ejects a server, unless too many are ejected already.
+    /// Ejects a server unless [`MAX_EJECTED`] would be exceeded.
     fn eject(&mut self, now: Time, index: usize, reason: &str, actions: &mut Vec<Action>) {
         let is_ejected = |index: &&usize| self.servers[**index].ejection.is_some();
         let ejected = self.serving.iter().filter(is_ejected).count();
@@ -57,12 +58,14 @@
         let (id, latency) = (server.endpoint.server.0, server.latency);
         let median = self.median_latency;
         actions.push(Action::Log {
-            text: format!("server {id} {reason}: pace {latency:.2} of median {median:.2}"),
+            text: format!(
+                "server {id} ejected as {reason}: latency {latency:.2} of objective, median {median:.2}"
+            ),
         });
     }
 
-    /// Deprioritizes a server and sends hints to some peers, each of which would otherwise lose a request of its own to find
-    /// out. A sparse balancer sends a server too few requests for trials: those of all balancers would be a load of their own.
+    /// Deprioritizes a server and sends hints to some peers, each of which would otherwise lose a request of its own at that
+    /// server. Sparse balancers use no trials: the trials of all balancers together would be a considerable load.
     fn deprioritize(&mut self, now: Time, index: usize, actions: &mut Vec<Action>) {
         let duration = self.jittered_duration(OWN_EVIDENCE_TTL);
         let server = &mut self.servers[index];
@@ -78,8 +81,8 @@
         }
     }
 
-    /// Considers a zone unreachable for a while. Its idle connections may be dead and are closed: the next attempt there needs
-    /// a new connection, and if that fails there is time for a retry.
+    /// Marks a zone as unreachable for some time and closes the idle connections to its servers, which may be dead. The next
+    /// attempt in the zone then opens a new connection, which fails early enough for a retry.
     pub(super) fn mark_zone_unreachable(&mut self, now: Time, zone: ZoneId, actions: &mut Vec<Action>) {
         let duration = self.jittered_duration(HINT_TTL);
         self.zones.entry(zone).or_default().unreachable_until = now + duration;
@@ -90,10 +93,11 @@
         self.remembered.retain(|&remembered| servers[remembered].endpoint.zone != zone);
     }
 
-    /// `min`, or longer where the trials of many balancers would come too often, with jitter against synchronisation.
+    /// Returns `min`, extended where many balancers would otherwise exceed [`FLEET_TRIAL_INTERVAL`]. Jitter keeps the
+    /// balancers from synchronising.
     fn jittered_duration(&mut self, min: Micros) -> Micros {
         let fleet = Micros(FLEET_TRIAL_INTERVAL.0 * u64::from(self.settings.balancers));
-        let (min_jitter, max_jitter) = JITTER;
+        let (min_jitter, max_jitter) = DURATION_JITTER;
         min.max(fleet) * (min_jitter + (max_jitter - min_jitter) * self.rng.f64())
     }
 }
--- a/crates/balancer/src/decisions/endpoints.rs
+++ b/crates/balancer/src/decisions/endpoints.rs
@@ -1,12 +1,12 @@
-//! Updates of the endpoint list.
+//! Applies updates of the endpoint list and schedules the retry of a failed watch.
 
 use super::tuning::*;
 use crate::api::*;
 use crate::state::*;
 
-/// The minimum of the jitter factor of the watch's backoff; the maximum is 1.
+/// Lower bound of the jitter factor on the watch's backoff; the upper bound is 1.
 const MIN_JITTER: f64 = 0.5;
-/// The maximum backoff of the watch, as a fraction of the poll interval.
+/// Maximum backoff of the watch, as a fraction of the poll interval.
 const MAX_BACKOFF_FRACTION: f64 = 0.5;
 
 impl Balancer {
@@ -32,7 +32,7 @@
         for endpoint in endpoints {
             self.apply_endpoint(now, endpoint);
         }
-        self.forget_removed_servers(now);
+        self.discard_removed_servers(now);
         self.update_serving();
         self.update_slow_start(now);
         self.drain_queue(now, actions);
@@ -49,14 +49,14 @@
     }
 
     fn apply_endpoint(&mut self, now: Time, endpoint: Endpoint) {
-        let Some(&slot) = self.index.get(&endpoint.server) else {
+        let Some(&slot) = self.slots.get(&endpoint.server) else {
             return self.add_server(Server::new(endpoint, INITIAL_LIMIT, now));
         };
         let server = &mut self.servers[slot];
         let has_restarted =
             endpoint.started_at.is_some() && endpoint.started_at != server.endpoint.started_at;
         if has_restarted {
-            // A new process: nothing that was learned of the old one applies, and it is in slow start.
+            // The statistics of the previous process do not apply to the new one, which is in slow start.
             let (in_flight, last_response) = (server.in_flight, server.last_response);
             *server = Server { in_flight, last_response, ..Server::new(endpoint, INITIAL_LIMIT, now) };
         } else {
@@ -70,6 +70,6 @@
         self.remembered.retain(|&slot| is_serving(slot));
         self.serving = serving;
         self.max_serving = self.max_serving.max(self.serving.len());
-        self.sparse = self.settings.balancers as usize > self.max_serving;
+        self.is_sparse = self.settings.balancers as usize > self.max_serving;
     }
 }
--- a/crates/balancer/src/decisions/hedging.rs
+++ b/crates/balancer/src/decisions/hedging.rs
@@ -2,15 +2,15 @@
 
 use super::*;
 
-/// Requests are hedged only while the limit scale and the admitted fraction are at least this.
+/// Minimum of the limit scale and of the admitted fraction for requests to be hedged.
 const MIN_CAPACITY: f64 = 0.9;
 
 impl Balancer {
-    /// Sends the hedged requests that are due. They are the first to stop when capacity is short: while requests are
-    /// queued or responses are slow, a hedged request adds to the congestion.
+    /// Sends the hedged requests that are due. None is sent while requests are queued or responses are slow, since a hedged
+    /// request would add to the congestion.
     pub(super) fn send_hedges(&mut self, now: Time, actions: &mut Vec<Action>) {
-        while let Some(&(at, id)) = self.hedges.first().filter(|(at, _)| *at <= now) {
-            self.hedges.remove(&(at, id));
+        while let Some(&(at, id)) = self.hedge_schedule.first().filter(|(at, _)| *at <= now) {
+            self.hedge_schedule.remove(&(at, id));
             self.send_hedge(now, id, actions);
         }
     }
--- a/crates/balancer/src/decisions/mod.rs
+++ b/crates/balancer/src/decisions/mod.rs
@@ -1,18 +1,19 @@
 //! All decisions of the balancer; its interface (settings, events, actions) is in `src/api/`, its state in `src/state/`.
 //!
-//! In the order of a request's lifecycle: `admission` admits, queues or sheds it, `selection` chooses a server, `dispatch`
-//! sends it, `retry_safety` limits what may still be done with it, `outcomes` retries it or gives its final response, and
-//! `server_health` learns from the attempt. `timers` runs the periodic checks.
+//! In the order of a request's lifecycle: `admission` sends, queues or sheds it, `selection` chooses a server, `dispatch`
+//! sends an attempt, `outcomes` retries the request or gives its final response, and `server_health` updates the
+//! statistics after each attempt. `retry_safety` decides which sends and responses can't make a request run twice;
+//! `timers` runs the periodic work.
 
 mod admission;
 mod dispatch;
 mod ejection;
 mod endpoints;
 mod fleet_load;
+mod health_checks;
 mod hedging;
 mod outcomes;
 mod overdue;
-mod probes;
 mod protection;
 mod queue;
 mod reports;
@@ -35,27 +36,27 @@
 pub(crate) use slow_start::SlowStart;
 pub(crate) use traffic::Traffic;
 
-/// How an attempt ended.
+/// The result of a finished attempt.
 struct AttemptResult {
     outcome: Outcome,
     elapsed: Micros,
     report: Option<Vec<f64>>,
-    /// The request has its final response.
+    /// True if the request has its final response.
     is_final: bool,
 }
 
 impl Balancer {
-    /// A balancer with these settings; equal settings, seeds and events yield equal actions.
+    /// Creates a balancer. Equal settings, seeds and events yield equal actions.
     ///
     /// # Errors
     ///
-    /// Invalid settings.
+    /// The settings are invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        Ok(Balancer::empty(settings, seed, HINT_BUDGET_MAX))
+        Ok(Balancer::without_endpoints(settings, seed, HINT_BUDGET_MAX))
     }
 
-    /// Starts the timers and the watch; to be called once, before the first event.
+    /// Starts the periodic tick and the watch. Must be called once, before the first event.
     pub fn start(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.settings.discovery == Discovery::OnRequest {
             actions.push(Action::Watch { active: true });
@@ -90,7 +91,7 @@
     fn on_timer(&mut self, now: Time, timer: TimerId, actions: &mut Vec<Action>) {
         match timer {
             TICK_TIMER => self.on_tick(now, actions),
-            PROBE_TIMER => self.select_probed(now, actions),
+            HEALTH_CHECK_TIMER => self.select_checked(now, actions),
             HEDGE_TIMER => self.send_hedges(now, actions),
             _ => {}
         }
--- a/crates/balancer/src/decisions/outcomes.rs
+++ b/crates/balancer/src/decisions/outcomes.rs
@@ -1,13 +1,14 @@
-//! What follows a finished attempt: a retry or the final response.
+//! Handles finished attempts: the request is retried or gets its final response.
 
 use super::*;
 
-/// The Retry-After of a rejected request, as a fraction of its latency objective: with time left for a response in it.
+/// Retry-After of a shed request, as a fraction of the latency objective. It leaves time for a response to the client's
+/// retry within the objective.
 const RETRY_AFTER_FRACTION: f64 = 0.25;
-/// The cost of open connections and of handshakes where the service gives none; see [`Costs`].
+/// Cost of open connections and of handshakes if the settings give neither; see [`Costs`].
 const DEFAULT_CONNECTION_COST: f64 = 0.03;
-/// How long an idle connection stays open, in seconds.
-const IDLE_CONNECTION_S: f64 = 10.0;
+/// Time that an idle connection stays open, in seconds.
+const IDLE_CONNECTION_LIFETIME_S: f64 = 10.0;
 
 impl Balancer {
     pub(super) fn on_attempt_finished(
@@ -25,7 +26,7 @@
         if let Some(report) = result.report {
             self.on_load_report(now, attempt.server, &report);
         }
-        self.learn(now, &attempt, result.outcome, result.elapsed, actions);
+        self.record_attempt_result(now, &attempt, result.outcome, result.elapsed, actions);
         self.close_idle_connections(attempt.server, actions);
         if result.is_final {
             self.on_final_response(key, actions);
@@ -35,7 +36,7 @@
         self.drain_queue(now, actions);
     }
 
-    /// Cancels the other attempts of a request that has its final response.
+    /// Removes a request that has its final response and cancels its other attempts.
     fn on_final_response(&mut self, key: AttemptKey, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.remove(&key.request) else { return };
         if !self.settings.cancel {
@@ -48,17 +49,17 @@
         }
     }
 
-    /// Closes the idle connections of a sparse balancer, except those to the remembered server. Random draws reach the entire
-    /// fleet: idle connections would grow to balancers times servers and exhaust the servers' limits.
+    /// Closes a sparse balancer's idle connections to a server other than the remembered one. Random draws reach the entire
+    /// fleet, so that without this the idle connections would number balancers times servers and exhaust the servers' limits.
     fn close_idle_connections(&self, server: usize, actions: &mut Vec<Action>) {
         let is_idle = self.servers[server].in_flight == 0;
         let is_remembered = self.remembered.contains(&server);
-        if is_idle && self.sparse && !is_remembered && !self.keeps_idle_connections() {
+        if is_idle && self.is_sparse && !is_remembered && !self.keeps_idle_connections() {
             actions.push(Action::CloseIdle { server: self.servers[server].endpoint.server });
         }
     }
 
-    /// Whether an open connection to each server costs less than the handshakes that it saves.
+    /// Whether keeping a connection to each server open costs less than the handshakes that it saves.
     fn keeps_idle_connections(&self) -> bool {
         let costs = &self.settings.costs;
         let (open, handshake) = if costs.connection + costs.handshake > 0.0 {
@@ -67,12 +68,12 @@
             (DEFAULT_CONNECTION_COST, DEFAULT_CONNECTION_COST)
         };
         let requests_while_idle =
-            self.traffic.requests_per_s() * IDLE_CONNECTION_S / self.serving.len().max(1) as f64;
+            self.traffic.requests_per_s() * IDLE_CONNECTION_LIFETIME_S / self.serving.len().max(1) as f64;
         let reuse_probability = 1.0 - (-requests_while_idle).exp();
         open * f64::from(self.settings.balancers) / 100.0 < handshake * reuse_probability
     }
 
-    /// Retries a request or ends it, unless another attempt is in flight.
+    /// Retries a request or gives its final response, unless another attempt of it is in flight.
     fn on_attempt_failed(&mut self, now: Time, key: AttemptKey, outcome: Outcome, actions: &mut Vec<Action>) {
         let id = key.request;
         let Some(pending) = self.requests.get_mut(&id) else { return };
@@ -89,7 +90,7 @@
             && self.allowed_actions(now, pending).send != SendScope::Nowhere
             && !self.is_too_late(now, pending);
         if !can_retry {
-            return self.finish(now, id, actions);
+            return self.give_final_response(now, id, actions);
         }
         self.retry_balances.charge(&limits, never_ran);
         if !self.try_send(now, id, actions) {
@@ -97,13 +98,13 @@
         }
     }
 
-    /// Gives the final response: a rejection if it is certain that the request did not run, else a failure.
-    pub(super) fn finish(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
+    /// Gives the final response to a request: it is shed if it can be retried safely, otherwise it fails.
+    pub(super) fn give_final_response(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.remove(&id) else { return };
         let class = pending.request.class.0;
         if !pending.is_client_retry {
             let deadline_ms = self.settings.classes[class].deadline.ms();
-            self.classes[class].retriable_endings.add(now, deadline_ms, 1.0);
+            self.classes[class].awaited_client_retries.add(now, deadline_ms, 1.0);
         }
         if !self.allowed_actions(now, &pending).reject {
             actions.push(Action::Fail { request: id });
--- a/crates/balancer/src/decisions/overdue.rs
+++ b/crates/balancer/src/decisions/overdue.rs
@@ -1,21 +1,22 @@
-//! Attempts that are overdue: silent servers, unreachable zones, and late responses that are counted before they arrive.
+//! Detects overdue attempts and the silent servers and unreachable zones that cause them, and counts late responses before
+//! they arrive.
 
 use super::tuning::*;
 use super::*;
 use std::collections::BTreeMap;
 
-/// An attempt is overdue at this multiple of the usual latency of its class ...
+/// An attempt is overdue after this multiple of the usual latency of its class, subject to the minimum below.
 const OVERDUE_MULTIPLE: f64 = 4.0;
-/// ... but not before this fraction of its objective ...
+/// Minimum time until an attempt is overdue, as a fraction of its latency objective.
 const MIN_OVERDUE: f64 = 0.6;
-/// ... or this one if it is the only one at its server, where it may be an expensive request.
+/// The same minimum for an attempt that is the only one at its server: its request may simply be expensive.
 const MIN_OVERDUE_ALONE: f64 = 1.0;
-/// Overdue attempts in a zone, without any response from there since they were sent, that make it unreachable.
+/// Number of overdue attempts that make a zone unreachable if no server of the zone has responded since they were sent.
 const UNREACHABLE_ZONE_ATTEMPTS: usize = 3;
-/// In a zone without responses, an attempt is overdue at this multiple of the usual latency of its class.
+/// Multiple of the usual latency of its class after which an attempt in a zone without responses is overdue.
 const UNREACHABLE_ZONE_MULTIPLE: f64 = 2.0;
 
-/// An overdue attempt; ordered by its key.
+/// An overdue attempt, ordered by its key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct OverdueAttempt {
     key: AttemptKey,
@@ -23,10 +24,10 @@
 }
 
 impl Balancer {
-    /// Ejects or deprioritizes servers that are silent, and cancels the overdue attempts that may be retried elsewhere.
-    pub(super) fn find_overdue(&mut self, now: Time, actions: &mut Vec<Action>) {
+    /// Ejects or deprioritizes silent servers and cancels the overdue attempts that may be retried elsewhere.
+    pub(super) fn handle_overdue_attempts(&mut self, now: Time, actions: &mut Vec<Action>) {
         let mut overdue = self.attempts_at_unresponsive_servers(now);
-        if self.sparse {
+        if self.is_sparse {
             overdue.extend(self.attempts_in_unreachable_zones(now, actions));
             overdue.sort_unstable();
             overdue.dedup();
@@ -34,7 +35,7 @@
         }
         for attempt in overdue {
             self.on_outlier(now, attempt.server, "silent", actions);
-            if self.sparse {
+            if self.is_sparse {
                 let server = self.servers[attempt.server].endpoint.server;
                 actions.push(Action::CloseIdle { server });
             }
@@ -45,7 +46,7 @@
         }
     }
 
-    /// The overdue attempts at servers that have not responded since.
+    /// The overdue attempts whose servers have not responded since the attempt was sent.
     fn attempts_at_unresponsive_servers(&self, now: Time) -> Vec<OverdueAttempt> {
         let is_unresponsive = |attempt: &InFlightAttempt| {
             self.servers[attempt.server].last_response < attempt.sent_at && !attempt.is_streaming
@@ -68,8 +69,8 @@
         objective * (OVERDUE_MULTIPLE * usual).max(min)
     }
 
-    /// The attempts in zones that are found to be unreachable here: several are overdue there, and no server of the zone has
-    /// responded since they were sent.
+    /// Marks the zones that have become unreachable and returns the overdue attempts there. A zone is unreachable if several
+    /// attempts are overdue and none of its servers has responded since they were sent.
     fn attempts_in_unreachable_zones(&mut self, now: Time, actions: &mut Vec<Action>) -> Vec<OverdueAttempt> {
         let mut by_zone: BTreeMap<ZoneId, Vec<OverdueAttempt>> = BTreeMap::new();
         for (&key, attempt) in self.in_flight.iter().filter(|(_, attempt)| !attempt.is_streaming) {
@@ -93,8 +94,8 @@
         self.servers[attempt.server].reachability(&self.zones).responded_since(attempt.sent_at)
     }
 
-    /// Counts attempts past their objective as late before their response: waiting for it would prolong congestion. In a zone
-    /// without responses they are no sign of congestion.
+    /// Counts attempts past their objective as late before their response arrives, because waiting for it would prolong
+    /// congestion. Attempts in a zone without responses are not counted: they are no sign of congestion.
     fn count_late_attempts(&mut self, now: Time) {
         let is_late = |attempt: &InFlightAttempt| {
             !attempt.counted_as_late
@@ -112,7 +113,8 @@
         }
     }
 
-    /// Whether an attempt may be cancelled for a retry, which must be permitted, affordable and in time.
+    /// Whether an attempt should be cancelled in favour of a retry: the retry must be safe, within the limits and the retry
+    /// budgets, and early enough.
     fn should_cancel(&self, now: Time, key: AttemptKey) -> bool {
         let Some(pending) = self.requests.get(&key.request) else { return false };
         let class = &self.settings.classes[pending.request.class.0];
--- a/crates/balancer/src/decisions/queue.rs
+++ b/crates/balancer/src/decisions/queue.rs
@@ -1,37 +1,39 @@
-//! The queue of requests that no server can take at present.
+//! The queue of requests for which no server is available.
 
 use super::tuning::*;
 use crate::api::*;
 use crate::state::*;
 
-/// Maximum length of the queue.
+/// Maximum number of queued requests.
 const MAX_QUEUED: usize = 500;
-/// A queued request is given up when less than this multiple of its class's recent latency is left ...
+/// A queued request gets its final response when the time left to its objective falls below this multiple of the recent
+/// latency of its class, subject to the upper bound below.
 const LATENCY_MARGIN: f64 = 2.0;
-/// ... or this fraction of its objective, if that is less.
+/// Upper bound of that time, as a fraction of the latency objective.
 const MAX_LATENCY_MARGIN: f64 = 0.7;
 
 impl Balancer {
-    /// Queues a request, or ends it if the queue or that of one of its concurrency limits is full.
+    /// Queues a request. If the queue is full, or one of its concurrency limits has its maximum number of queued requests,
+    /// the request gets its final response instead.
     pub(super) fn enqueue(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
         let limits = &pending.request.limits().concurrency_limits;
         let is_full = |limit: &ConcurrencyLimit| self.queued_under(limit) >= limit.max_queued as usize;
         if self.queue.len() >= MAX_QUEUED || limits.iter().any(is_full) {
-            self.finish(now, id, actions);
+            self.give_final_response(now, id, actions);
             return;
         }
         self.queue.insert(0, id);
         if let Some(pending) = self.requests.get_mut(&id) {
             pending.queued_since.get_or_insert(now);
         }
-        // A pending tick is never postponed: with requests that arrive at each tick it would never fire.
+        // A pending tick is never postponed, or it would never fire while requests keep arriving just before it.
         if self.next_tick > now + BUSY_TICK_INTERVAL {
             self.set_tick(now, BUSY_TICK_INTERVAL, actions);
         }
     }
 
-    /// The number of queued requests that share a concurrency limit.
+    /// The number of queued requests under a concurrency limit.
     fn queued_under(&self, limit: &ConcurrencyLimit) -> usize {
         let shares = |pending: &PendingRequest| {
             pending.request.limits().concurrency_limits.iter().any(|other| other.id == limit.id)
@@ -39,8 +41,8 @@
         self.queue.iter().filter(|id| self.requests.get(id).is_some_and(shares)).count()
     }
 
-    /// Sends the queued requests that can be sent, newest first, and ends those that can no longer be answered in time.
-    /// In FIFO order each request would wait until it is nearly too late, and then be late.
+    /// Sends the queued requests that can be sent, newest first, and gives the final response to those that can't get a
+    /// response in time. In FIFO order each request would wait until it is nearly too late, and then be late.
     pub(super) fn drain_queue(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.queue.is_empty() {
             return;
@@ -54,7 +56,7 @@
         queue.retain(|&id| {
             let Some(pending) = self.requests.get(&id) else { return false };
             if self.has_waited_too_long(now, pending) {
-                self.finish(now, id, actions);
+                self.give_final_response(now, id, actions);
                 return false;
             }
             !self.try_send(now, id, actions)
--- a/crates/balancer/src/decisions/reports.rs
+++ b/crates/balancer/src/decisions/reports.rs
@@ -1,20 +1,21 @@
-//! Load reports of servers and hints of peers.
+//! Handles load reports from servers and hints from peers.
 
 use super::tuning::*;
 use crate::api::*;
 use crate::state::*;
 
-/// How long a server stays deprioritized after a hint that only one peer has sent.
+/// Time for which a hint that only one peer has sent deprioritizes a server.
 const UNCONFIRMED_HINT_TTL: Micros = Micros(2_000_000);
-/// Hints about a server are ignored for this long after it has ended its deprioritization by a good response.
+/// Time for which hints about a server are ignored after a good response has ended its deprioritization.
 const RECOVERY_GRACE: Micros = Micros(1_000_000);
-/// Reported loads from this value on are invalid.
+/// Reported loads of this value or more are invalid.
 const MAX_REPORTED_LOAD: f64 = 1e4;
 
 impl Balancer {
-    /// A hint deprioritizes a known server for a few seconds and has no other effect, so that old, lost or false hints are
-    /// harmless. The payload is a server's number in big-endian order, followed by [`UNCONFIRMED_HINT`] or nothing; any
-    /// other payload is ignored. Own evidence takes precedence: a server that has just responded well is not deprioritized.
+    /// Applies a hint from a peer. It deprioritizes a known server for a few seconds and has no other effect, so that old,
+    /// lost or false hints do no harm. The payload is the server's id in big-endian order, followed by [`UNCONFIRMED_HINT`]
+    /// or nothing; any other payload is ignored. Own evidence takes precedence: a server that has just responded well is not
+    /// deprioritized.
     pub(super) fn on_peer_hint(&mut self, now: Time, payload: &[u8]) {
         let Some((id, marker)) = payload.split_first_chunk() else { return };
         let ttl = match marker {
@@ -22,7 +23,7 @@
             [UNCONFIRMED_HINT] => UNCONFIRMED_HINT_TTL,
             _ => return,
         };
-        let Some(&server) = self.index.get(&ServerId(u32::from_be_bytes(*id))) else { return };
+        let Some(&server) = self.slots.get(&ServerId(u32::from_be_bytes(*id))) else { return };
         let server = &mut self.servers[server];
         // Only a good response sets `deprioritized_until` to a time that has passed.
         let since_recovery = now.since(server.deprioritized_until);
@@ -33,8 +34,8 @@
         self.remembered.retain(|&remembered| self.servers[remembered].deprioritized_until <= now);
     }
 
-    /// Takes the server's load from a report; a load that is negative, NaN or too high is ignored, or a server with a broken
-    /// report would look idle.
+    /// Stores the server's load from a report. A load that is negative, NaN or too high is ignored, since a server with
+    /// invalid reports would otherwise look idle.
     pub(super) fn on_load_report(&mut self, now: Time, server: usize, report: &Report) {
         let position = |field| self.settings.report_fields.iter().position(|reported| *reported == field);
         let position = position(LoadReportField::InFlight).or_else(|| position(LoadReportField::Queue));
--- a/crates/balancer/src/decisions/retry_budget.rs
+++ b/crates/balancer/src/decisions/retry_budget.rs
@@ -1,19 +1,19 @@
-//! Retry budgets, which retries and hedged requests are charged to.
+//! Balances of the retry budgets that retries and hedged requests are charged to.
 
 use crate::api::*;
 
-/// Retries that each request earns where a route has no budget of its own.
+/// Retries that each request adds to the default budget.
 const DEFAULT_RATIO: f64 = 0.1;
 /// Maximum balance of the default budget, in retries.
 const DEFAULT_BURST: f64 = 10.0;
-/// The budget of requests whose route has none.
+/// Budget of requests whose route has none.
 const DEFAULT_BUDGET: RetryBudget =
     RetryBudget { id: 0, ratio: DEFAULT_RATIO, burst: DEFAULT_BURST, strict: false };
-/// Maximum balance at a sparse balancer: many balancers with a full burst each would spend it in the same incident.
+/// Maximum balance at a sparse balancer, because many balancers would each spend a full burst in the same incident.
 const MAX_SPARSE_BURST: f64 = 1.0;
 
 impl Limits {
-    /// No limits beyond those of the settings, with the default retry budget that all requests share.
+    /// No limits beyond those of the settings. Retries are charged to the default budget, which all such requests share.
     pub const STANDARD: Limits = Limits {
         timeout: Micros(u64::MAX),
         attempt_timeout: Micros(u64::MAX),
@@ -35,12 +35,12 @@
     }
 }
 
-/// Balances of the retry budgets, in retries, by the number of the budget; `None` stands for the full burst.
+/// Balances of the retry budgets, in retries, indexed by the budget's id; `None` stands for the full burst.
 #[derive(Default)]
 pub(crate) struct RetryBalances(Vec<Option<f64>>);
 
 impl RetryBalances {
-    /// Adds what one request earns.
+    /// Adds what one request earns to each of its budgets.
     pub(super) fn deposit(&mut self, limits: &Limits, is_sparse: bool) {
         for budget in budgets(limits).iter().chain(&limits.hedge_budgets) {
             let burst = if is_sparse { budget.burst.min(MAX_SPARSE_BURST) } else { budget.burst };
@@ -59,7 +59,7 @@
         self.0[slot] = Some(balance);
     }
 
-    /// Whether the budgets allow a retry. After an attempt that never ran, only strict budgets are charged.
+    /// Whether the budgets allow a retry. Only strict budgets are charged for a retry after an attempt that never ran.
     pub(super) fn can_afford(&self, limits: &Limits, never_ran: bool) -> bool {
         budgets(limits).iter().all(|budget| (never_ran && !budget.strict) || self.balance(budget) >= 1.0)
     }
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Whether the budgets of retries and of hedged requests allow a hedged request.
+    /// Whether both the retry budgets and the hedge budgets allow a hedged request.
     pub(super) fn can_afford_hedge(&self, limits: &Limits) -> bool {
         self.can_afford(limits, false)
             && limits.hedge_budgets.iter().all(|budget| self.balance(budget) >= 1.0)
--- a/crates/balancer/src/decisions/retry_safety.rs
+++ b/crates/balancer/src/decisions/retry_safety.rs
@@ -1,10 +1,10 @@
-//! What may still be done with a request, given its retry safety and what its attempts may have done.
+//! Decides which sends and which final responses are still safe for a request, given its retry safety and its attempts.
 
 use crate::api::*;
 use crate::state::*;
 
 impl Balancer {
-    /// Which sends and which final responses can't make a request run twice. This is the only place that decides it.
+    /// The sends and final responses that can't make a request run twice. No other code decides this.
     pub(super) fn allowed_actions(&self, now: Time, pending: &PendingRequest) -> AllowedActions {
         let retry_safety = self.settings.classes[pending.request.class.0].retry_safety;
         let first = pending.first_that_may_have_run();
@@ -18,15 +18,16 @@
             (Some(_), RetrySafety::AtMostOnce) => false,
             (Some(_), RetrySafety::Deduplicated { scope, .. }) => scope == DedupScope::All,
         };
-        AllowedActions { send, reject: is_unprocessed_or_deduplicated && !pending.is_bound }
+        AllowedActions { send, reject: is_unprocessed_or_deduplicated && !pending.has_response_started }
     }
 
-    /// Whether attempts and time are left, apart from retry safety.
+    /// Whether the request may be sent again as far as its attempts, its time and its state are concerned, regardless of
+    /// retry safety.
     fn can_send_again(&self, now: Time, pending: &PendingRequest) -> bool {
         let max_attempts = self.settings.max_attempts.min(pending.request.limits().max_attempts);
         let may_hedge = self.settings.hedging && !pending.request.streaming;
         pending.attempts.len() < max_attempts as usize
-            && !pending.is_bound
+            && !pending.has_response_started
             && !pending.is_exhausted
             && now < pending.deadline
             && (!pending.has_attempt_in_flight() || may_hedge)
--- a/crates/balancer/src/decisions/selection.rs
+++ b/crates/balancer/src/decisions/selection.rs
@@ -1,52 +1,57 @@
-//! Selects a server: random draws and the remembered server, filtered by availability, and the lightest of them.
+//! Selects the server for an attempt: the least loaded of several random draws and the remembered server, as far as these
+//! are available.
 
 use super::tuning::*;
 use crate::api::*;
 use crate::state::*;
 
-/// The factor on the load of a server in another zone grows by this for each 1% of a request that the crossing costs.
+/// Increase of the factor on the load of a server in another zone, per 1% of a request's value that crossing zones costs.
 const CROSS_ZONE_FACTOR: f64 = 0.25;
-/// The maximum of that factor: less than one request in flight against none, so that cost alone does not fill a zone.
+/// Maximum of that factor. It is less than 2, the ratio of the loads with one request in flight and with none, so that the
+/// cost alone does not let a zone fill up.
 const MAX_CROSS_ZONE_FACTOR: f64 = 1.8;
-/// The factor on the slowness of a key's last server: it is selected unless its load is clearly higher.
+/// Factor on the slowness of the server that a key was last sent to: it is preferred unless its load is clearly higher.
 const KEY_AFFINITY_FACTOR: f64 = 0.7;
-/// Maximum number of remembered keys; beyond it all are forgotten, at the cost of one cache miss each.
+/// Maximum number of keys whose server is remembered. When it is reached, all are forgotten, which costs each of them one
+/// cache miss.
 const MAX_KEYS: usize = 10_000;
-/// Loads whose logarithms differ by less than this are considered equal: a quarter is within random variation.
+/// Resolution of the logarithm of a load in comparisons: a difference of a quarter is within random variation.
 const LOAD_RESOLUTION: f64 = 0.25;
-/// Time constant of a load report's weight, in milliseconds.
+/// Time constant with which the weight of a load report decays, in milliseconds.
 const REPORT_TIME_CONSTANT_MS: f64 = 8000.0;
-/// Time constant of the weight of a server's own latency against that of its machine type, in milliseconds.
+/// Time constant with which the weight of a server's own latency decays in favour of its machine type's, in milliseconds.
 const OWN_LATENCY_TIME_CONSTANT_MS: f64 = 30_000.0;
-/// Attempts to draw a server, per draw that is wanted.
+/// Maximum number of random draws for each candidate to be found.
 const TRIES_PER_DRAW: usize = 4;
-/// Bounds of a request's work relative to the usual work of its class, for the influence of a server's slowness.
+/// Bounds of a request's work relative to the usual work of its class, which determines the influence of a server's
+/// slowness.
 const RELATIVE_WORK: (f64, f64) = (1.0, 9.0);
-/// The lower bound of a latency that is a divisor, as a fraction of the objective.
+/// Lower bound of a latency that is used as a divisor, as a fraction of the objective.
 const MIN_LATENCY: f64 = 0.01;
 
-/// What the selection of a server needs to know of a request.
+/// The properties of a request that the selection of its server depends on.
 pub(super) struct Selection {
     pub(super) id: RequestId,
     scope: SendScope,
-    /// The estimated work in milliseconds.
+    /// Estimated work of the request, in milliseconds.
     pub(super) work_ms: f64,
-    /// The influence of a server's slowness; grows with the work.
+    /// Exponent of a server's slowness in its load; it grows with the work.
     slowness_exponent: f64,
     is_idempotent: bool,
     key: Option<KeyId>,
-    /// The server that its key was last sent to.
+    /// Server that the key was last sent to.
     key_server: Option<usize>,
-    /// The servers of its earlier attempts.
+    /// Servers of the earlier attempts.
     tried: Vec<usize>,
-    /// Another attempt is in flight: this one must go to a different server.
+    /// Another attempt is in flight, so that this one must go to a different server.
     pub(super) is_hedge: bool,
-    /// It has been neither queued nor sent yet.
-    is_first_look: bool,
+    /// The request has been neither queued nor sent yet.
+    is_first_selection: bool,
 }
 
 impl Balancer {
-    /// Sends a request to the lightest candidate, or probes the candidates first; false if no server is available.
+    /// Sends a request to the least loaded candidate, or sends health checks to the candidates first. Returns false if no
+    /// server is available.
     pub(super) fn try_send(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) -> bool {
         let Some(pending) = self.requests.get(&id) else { return true };
         let selection = self.selection(now, pending);
@@ -54,11 +59,11 @@
             return false;
         }
         let candidates = self.candidates(now, &selection);
-        if self.probes_candidates() && !candidates.is_empty() {
-            self.probe(now, id, candidates, actions);
+        if self.checks_candidates() && !candidates.is_empty() {
+            self.check_candidates(now, id, candidates, actions);
             return true;
         }
-        self.send_to_lightest(now, &selection, &candidates, actions)
+        self.send_to_least_loaded(now, &selection, &candidates, actions)
     }
 
     pub(super) fn selection(&self, now: Time, pending: &PendingRequest) -> Selection {
@@ -77,25 +82,25 @@
             key_server: key.and_then(|key| self.key_servers.get(&key)).copied(),
             tried: pending.attempts.iter().map(|attempt| attempt.server).collect(),
             is_hedge: pending.has_attempt_in_flight(),
-            is_first_look: pending.queued_since.is_none() && pending.attempts.is_empty(),
+            is_first_selection: pending.queued_since.is_none() && pending.attempts.is_empty(),
         }
     }
 
-    /// Sends to the lightest candidate and remembers it; false if there is none.
-    pub(super) fn send_to_lightest(
+    /// Sends to the least loaded candidate and remembers it. Returns false if there are no candidates.
+    pub(super) fn send_to_least_loaded(
         &mut self,
         now: Time,
         selection: &Selection,
         candidates: &[usize],
         actions: &mut Vec<Action>,
     ) -> bool {
-        let Some(server) = self.lightest(now, candidates, selection) else { return false };
+        let Some(server) = self.least_loaded(now, candidates, selection) else { return false };
         self.remember(server, selection.key);
         self.send(now, selection, server, actions);
         true
     }
 
-    /// Whether a server may be sent this request now.
+    /// Whether this request may be sent to a server now.
     pub(super) fn is_available(&self, now: Time, index: usize, selection: &Selection) -> bool {
         let server = &self.servers[index];
         let is_in_scope = match selection.scope {
@@ -112,28 +117,30 @@
             && server.endpoint.status == Status::Serving
             && self.has_capacity(now, server, selection.work_ms)
             && may_retry
-            && (self.sparse || server.ejection.as_ref().is_none_or(may_try))
+            && (self.is_sparse || server.ejection.as_ref().is_none_or(may_try))
     }
 
-    /// Whether a server is below its concurrency limit and its share in slow start. A sparse balancer, for which limits have
-    /// no meaning, only lets a server that was full rest.
+    /// Whether a server is below its concurrency limit and, in slow start, below its share. Concurrency limits have no
+    /// effect at a sparse balancer, which only pauses sends to a server that has rejected a request.
     fn has_capacity(&self, now: Time, server: &Server, work_ms: f64) -> bool {
-        if self.sparse {
-            return now >= server.rest_until;
+        if self.is_sparse {
+            return now >= server.paused_until;
         }
-        // Many balancers with one request each can overload a server too: a limit below one is kept by rests between
-        // requests. They follow the present limit; otherwise one late response at a low scale would cause a rest of a minute.
+        // Many balancers with one request each can overload a server too, so a limit below one is enforced by a pause after
+        // each response. The pause is computed from the current limit: if it were fixed at the response, one late response at
+        // a low limit scale would cause a pause of a minute.
         let limit = server.limit * self.limit_scale;
-        let rest_ms = server.last_sample_ms * (1.0 / limit - 1.0).max(0.0);
-        let has_rested = now.since(server.last_sample_at).ms() >= rest_ms && now >= server.rest_until;
-        let warmth = self.warmth(server, now);
-        has_rested
-            && !self.slow_start.exceeds_share(now, server, warmth, work_ms)
-            && f64::from(server.in_flight) + 1.0 <= (limit * warmth).max(1.0)
+        let pause_ms = server.last_sample_ms * (1.0 / limit - 1.0).max(0.0);
+        let is_pause_over = now.since(server.last_sample_at).ms() >= pause_ms && now >= server.paused_until;
+        let guaranteed_capacity = self.guaranteed_capacity(server, now);
+        is_pause_over
+            && !self.slow_start.exceeds_share(now, server, guaranteed_capacity, work_ms)
+            && f64::from(server.in_flight) + 1.0 <= (limit * guaranteed_capacity).max(1.0)
     }
 
-    /// Random draws from the available servers, and the remembered ones that are available. Draws are repeated a fixed number
-    /// of times, so that a selection costs the same in a large fleet; only if all fail is every server considered.
+    /// The candidates: random draws from the serving servers, the remembered server and the last server of the key, if they
+    /// are available. The number of draws is bounded, so that a selection costs the same in a large fleet; all servers are
+    /// examined only if this finds no candidate.
     fn candidates(&mut self, now: Time, selection: &Selection) -> Vec<usize> {
         let mut candidates: Vec<usize> = Vec::with_capacity(DRAWS + REMEMBERED + 1);
         for _ in 0..TRIES_PER_DRAW * DRAWS {
@@ -161,54 +168,62 @@
     fn is_candidate(&mut self, now: Time, server: usize, selection: &Selection) -> bool {
         !selection.tried.contains(&server)
             && self.is_available(now, server, selection)
-            && self.passes_slow_start(now, server, selection.is_first_look)
+            && self.passes_slow_start(now, server, selection.is_first_selection)
     }
 
-    /// All available servers that have not been tried; if there are none, those that have, except for a hedged request.
+    /// All available servers that have not been tried. If there are none, those that have been tried, unless this is a hedged
+    /// request.
     fn all_available(&self, now: Time, selection: &Selection) -> Vec<usize> {
         let available = |server: &usize| self.is_available(now, *server, selection);
         let available = self.serving.iter().copied().filter(available);
         let (tried, untried): (Vec<_>, Vec<_>) =
             available.partition(|server| selection.tried.contains(server));
         let mut servers = if untried.is_empty() && !selection.is_hedge { tried } else { untried };
-        let is_warm = |server: &usize| self.warmth(&self.servers[*server], now) >= 1.0;
-        // Servers in slow start only on the first look, and only if there are no others.
-        if self.sparse && (!selection.is_first_look || servers.iter().any(is_warm)) {
+        let is_warm = |server: &usize| self.guaranteed_capacity(&self.servers[*server], now) >= 1.0;
+        // A sparse balancer uses servers in slow start only on the first selection, and only if no warm server is available.
+        if self.is_sparse && (!selection.is_first_selection || servers.iter().any(is_warm)) {
             servers.retain(is_warm);
         }
         servers
     }
 
-    /// Whether a sparse balancer accepts a reachable server as a candidate. An idle server in slow start, remembered by all
-    /// balancers, would be overloaded by their sum. Each accepts it with the probability of the capacity it has surely
-    /// reached, so that all together send it that part of a warm server's share without any communication. Where an idle
-    /// server wins each selection, a candidate counts for as many as it wins over. Only a request's first look is
-    /// accepted: one that is queued or rejected elsewhere would be accepted in the end.
-    fn passes_slow_start(&mut self, now: Time, server: usize, is_first_look: bool) -> bool {
-        if !self.sparse {
+    /// Whether a sparse balancer accepts a server as a candidate: it must be reachable and, in slow start, pass a random test.
+    ///
+    /// An idle server in slow start would be remembered by all balancers and overloaded by their sum. Each balancer therefore
+    /// accepts it with a probability equal to the fraction of its capacity that it is guaranteed to have reached, so that all
+    /// of them together send it that fraction of a warm server's share without communicating. With health checks of the
+    /// candidates, and during congestion, an idle server wins every selection that it is a candidate in; the probability is
+    /// then divided by the number of candidates. Only the first selection for a request may accept such a server, since a
+    /// request that is queued or rejected elsewhere would pass the test sooner or later.
+    fn passes_slow_start(&mut self, now: Time, server: usize, is_first_selection: bool) -> bool {
+        if !self.is_sparse {
             return true;
         }
-        let warmth = self.warmth(&self.servers[server], now);
+        let guaranteed_capacity = self.guaranteed_capacity(&self.servers[server], now);
         let is_unreachable = self.is_unreachable(&self.servers[server], now);
-        let idle_wins = warmth < 1.0 && (self.probes_candidates() || self.admitted_fraction(now) < 1.0);
+        let idle_wins =
+            guaranteed_capacity < 1.0 && (self.checks_candidates() || self.admitted_fraction(now) < 1.0);
         let wins = if idle_wins { DRAWS + REMEMBERED } else { 1 };
-        !is_unreachable && (warmth >= 1.0 || (is_first_look && self.rng.f64() * (wins as f64) < warmth))
+        !is_unreachable
+            && (guaranteed_capacity >= 1.0
+                || (is_first_selection && self.rng.f64() * (wins as f64) < guaranteed_capacity))
     }
 
-    /// The candidate with the least own load: requests in flight, scaled by the server's slowness, the cost of crossing zones
-    /// and key affinity. Ties are decided by its load report, then at random.
+    /// The candidate with the least own load: its requests in flight, scaled by the server's slowness, the cost of crossing
+    /// zones and key affinity. Ties are broken by the last load report, then at random.
     ///
-    /// A sparse balancer compares the plain counts, and the random choice is weighted by each candidate's capacity. As
-    /// the last choice is among the candidates, the choices of all balancers together converge to that proportion.
-    fn lightest(&mut self, now: Time, candidates: &[usize], selection: &Selection) -> Option<usize> {
-        let (is_sparse, probes) = (self.sparse, self.probes_candidates());
+    /// A sparse balancer compares the unscaled counts and breaks ties at random, weighted by the capacity of the candidates.
+    /// Since the server selected last is among the candidates, the selections of all balancers together converge to the
+    /// proportions of these weights.
+    fn least_loaded(&mut self, now: Time, candidates: &[usize], selection: &Selection) -> Option<usize> {
+        let (is_sparse, checks) = (self.is_sparse, self.checks_candidates());
         let mut best = None;
         for &candidate in candidates {
             let random = self.rng.f64();
             let server = &self.servers[candidate];
             let report = server.estimated_load();
             let rank = if is_sparse {
-                let report = if probes { report.round() as i64 } else { 0 };
+                let report = if checks { report.round() as i64 } else { 0 };
                 let weighted_random = -(1.0 - random).ln() / self.capacity_weight(server, now);
                 (i64::from(server.in_flight), report, weighted_random.to_bits())
             } else {
@@ -222,7 +237,7 @@
         best.map(|(_, candidate)| candidate)
     }
 
-    /// The load of a candidate with this request added, in requests at a server of usual speed in the own zone.
+    /// The load of a candidate with this request added, in requests at a server of usual speed in this balancer's zone.
     fn own_load(&self, candidate: usize, selection: &Selection) -> f64 {
         let server = &self.servers[candidate];
         let zone_factor = if server.endpoint.zone == self.settings.zone {
@@ -232,14 +247,14 @@
             (1.0 + cost_percent_factor).clamp(1.0, MAX_CROSS_ZONE_FACTOR)
         };
         let key_factor = if selection.key_server == Some(candidate) { KEY_AFFINITY_FACTOR } else { 1.0 };
-        // A trial of an ejected server takes precedence: by its statistics it would never be selected.
+        // A due trial takes precedence: by its statistics an ejected server would never be selected.
         let in_flight = if server.ejection.is_some() { 0.0 } else { f64::from(server.in_flight) + 1.0 };
         in_flight * zone_factor * (server.slowness * key_factor).powf(selection.slowness_exponent)
     }
 
-    /// The relative capacity of a server: its listed size over its queue by the last report. The weight of a report decays
-    /// towards the average of all servers. Latency counts in its cube: with the plain one slow servers time out while
-    /// fast ones are idle.
+    /// The weight of a server in the random selection: its listed size over its load and the cube of its latency. The load is
+    /// that of the last report, whose weight decays in favour of the average load of all servers. With the plain latency
+    /// instead of its cube, slow servers time out while fast ones are idle.
     fn capacity_weight(&self, server: &Server, now: Time) -> f64 {
         let size = if self.settings.weights == Weights::Size { server.endpoint.weight } else { 1.0 };
         let size = if size.is_finite() && size > 0.0 { size } else { 1.0 };
@@ -252,7 +267,7 @@
         share * size / (1.0 + load) / self.expected_latency(server, now).max(MIN_LATENCY).powi(3)
     }
 
-    /// The latency of a server by its own samples and those of its machine type.
+    /// The latency of a server, estimated from its own samples and those of its machine type.
     fn expected_latency(&self, server: &Server, now: Time) -> f64 {
         let machine_type = self.machine_types.get(&server.endpoint.machine_type);
         let type_latency = machine_type.map_or(self.median_latency, |known| known.latency);
--- a/crates/balancer/src/decisions/slow_start.rs
+++ b/crates/balancer/src/decisions/slow_start.rs
@@ -1,46 +1,55 @@
-//! Slow start: the capacity of recently started servers, and how a request's work is estimated.
+//! Slow start: the capacity of recently started servers and their share of the load, and the estimate of a request's work.
 
 use super::tuning::*;
 use crate::api::*;
 use crate::state::*;
 
-/// The fraction of the overload threshold that is used while no server is warm: bursts may double the load.
+/// Fraction of the overload factor that is used while all servers are in slow start, because bursts may double the load.
 const SLOW_START_FLEET_FACTOR: f64 = 0.5;
-/// The lower bound of a class's usual latency, which is a divisor, in milliseconds.
+/// Lower bound of a class's usual latency, which is used as a divisor, in milliseconds.
 const MIN_USUAL_MS: f64 = 0.001;
 
-/// What the fleet can take while servers are in slow start.
+/// Load of the fleet and its limit while servers are in slow start.
 pub(crate) struct SlowStart {
-    /// The number of serving servers past slow start.
+    /// Number of serving servers past slow start.
     pub(super) warm_servers: usize,
-    /// The work sent to each warm server on average, in milliseconds.
-    warm_work: DecayingSum,
-    /// The fraction of requests that the fleet can take; 1 or more where slow start is no limit.
-    pub(super) admitted: f64,
+    /// Work sent to a warm server on average, in milliseconds.
+    work_per_warm_server: DecayingSum,
+    /// Fraction of the requests that the fleet can serve; 1 or more if slow start does not limit it.
+    pub(super) admitted_fraction: f64,
 }
 
 impl Default for SlowStart {
     fn default() -> Self {
-        SlowStart { warm_servers: 0, warm_work: DecayingSum::default(), admitted: 1.0 }
+        SlowStart { warm_servers: 0, work_per_warm_server: DecayingSum::default(), admitted_fraction: 1.0 }
     }
 }
 
 impl SlowStart {
-    pub(super) fn record_warm_work(&mut self, now: Time, window_ms: f64, work_ms: f64) {
-        self.warm_work.add(now, window_ms, work_ms / self.warm_servers.max(1) as f64);
+    pub(super) fn record_warm_work(&mut self, now: Time, time_constant_ms: f64, work_ms: f64) {
+        self.work_per_warm_server.add(now, time_constant_ms, work_ms / self.warm_servers.max(1) as f64);
     }
 
-    /// Whether a server in slow start would be sent more than its share of what a warm one is sent. The warm ones may be
-    /// held back by their limits; the sum of all balancers must not overload it nevertheless.
-    pub(super) fn exceeds_share(&self, now: Time, server: &Server, warmth: f64, work_ms: f64) -> bool {
-        let share = warmth * self.warm_work.at(now);
-        warmth < 1.0 && self.warm_servers > 0 && server.slow_start_work.at(now) + work_ms > share
+    /// Whether this request would give a server in slow start more than its share of the work that a warm server receives.
+    /// Concurrency limits do not ensure this: they may reduce the load of the warm servers, and all balancers together must
+    /// not overload the one in slow start.
+    pub(super) fn exceeds_share(
+        &self,
+        now: Time,
+        server: &Server,
+        guaranteed_capacity: f64,
+        work_ms: f64,
+    ) -> bool {
+        let share = guaranteed_capacity * self.work_per_warm_server.value_at(now);
+        guaranteed_capacity < 1.0
+            && self.warm_servers > 0
+            && server.slow_start_work.value_at(now) + work_ms > share
     }
 }
 
 impl Balancer {
-    /// The guaranteed fraction of its capacity that a server has reached; 1 after slow start.
-    pub(super) fn warmth(&self, server: &Server, now: Time) -> f64 {
+    /// The fraction of its full capacity that a server is guaranteed to have reached; 1 after slow start.
+    pub(super) fn guaranteed_capacity(&self, server: &Server, now: Time) -> f64 {
         let Some(started_at) = server.endpoint.started_at else { return 1.0 };
         let (age_ms, window_ms) = (now.since(started_at).ms(), self.settings.slow_start_window.ms());
         if age_ms >= window_ms {
@@ -50,18 +59,21 @@
         initial + (1.0 - initial) * age_ms / window_ms
     }
 
-    /// Counts the warm servers and updates the fraction of requests that the fleet can take. While most servers are in slow
-    /// start, the requests of all balancers may exceed what they can take together, however they are distributed.
+    /// Updates the number of warm servers and the fraction of requests that the fleet can serve. While most servers are in
+    /// slow start, the requests of all balancers may exceed the capacity of the fleet, however they are distributed.
     pub(super) fn update_slow_start(&mut self, now: Time) {
-        let warmths = self.serving.iter().map(|&server| self.warmth(&self.servers[server], now));
-        let (warm_servers, total) = warmths
-            .fold((0, 0.0), |(warm, total), warmth| (warm + usize::from(warmth >= 1.0), total + warmth));
+        let capacities =
+            self.serving.iter().map(|&server| self.guaranteed_capacity(&self.servers[server], now));
+        let (warm_servers, total) = capacities.fold((0, 0.0), |(warm, total), guaranteed_capacity| {
+            (warm + usize::from(guaranteed_capacity >= 1.0), total + guaranteed_capacity)
+        });
         let average = if self.serving.is_empty() { 1.0 } else { total / self.serving.len() as f64 };
         let all_in_slow_start = warm_servers == 0 && total > 0.0 && self.settings.balancers > FEW_BALANCERS;
         let factor =
             self.settings.overload_factor * if all_in_slow_start { SLOW_START_FLEET_FACTOR } else { 1.0 };
         self.slow_start.warm_servers = warm_servers;
-        self.slow_start.admitted = if self.sparse || all_in_slow_start { average * factor } else { 1.0 };
+        self.slow_start.admitted_fraction =
+            if self.is_sparse || all_in_slow_start { average * factor } else { 1.0 };
     }
 
     /// The usual latency of a class in milliseconds.
--- a/crates/balancer/src/decisions/timers.rs
+++ b/crates/balancer/src/decisions/timers.rs
@@ -1,10 +1,10 @@
-//! The periodic tick.
+//! The periodic tick, which does the work that no event triggers.
 
 use super::tuning::*;
 use crate::api::*;
 use crate::state::*;
 
-/// The lower bound of the median latency, as a fraction of the objective.
+/// Lower bound of the median latency, as a fraction of the objective.
 const MIN_MEDIAN_LATENCY: f64 = 0.01;
 
 impl Balancer {
@@ -13,8 +13,8 @@
         actions.push(Action::SetTimer { at: self.next_tick, timer: TICK_TIMER });
     }
 
-    /// Retries a failed watch, updates what is derived from the statistics, looks for overdue attempts and drains the
-    /// queue. A timer that has been superseded by an earlier tick is ignored.
+    /// Retries a failed watch, updates the values derived from the statistics, handles overdue attempts and drains the
+    /// queue. A timer that fires before the next tick is due belongs to an earlier schedule and is ignored.
     pub(super) fn on_tick(&mut self, now: Time, actions: &mut Vec<Action>) {
         if now < self.next_tick {
             return;
@@ -26,7 +26,7 @@
         self.update_median_latency();
         self.update_slow_start(now);
         self.update_protected_classes();
-        self.find_overdue(now, actions);
+        self.handle_overdue_attempts(now, actions);
         self.drain_queue(now, actions);
         let interval = if self.queue.is_empty() { IDLE_TICK_INTERVAL } else { BUSY_TICK_INTERVAL };
         self.set_tick(now, interval, actions);
--- a/crates/balancer/src/decisions/traffic.rs
+++ b/crates/balancer/src/decisions/traffic.rs
@@ -1,14 +1,14 @@
-//! Recent traffic by class and by tenant, and tenants' quotas.
+//! Recent traffic by class and by tenant, and the quotas of tenants.
 
 use crate::api::*;
 use crate::state::*;
 
 /// Time constant of the traffic counts, in milliseconds.
 const TIME_CONSTANT_MS: f64 = 3000.0;
-/// A tenant is over its quota at this multiple of its fraction; usage varies without any misuse.
+/// Multiple of its fraction from which a tenant is over its quota; normal usage varies too.
 const QUOTA_TOLERANCE: f64 = 1.4;
 
-/// Exponentially decayed counts of requests.
+/// Exponentially decayed counts of requests by class and by tenant.
 pub(crate) struct Traffic {
     by_class: Vec<f64>,
     by_tenant: Vec<f64>,
@@ -33,7 +33,7 @@
         self.by_class[class]
     }
 
-    /// Requests per second at this balancer.
+    /// The recent request rate at this balancer, per second.
     pub(super) fn requests_per_s(&self) -> f64 {
         self.by_class.iter().sum::<f64>() * 1e3 / TIME_CONSTANT_MS
     }
@@ -50,8 +50,8 @@
 }
 
 impl Balancer {
-    /// Whether a request belongs to the excess of its tenant's traffic over the quota, chosen at random. Quotas apply to the
-    /// entire service; a balancer uses its own traffic as a sample.
+    /// Decides at random whether a request belongs to the part of its tenant's traffic that exceeds the quota. Quotas apply
+    /// to the entire service; a balancer uses its own traffic as a sample of it.
     pub(super) fn is_over_quota(&mut self, request: &Request) -> bool {
         let Some(tenant) = request.tenant.filter(|tenant| tenant.0 < self.settings.tenants.len()) else {
             return false;
--- a/crates/balancer/src/state/reconfigure.rs
+++ b/crates/balancer/src/state/reconfigure.rs
@@ -1,17 +1,18 @@
-//! Replacement of the settings while requests are in progress.
+//! Replaces the settings while requests are pending.
 
 use super::{Balancer, ClassStats};
 use crate::api::*;
 use std::sync::Arc;
 
 impl Balancer {
-    /// Replaces the settings. Classes and tenants are never removed: pending requests keep their class and the attempts
-    /// that were allowed when they arrived. Each entry of `changed` is the index of a class that is replaced by a new one,
-    /// and the index of the class whose statistics the new one inherits, if any.
+    /// Replaces the settings. Classes and tenants keep their indices and must not be removed, because pending requests refer
+    /// to them. Pending requests also keep the number of attempts that was allowed when they arrived. Each entry of `changed`
+    /// is the index of a class that is replaced by a new one and, optionally, the index of the class whose statistics the new
+    /// one inherits.
     ///
     /// # Errors
     ///
-    /// Invalid settings; nothing has changed then.
+    /// The settings are invalid; nothing is changed then.
     pub fn reconfigure(
         &mut self,
         settings: Settings,
@@ -25,11 +26,11 @@
             self.replace_class(&settings, class, inherited_from);
         }
         self.settings = settings;
-        self.sparse = self.settings.balancers as usize > self.max_serving;
+        self.is_sparse = self.settings.balancers as usize > self.max_serving;
         Ok(())
     }
 
-    /// Pending requests do not gain attempts from a higher limit.
+    /// Limits the attempts of pending requests to the present maximum, so that a higher one applies to new requests only.
     fn cap_pending_attempts(&mut self, new: &Settings) {
         let allowed = self.settings.max_attempts;
         if new.max_attempts <= allowed {
@@ -42,7 +43,8 @@
         }
     }
 
-    /// Resets the statistics of a class. Inherited latencies are fractions of the objective and are scaled to the new one.
+    /// Resets the statistics of a class. Inherited latencies, which are fractions of the latency objective, are scaled to the
+    /// new objective.
     fn replace_class(&mut self, new: &Settings, class: usize, inherited_from: Option<usize>) {
         let objective_ms = |settings: &Settings, class: usize| settings.classes[class].latency_objective.ms();
         let initial = ClassStats::INITIAL;
--- a/crates/balancer/src/state/requests.rs
+++ b/crates/balancer/src/state/requests.rs
@@ -12,14 +12,15 @@
     Group(DedupGroupId),
 }
 
-/// What may still be done with a request without running it twice.
+/// The sends and final responses that can't make a request run twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct AllowedActions {
     pub(crate) send: SendScope,
-    /// The request may be answered with a rejection, which promises that it did not run.
+    /// True if the request may be shed, which tells the client that a retry is safe.
     pub(crate) reject: bool,
 }
 
+/// Whether an attempt may have been processed by its server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum AttemptState {
     InFlight,
@@ -41,18 +42,18 @@
 pub(crate) struct PendingRequest {
     pub(crate) request: Request,
     pub(crate) deadline: Time,
-    /// When the latency objective, or the deadline if that is earlier, expires.
+    /// Time at which the latency objective expires, or the deadline if that is earlier.
     pub(crate) objective_deadline: Time,
     pub(crate) attempts: Vec<Attempt>,
-    /// Its client has had an answer to an earlier request for the same.
+    /// True if the client has received a response to an earlier try and this request is its retry.
     pub(crate) is_client_retry: bool,
-    /// Its response stream has begun.
-    pub(crate) is_bound: bool,
-    /// A part of its body is no longer buffered: no further attempt can be sent.
+    /// True if its response stream has begun, after which it can be neither retried nor shed.
+    pub(crate) has_response_started: bool,
+    /// True if a part of its body is no longer buffered, so that no further attempt can be sent.
     pub(crate) is_exhausted: bool,
-    /// Its tenant had exceeded its quota when it arrived.
+    /// True if it belongs to the part of its tenant's traffic that exceeds the quota.
     pub(crate) over_quota: bool,
-    /// When it was first queued, unless it has been sent since.
+    /// Time at which it was first queued; `None` if it is not queued or has been sent since.
     pub(crate) queued_since: Option<Time>,
 }
 
@@ -74,25 +75,25 @@
     pub(crate) attempt: AttemptNo,
 }
 
-/// An attempt that has not ended; it may outlive its request.
+/// An attempt without an outcome. It may outlive its request.
 pub(crate) struct InFlightAttempt {
     pub(crate) server: usize,
     pub(crate) class: usize,
     pub(crate) sent_at: Time,
-    /// It is the trial of an ejected server.
+    /// True if it is the trial of an ejected server.
     pub(crate) is_trial: bool,
-    /// It is not the first attempt of its request.
+    /// True if it is not the first attempt of its request.
     pub(crate) is_retry: bool,
-    /// It has been counted as late before its outcome.
+    /// True if it has been counted as late before its outcome.
     pub(crate) counted_as_late: bool,
-    /// The body of its request is still arriving: no response is due, and the server is not loaded by it.
+    /// True while the body of its request is still arriving: no response is due, and it does not load the server.
     pub(crate) is_streaming: bool,
-    /// The limits of its route, for the concurrency that it occupies.
+    /// Limits of its route, which contain the concurrency limits that it counts towards.
     pub(crate) limits: Option<Arc<Limits>>,
 }
 
-/// A request whose candidates have been sent health checks for their load.
-pub(crate) struct AwaitingProbes {
+/// A request that waits for the health checks of its candidates, which report their load.
+pub(crate) struct AwaitingHealthChecks {
     pub(crate) id: RequestId,
     pub(crate) candidates: Vec<usize>,
     pub(crate) since: Time,
--- a/crates/balancer/src/state/servers.rs
+++ b/crates/balancer/src/state/servers.rs
@@ -1,20 +1,20 @@
-//! Known servers, the reachability of their zones, and when they are forgotten.
+//! The known servers and the reachability of their zones; removal of servers that are no longer listed.
 
 use super::{Balancer, DecayingSum};
 use crate::api::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A removed server is remembered for this long: one that a list omits by mistake usually returns within seconds.
+/// Time for which a removed server is kept: one that a list omits by mistake usually returns within seconds.
 const REMOVED_RETENTION: Micros = Micros(10_000_000);
 
 /// The reachability of a zone.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Reachability {
-    /// Consecutive connection failures to servers of the zone.
+    /// Number of consecutive connection failures to servers of the zone.
     pub(crate) failures: u32,
-    /// The zone is considered unreachable until then.
+    /// Time until which the zone is considered unreachable.
     pub(crate) unreachable_until: Time,
-    /// When a server of the zone last responded; the epoch if none has.
+    /// Time at which a server of the zone last responded; the epoch if none has.
     pub(crate) last_response: Time,
 }
 
@@ -25,53 +25,53 @@
     }
 }
 
-/// The ejection of an outlier, which receives only trial requests.
+/// The ejection of an outlier. An ejected server receives only trials.
 pub(crate) struct Ejection {
     pub(crate) next_trial: Time,
-    /// The backoff between two trials.
+    /// Time between two trials.
     pub(crate) backoff: Micros,
     pub(crate) trial_in_flight: bool,
 }
 
-/// The latency of a machine type.
+/// Average latency of the servers of a machine type.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct MachineTypeLatency {
-    /// As a fraction of the objective.
+    /// Latency as a fraction of the objective.
     pub(crate) latency: f64,
-    /// The number of responses that it is based on, up to a limit.
+    /// Number of samples behind it, up to a limit.
     pub(crate) samples: f64,
 }
 
 /// A known server.
 pub(crate) struct Server {
     pub(crate) endpoint: Endpoint,
-    /// Own attempts in flight.
+    /// Number of this balancer's attempts in flight.
     pub(crate) in_flight: u32,
-    /// Latency relative to the baseline of its classes; it follows decreases faster than increases.
+    /// Latency relative to the baseline latency of the request's class; it follows decreases faster than increases.
     pub(crate) slowness: f64,
     /// Smoothed latency as a fraction of the objective.
     pub(crate) latency: f64,
     pub(crate) samples: u32,
-    /// Consecutive failures.
+    /// Number of consecutive failures.
     pub(crate) failures: u32,
     pub(crate) last_response: Time,
-    /// Maximum number of own attempts in flight; below one, a rest follows each response.
+    /// Maximum number of this balancer's attempts in flight; below one, a pause follows each response.
     pub(crate) limit: f64,
-    /// It receives no request until then.
-    pub(crate) rest_until: Time,
+    /// Time until which no request is sent to it.
+    pub(crate) paused_until: Time,
     pub(crate) last_sample_at: Time,
-    /// The duration of the attempt that gave the last sample.
+    /// Duration of the attempt that gave the last sample.
     pub(crate) last_sample_ms: f64,
     pub(crate) ejection: Option<Ejection>,
-    /// Until then a sparse balancer sends it a reduced share, due to own evidence or a peer's hint.
+    /// Time until which a sparse balancer sends it a reduced share, due to its own evidence or a peer's hint.
     pub(crate) deprioritized_until: Time,
     /// Work sent to it during slow start, in milliseconds.
     pub(crate) slow_start_work: DecayingSum,
-    /// Load by its last report.
+    /// Load according to its last report.
     pub(crate) reported_load: f64,
     pub(crate) reported_at: Option<Time>,
     pub(crate) sends_since_report: u32,
-    /// When it was first seen to be removed from the list.
+    /// Time at which it was first found to be removed from the list.
     pub(crate) removed_at: Option<Time>,
 }
 
@@ -86,7 +86,7 @@
             failures: 0,
             last_response: now,
             limit,
-            rest_until: now,
+            paused_until: now,
             last_sample_at: now,
             last_sample_ms: 0.0,
             ejection: None,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// The load by its last report, plus the sends since.
+    /// The load according to its last report, plus the attempts sent since.
     pub(crate) fn estimated_load(&self) -> f64 {
         self.reported_load + f64::from(self.sends_since_report)
     }
@@ -119,7 +119,7 @@
     /// Adds a server that is listed for the first time.
     pub(crate) fn add_server(&mut self, server: Server) {
         let id = server.endpoint.server;
-        let slot = match self.free.pop() {
+        let slot = match self.free_slots.pop() {
             Some(slot) => {
                 self.servers[slot] = server;
                 slot
@@ -129,11 +129,11 @@
                 self.servers.len() - 1
             }
         };
-        self.index.insert(id, slot);
+        self.slots.insert(id, slot);
     }
 
-    /// Forgets servers that were removed [`REMOVED_RETENTION`] ago and have nothing in flight.
-    pub(crate) fn forget_removed_servers(&mut self, now: Time) {
+    /// Discards servers that were removed at least [`REMOVED_RETENTION`] ago and have no attempts in flight.
+    pub(crate) fn discard_removed_servers(&mut self, now: Time) {
         for server in &mut self.servers {
             let is_removed = server.endpoint.status == Status::Removed;
             server.removed_at = is_removed.then(|| server.removed_at.unwrap_or(now));
@@ -141,35 +141,38 @@
         let is_expired = |server: &Server| {
             server.removed_at.is_some_and(|at| now.since(at) >= REMOVED_RETENTION) && server.in_flight == 0
         };
-        let expired = self.index.iter().filter(|(_, &slot)| is_expired(&self.servers[slot]));
+        let expired = self.slots.iter().filter(|(_, &slot)| is_expired(&self.servers[slot]));
         let expired: Vec<(ServerId, usize)> = expired.map(|(id, slot)| (*id, *slot)).collect();
         if expired.is_empty() {
             return;
         }
         let referenced = self.referenced_slots();
         for (id, slot) in expired.into_iter().filter(|(_, slot)| !referenced.contains(slot)) {
-            self.index.remove(&id);
-            self.free.push(slot);
+            self.slots.remove(&id);
+            self.free_slots.push(slot);
             self.remembered.retain(|remembered| *remembered != slot);
             self.key_servers.retain(|_, server| *server != slot);
         }
-        self.forget_unused_zones_and_types();
+        self.discard_unused_zones_and_types();
     }
 
-    /// The slots of `servers` that requests and attempts refer to. A slot must not be reused while one of them does, or
-    /// the new server would receive the results of the old one.
+    /// The slots of `servers` that requests and attempts refer to. Such a slot must not be reused, or the results of the old
+    /// server would be counted for the new one.
     fn referenced_slots(&self) -> BTreeSet<usize> {
-        let mut slots: BTreeSet<usize> =
-            self.awaiting_probes.iter().flat_map(|waiting| waiting.candidates.iter().copied()).collect();
+        let mut slots: BTreeSet<usize> = self
+            .awaiting_health_checks
+            .iter()
+            .flat_map(|waiting| waiting.candidates.iter().copied())
+            .collect();
         let attempts = self.requests.values().flat_map(|pending| &pending.attempts);
         slots.extend(attempts.map(|attempt| attempt.server));
-        // Attempts of streaming requests do not count in `Server::in_flight` and may outlive their request.
+        // Attempts of streaming requests are not counted in `Server::in_flight` and may outlive their request.
         slots.extend(self.in_flight.values().map(|attempt| attempt.server));
         slots
     }
 
-    fn forget_unused_zones_and_types(&mut self) {
-        let endpoints = || self.index.values().map(|&slot| &self.servers[slot].endpoint);
+    fn discard_unused_zones_and_types(&mut self) {
+        let endpoints = || self.slots.values().map(|&slot| &self.servers[slot].endpoint);
         let zones: BTreeSet<ZoneId> = endpoints().map(|endpoint| endpoint.zone).collect();
         let types: BTreeSet<MachineTypeId> = endpoints().map(|endpoint| endpoint.machine_type).collect();
         self.zones.retain(|zone, _| zones.contains(zone));
--- a/crates/balancer/tests/unit/state.rs
+++ b/crates/balancer/tests/unit/state.rs
@@ -43,8 +43,8 @@
     }
     let sizes = [
         balancer.servers.len(),
-        balancer.index.len(),
-        balancer.free.len(),
+        balancer.slots.len(),
+        balancer.free_slots.len(),
         balancer.key_servers.len(),
         balancer.zones.len(),
         balancer.machine_types.len(),
@@ -66,9 +66,9 @@
         now = now + Micros::from_ms(5000.0);
         changes(&mut balancer, now, vec![listed(id, Status::Serving), listed(id - 1, Status::Removed)]);
     }
-    assert!(balancer.index.contains_key(&ServerId(0)), "an attempt is in flight there");
+    assert!(balancer.slots.contains_key(&ServerId(0)), "an attempt is in flight there");
     answer(&mut balancer, now, 7, false);
     assert!(balancer.servers.iter().all(|s| s.in_flight == 0));
-    let newcomer = &balancer.servers[balancer.index[&ServerId(29)]];
+    let newcomer = &balancer.servers[balancer.slots[&ServerId(29)]];
     assert_eq!((newcomer.samples, newcomer.endpoint.server), (0, ServerId(29)));
 }
