--- a/crates/balancer/src/decisions/outcomes.rs
+++ b/crates/balancer/src/decisions/outcomes.rs
@@ -106,7 +106,7 @@
             let deadline_ms = self.settings.classes[class].deadline.ms();
             self.classes[class].awaited_client_retries.add(now, deadline_ms, 1.0);
         }
-        if !self.allowed_actions(now, &pending).reject {
+        if !self.allowed_actions(now, &pending).shed {
             actions.push(Action::Fail { request: id });
             return;
         }
--- a/crates/balancer/src/decisions/retry_safety.rs
+++ b/crates/balancer/src/decisions/retry_safety.rs
@@ -18,7 +18,7 @@
             (Some(_), RetrySafety::AtMostOnce) => false,
             (Some(_), RetrySafety::Deduplicated { scope, .. }) => scope == DedupScope::All,
         };
-        AllowedActions { send, reject: is_unprocessed_or_deduplicated && !pending.has_response_started }
+        AllowedActions { send, shed: is_unprocessed_or_deduplicated && !pending.has_response_started }
     }
 
     /// Whether the request may be sent again as far as its attempts, its time and its state are concerned, regardless of
--- a/crates/balancer/src/state/requests.rs
+++ b/crates/balancer/src/state/requests.rs
@@ -17,7 +17,7 @@
 pub(crate) struct AllowedActions {
     pub(crate) send: SendScope,
     /// True if the request may be shed, which tells the client that a retry is safe.
-    pub(crate) reject: bool,
+    pub(crate) shed: bool,
 }
 
 /// Whether an attempt may have been processed by its server.
--- a/crates/balancer/tests/bad_input.rs
+++ b/crates/balancer/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Invalid load reports and jumps of the clock.
+//! Invalid load reports and clock jumps.
 mod common;
 use bellcroft_balancer::*;
 use common::*;
@@ -11,7 +11,7 @@
     }
 }
 
-/// The requests sent to each of four servers, the first of which sends the given load report.
+/// The number of requests sent to each of four servers, the first of which sends the given load report.
 fn sends_by_server(first_report: Vec<f64>) -> [u32; 4] {
     let mut harness = Harness::new(settings(), 3);
     harness.set_endpoints(fleet(4, 1, 1));
@@ -36,16 +36,16 @@
         assert!(sent[1..].iter().all(|n| *n > 20), "{report:?}: {sent:?}");
     }
     let sent = sends_by_server(vec![f64::NAN]);
-    assert!(sent[0] > 0, "NaN is no report: {sent:?}");
+    assert!(sent[0] > 0, "NaN must be ignored: {sent:?}");
 }
 
 #[test]
 fn clock_jump_of_an_hour_loses_no_request() {
     let mut harness = Harness::new(settings(), 3);
     harness.set_endpoints(fleet(4, 1, 1));
-    let open: Vec<_> = (0..6).map(|_| harness.request(0).0).collect();
+    let requests: Vec<_> = (0..6).map(|_| harness.request(0).0).collect();
     harness.now = harness.now + Micros::from_ms(3_600_000.0);
-    for id in open {
+    for id in requests {
         harness.respond(id, 0, Outcome::TimedOut, 800.0);
     }
     harness.advance(Micros::from_ms(1000.0));
@@ -59,5 +59,5 @@
         server.is_some()
     });
     assert!(served.count() > 30);
-    assert_eq!(harness.observer.lost(harness.now), 0);
+    assert_eq!(harness.observer.overdue_responses(harness.now), 0);
 }
--- a/crates/balancer/tests/bounded_memory.rs
+++ b/crates/balancer/tests/bounded_memory.rs
@@ -1,9 +1,9 @@
-//! State of ended requests is released: memory does not grow with the number of requests.
+//! The state of finished requests is released, so that memory does not grow with the number of requests.
 mod common;
 use bellcroft_balancer::*;
 use common::*;
 
-/// The resident memory of this process in KiB; `None` where the system does not provide it.
+/// The resident memory of this process in KiB; `None` if the system does not provide it.
 fn resident() -> Option<u64> {
     let text = std::fs::read_to_string("/proc/self/status").ok()?;
     text.lines().find(|l| l.starts_with("VmRSS"))?.split_whitespace().nth(1)?.parse().ok()
--- a/crates/balancer/tests/common/harness.rs
+++ b/crates/balancer/tests/common/harness.rs
@@ -1,4 +1,4 @@
-//! A balancer under test, with a virtual clock and its timers.
+//! A balancer under test with a virtual clock and timers.
 
 use super::{sent_in, Observer};
 use bellcroft_balancer::*;
@@ -17,7 +17,7 @@
 impl Harness {
     pub fn new(settings: Settings, seed: u64) -> Self {
         let observer = Observer::new(&settings);
-        let balancer = Balancer::new(settings, seed).expect("usable settings");
+        let balancer = Balancer::new(settings, seed).expect("valid settings");
         let mut harness = Harness {
             balancer,
             observer,
@@ -42,7 +42,7 @@
         self.actions = actions;
     }
 
-    /// Handles an event at the present time; the resulting actions are also in `actions` afterwards.
+    /// Handles an event at the present time; the resulting actions are also stored in `actions`.
     pub fn handle(&mut self, event: Event) -> &[Action] {
         self.observer.event(self.now, &event);
         let mut actions = Vec::new();
@@ -51,7 +51,7 @@
         &self.actions
     }
 
-    /// Advances the clock and fires due timers; returns all resulting actions.
+    /// Advances the clock and fires the timers that become due; returns all resulting actions.
     pub fn advance(&mut self, duration: Micros) -> Vec<Action> {
         let end = self.now + duration;
         let mut all = Vec::new();
@@ -68,7 +68,7 @@
         self.handle(Event::Endpoints(EndpointUpdate::Snapshot(endpoints)));
     }
 
-    /// Submits a request of a class; returns the server that it was sent to, if any.
+    /// Submits a request of a class; returns its id and the server that it was sent to, if any.
     pub fn request(&mut self, class: usize) -> (RequestId, Option<ServerId>) {
         let id = RequestId(self.next_request);
         self.next_request += 1;
@@ -115,7 +115,7 @@
     }
 
     pub fn assert_rules(&self) {
-        assert!(self.observer.faults.is_empty(), "{:#?}", self.observer.faults);
-        assert_eq!(self.observer.lost(self.now), 0, "requests without a final answer");
+        assert!(self.observer.violations.is_empty(), "{:#?}", self.observer.violations);
+        assert_eq!(self.observer.overdue_responses(self.now), 0, "requests without a final response");
     }
 }
--- a/crates/balancer/tests/common/mod.rs
+++ b/crates/balancer/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Shared by the tests: an observer that checks a balancer against the four rules, a harness around a balancer, and builders.
+//! Test utilities: an observer that checks a balancer against the four rules, a harness around a balancer, and builders.
 #![allow(dead_code, missing_docs, unused_imports)]
 
 mod harness;
@@ -11,7 +11,7 @@
 
 use bellcroft_balancer::*;
 
-/// The server that these actions send a request to.
+/// The server to which these actions send a request.
 pub fn sent_in(actions: &[Action], id: RequestId) -> Option<ServerId> {
     actions.iter().find_map(|a| match a {
         Action::Send { request, server, .. } if *request == id => Some(*server),
@@ -19,7 +19,7 @@
     })
 }
 
-pub fn is_rejected(actions: &[Action], id: RequestId) -> bool {
+pub fn is_shed(actions: &[Action], id: RequestId) -> bool {
     actions.iter().any(|a| matches!(a, Action::Shed { request, .. } if *request == id))
 }
 
--- a/crates/balancer/tests/common/observer.rs
+++ b/crates/balancer/tests/common/observer.rs
@@ -1,13 +1,13 @@
-//! Checks a balancer's events and actions against the four rules, independently of how decisions are made.
+//! Checks a balancer's events and actions against the four rules, independently of the decision code.
 
 use bellcroft_balancer::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A final response counts as in time until this long after the client's deadline.
+/// Time after the client's deadline within which a final response still counts as in time.
 const DEADLINE_TOLERANCE: Micros = Micros(20_000);
-/// The work of a request of the usual size, in milliseconds of its cost hint.
+/// Cost hint of a request of the usual size, in milliseconds.
 const USUAL_WORK_MS: f64 = 40.0;
-/// Sends to a server in slow start that are tolerated beyond its share, as random variation.
+/// Number of sends to a server in slow start beyond its share that are tolerated as random variation.
 const TOLERATED_SENDS: f64 = 5.0;
 
 #[derive(Debug, Clone)]
@@ -27,17 +27,17 @@
 #[derive(Debug)]
 struct ObservedRequest {
     class: usize,
-    /// In requests of the usual size, by the cost hint.
+    /// Work according to the cost hint, in requests of the usual size.
     work: f64,
     deadline: Time,
     attempts: Vec<ObservedAttempt>,
-    has_ended: bool,
-    is_bound: bool,
-    /// The limit at the time of its arrival.
+    has_final_response: bool,
+    has_response_started: bool,
+    /// Maximum number of attempts at the time of its arrival.
     max_attempts: usize,
-    /// Its body is still arriving: it may have one attempt at a time.
+    /// True while its body is still arriving; it may then have one attempt in flight.
     is_streaming: bool,
-    /// A part of its body is no longer buffered: it may have no further attempt.
+    /// True if a part of its body is no longer buffered; no further attempt is allowed then.
     is_exhausted: bool,
 }
 
@@ -61,18 +61,18 @@
     work: f64,
 }
 
-/// Records every violation of a rule.
+/// Records all violations of the rules.
 pub struct Observer {
     pub settings: Settings,
     requests: BTreeMap<RequestId, ObservedRequest>,
     servers: BTreeMap<ServerId, Endpoint>,
-    /// Since when servers are draining or removed.
-    leaving: BTreeMap<ServerId, Time>,
-    /// The sends of the last `overload_tolerance`.
+    /// Times at which the observer was notified that servers are draining or removed.
+    draining_since: BTreeMap<ServerId, Time>,
+    /// Sends within the last [`Settings::overload_tolerance`].
     sends: VecDeque<ObservedSend>,
     warm: BTreeSet<ServerId>,
-    warm_since: Time,
-    pub faults: Vec<String>,
+    warm_unchanged_since: Time,
+    pub violations: Vec<String>,
 }
 
 impl Observer {
@@ -81,16 +81,16 @@
             settings: settings.clone(),
             requests: BTreeMap::new(),
             servers: BTreeMap::new(),
-            leaving: BTreeMap::new(),
+            draining_since: BTreeMap::new(),
             sends: VecDeque::new(),
             warm: BTreeSet::new(),
-            warm_since: Time(0),
-            faults: Vec::new(),
+            warm_unchanged_since: Time(0),
+            violations: Vec::new(),
         }
     }
 
-    fn fault(&mut self, now: Time, text: String) {
-        self.faults.push(format!("{:.3} ms: {text}", now.ms()));
+    fn report(&mut self, now: Time, text: String) {
+        self.violations.push(format!("{:.3} ms: {text}", now.ms()));
     }
 
     pub fn event(&mut self, now: Time, event: &Event) {
@@ -101,7 +101,7 @@
                     if let Some(attempt) = observed.attempts.get_mut(attempt.0 as usize) {
                         attempt.outcome.get_or_insert(*outcome);
                     }
-                    observed.has_ended |= *is_final;
+                    observed.has_final_response |= *is_final;
                 }
             }
             Event::BodyComplete { request, time_left } => {
@@ -116,12 +116,12 @@
             }
             Event::FirstByte { request, .. } => {
                 if let Some(observed) = self.requests.get_mut(request) {
-                    observed.is_bound = true;
+                    observed.has_response_started = true;
                 }
             }
             Event::ClientDisconnected { request } => {
                 if let Some(observed) = self.requests.get_mut(request) {
-                    observed.has_ended = true;
+                    observed.has_final_response = true;
                 }
             }
             Event::Endpoints(update) => self.on_endpoint_update(now, update),
@@ -135,8 +135,8 @@
             work: request.cost_hint.map_or(1.0, |hint| hint.ms() / USUAL_WORK_MS),
             deadline: now + request.time_left,
             attempts: Vec::new(),
-            has_ended: false,
-            is_bound: false,
+            has_final_response: false,
+            has_response_started: false,
             max_attempts: self.settings.max_attempts as usize,
             is_streaming: request.streaming,
             is_exhausted: false,
@@ -152,24 +152,24 @@
             }
             EndpointUpdate::Failed => return,
         };
-        let named: BTreeSet<ServerId> = endpoints.iter().map(|endpoint| endpoint.server).collect();
+        let listed: BTreeSet<ServerId> = endpoints.iter().map(|endpoint| endpoint.server).collect();
         if is_complete {
-            for server in self.servers.keys().filter(|server| !named.contains(server)) {
-                self.leaving.entry(*server).or_insert(now);
+            for server in self.servers.keys().filter(|server| !listed.contains(server)) {
+                self.draining_since.entry(*server).or_insert(now);
             }
         }
         for endpoint in endpoints {
             let before = self.servers.insert(endpoint.server, endpoint.clone());
             if before.is_some_and(|before| before.started_at != endpoint.started_at) {
-                // A new process: the load of the previous one does not apply.
+                // The load of the previous process does not apply to the new one.
                 self.sends.retain(|send| send.server != endpoint.server);
             }
         }
-        for server in named {
+        for server in listed {
             if self.servers[&server].status == Status::Serving {
-                self.leaving.remove(&server);
+                self.draining_since.remove(&server);
             } else {
-                self.leaving.entry(server).or_insert(now);
+                self.draining_since.entry(server).or_insert(now);
             }
         }
     }
@@ -192,7 +192,7 @@
         }
     }
 
-    fn may_reject(&self, request: &ObservedRequest) -> bool {
+    fn may_shed(&self, request: &ObservedRequest) -> bool {
         let may_have_run = request.attempts.iter().any(ObservedAttempt::may_have_run);
         match self.settings.classes[request.class].retry_safety {
             RetrySafety::Idempotent => true,
@@ -207,8 +207,8 @@
                 self.on_send(now, *request, *server, *timeout_at);
             }
             Action::Shed { request, .. } => {
-                if self.requests.get(request).is_some_and(|observed| !self.may_reject(observed)) {
-                    self.fault(now, format!("{request:?}: refused though it may have run"));
+                if self.requests.get(request).is_some_and(|observed| !self.may_shed(observed)) {
+                    self.report(now, format!("{request:?}: shed although it may have run"));
                 }
                 self.on_final_response(now, *request);
             }
@@ -219,16 +219,16 @@
 
     fn on_send(&mut self, now: Time, id: RequestId, server: ServerId, timeout_at: Time) {
         let Some(endpoint) = self.servers.get(&server).cloned() else {
-            return self.fault(now, format!("sent to {server:?}, which no list names"));
+            return self.report(now, format!("sent to {server:?}, which is not in the endpoint list"));
         };
         let Some(request) = self.requests.get(&id) else {
-            return self.fault(now, format!("sent {id:?}, which nobody asked for"));
+            return self.report(now, format!("sent {id:?}, which no client has submitted"));
         };
         let work = request.work;
         let mut violations = self.send_violations(now, request, timeout_at);
         violations.extend(self.destination_violations(now, request, &endpoint));
         for text in violations {
-            self.fault(now, format!("{id:?}: {text}"));
+            self.report(now, format!("{id:?}: {text}"));
         }
         let (zone, dedup_group) = (endpoint.zone, endpoint.dedup_group);
         let attempt = ObservedAttempt { sent_at: now, zone, dedup_group, outcome: None };
@@ -237,83 +237,85 @@
         self.check_slow_start(now, server);
     }
 
-    /// What makes a send wrong, whatever its server.
+    /// The rules that a send violates regardless of its server.
     fn send_violations(&self, now: Time, request: &ObservedRequest, timeout_at: Time) -> Vec<&'static str> {
         let in_flight = request.has_attempt_in_flight();
         let is_past_deadline = now > request.deadline || timeout_at > request.deadline;
         let checks = [
-            (request.has_ended, "sent after its end"),
-            (request.is_bound, "sent though bound to a stream"),
-            (request.is_exhausted, "sent though a part of it is gone"),
-            (in_flight && request.is_streaming, "two attempts while it is streaming"),
-            (request.attempts.len() >= request.max_attempts, "sent beyond the attempts allowed"),
-            (in_flight && !self.settings.hedging, "two attempts at once"),
-            (is_past_deadline, "sent past its deadline"),
+            (request.has_final_response, "sent after its final response"),
+            (request.has_response_started, "sent after its response has started"),
+            (request.is_exhausted, "sent although a part of its body is no longer buffered"),
+            (in_flight && request.is_streaming, "two attempts in flight while its body is streaming"),
+            (request.attempts.len() >= request.max_attempts, "more attempts than allowed"),
+            (in_flight && !self.settings.hedging, "two attempts in flight without hedging"),
+            (is_past_deadline, "sent after its deadline, or with a timeout after it"),
         ];
         checks.into_iter().filter(|(is_violated, _)| *is_violated).map(|(_, text)| text).collect()
     }
 
-    /// What makes a send to this server wrong.
+    /// The rules that a send to this server violates.
     fn destination_violations(
         &self,
         now: Time,
         request: &ObservedRequest,
         endpoint: &Endpoint,
     ) -> Vec<&'static str> {
-        const OUTSIDE: &str = "repeated outside the group that drops repeats";
+        const OUTSIDE: &str = "retried outside its deduplication scope";
         let mut violations = Vec::new();
         match self.allowed_destinations(request, now) {
-            Destinations::None => violations.push("may have run and must not go out again"),
+            Destinations::None => violations.push("may have run and must not be sent again"),
             Destinations::Zone(zone) if zone != endpoint.zone => violations.push(OUTSIDE),
             Destinations::Group(group) if group != endpoint.dedup_group => violations.push(OUTSIDE),
             _ => {}
         }
         let grace = self.settings.drain_grace_period;
-        if self.leaving.get(&endpoint.server).is_some_and(|since| now > *since + grace) {
-            violations.push("sent to a draining or gone server");
+        if self.draining_since.get(&endpoint.server).is_some_and(|since| now > *since + grace) {
+            violations.push("sent to a draining or removed server");
         }
         violations
     }
 
     fn on_final_response(&mut self, now: Time, request: RequestId) {
         let violation = match self.requests.get_mut(&request) {
-            None => Some("ended, but nobody asked for it"),
-            Some(observed) if observed.has_ended => Some("ended twice"),
+            None => Some("final response to an unknown request"),
+            Some(observed) if observed.has_final_response => Some("second final response"),
             Some(observed) => {
-                observed.has_ended = true;
-                (now > observed.deadline + DEADLINE_TOLERANCE).then_some("ended too late")
+                observed.has_final_response = true;
+                (now > observed.deadline + DEADLINE_TOLERANCE).then_some("final response too late")
             }
         };
         if let Some(text) = violation {
-            self.fault(now, format!("{request:?}: {text}"));
+            self.report(now, format!("{request:?}: {text}"));
         }
     }
 
-    fn warmth(&self, now: Time, endpoint: &Endpoint) -> f64 {
+    fn guaranteed_capacity(&self, now: Time, endpoint: &Endpoint) -> f64 {
         endpoint.started_at.map_or(1.0, |started_at| {
             let age = now.since(started_at).ms() / self.settings.slow_start_window.ms();
             self.settings.initial_capacity + (1.0 - self.settings.initial_capacity) * age.min(1.0)
         })
     }
 
-    /// Compares this balancer's sends to a server in slow start with its sends to warm ones: at most its share, times the
-    /// overload factor, with a tolerance for random variation.
+    /// Compares the balancer's sends to a server in slow start with its sends to warm servers. Its share, times the overload
+    /// factor, must not be exceeded, with a tolerance for random variation.
     fn check_slow_start(&mut self, now: Time, server: ServerId) {
         let window = self.settings.overload_tolerance;
         while self.sends.front().is_some_and(|send| send.sent_at + window < now) {
             self.sends.pop_front();
         }
-        let own = self.warmth(now, &self.servers[&server]);
-        let is_warm =
-            |endpoint: &&Endpoint| endpoint.status == Status::Serving && self.warmth(now, endpoint) >= 1.0;
+        let own = self.guaranteed_capacity(now, &self.servers[&server]);
+        let is_warm = |endpoint: &&Endpoint| {
+            endpoint.status == Status::Serving && self.guaranteed_capacity(now, endpoint) >= 1.0
+        };
         let warm: BTreeSet<ServerId> =
             self.servers.values().filter(is_warm).map(|endpoint| endpoint.server).collect();
         if warm != self.warm {
-            // The share has changed: sends are compared with it only after a complete window.
+            // The share changes with the warm servers; sends are compared with it only after a complete window.
             self.warm = warm.clone();
-            self.warm_since = now;
+            self.warm_unchanged_since = now;
         }
-        let is_settled = now.since(self.warm_since) >= window || self.warm_since == Time(0);
+        let is_settled =
+            now.since(self.warm_unchanged_since) >= window || self.warm_unchanged_since == Time(0);
         if own >= 1.0 || warm.is_empty() || !is_settled {
             return;
         }
@@ -321,22 +323,27 @@
             self.sends.iter().filter(|send| is_counted(&send.server)).map(|send| send.work).sum()
         };
         let to_warm = work_to(&|other| warm.contains(other));
-        let to_cold = work_to(&|other| *other == server);
+        let to_this = work_to(&|other| *other == server);
         let share = to_warm / warm.len() as f64;
-        if to_cold > TOLERATED_SENDS + self.settings.overload_factor * own * share {
-            self.fault(now, format!("{server:?}: cold, sent {to_cold} where a warm one is sent {share:.1}"));
+        if to_this > TOLERATED_SENDS + self.settings.overload_factor * own * share {
+            self.report(
+                now,
+                format!("{server:?}: in slow start, sent {to_this}; a warm server is sent {share:.1}"),
+            );
         }
     }
 
     /// The number of requests whose final response is overdue.
-    pub fn lost(&self, now: Time) -> usize {
-        let is_lost = |request: &&ObservedRequest| {
-            !request.has_ended && !request.is_bound && now > request.deadline + DEADLINE_TOLERANCE
+    pub fn overdue_responses(&self, now: Time) -> usize {
+        let is_overdue = |request: &&ObservedRequest| {
+            !request.has_final_response
+                && !request.has_response_started
+                && now > request.deadline + DEADLINE_TOLERANCE
         };
-        self.requests.values().filter(is_lost).count()
+        self.requests.values().filter(is_overdue).count()
     }
 
-    pub fn forget_ended(&mut self) {
-        self.requests.retain(|_, request| !request.has_ended || request.has_attempt_in_flight());
+    pub fn discard_finished(&mut self) {
+        self.requests.retain(|_, request| !request.has_final_response || request.has_attempt_in_flight());
     }
 }
--- a/crates/balancer/tests/common/route.rs
+++ b/crates/balancer/tests/common/route.rs
@@ -3,10 +3,10 @@
 use super::*;
 use std::sync::Arc;
 
-/// The number of the first request; those of the inner harness start at 0.
+/// Id of the first request; ids of the inner harness start at 0.
 const FIRST_REQUEST: u64 = 1_000_000;
 
-/// An idempotent class, one that must not run twice, and one that is deduplicated in a zone.
+/// Settings with an idempotent class, one whose requests must not run twice, and one that is deduplicated within a zone.
 pub fn route_settings() -> Settings {
     Settings {
         classes: vec![
@@ -45,7 +45,7 @@
         RouteHarness { harness, next_request: FIRST_REQUEST }
     }
 
-    /// Submits a request with these limits; returns the server that it was sent to, if any.
+    /// Submits a request with these limits; returns its id and the server that it was sent to, if any.
     pub fn request(
         &mut self,
         class: usize,
@@ -64,14 +64,14 @@
         (id, self.harness.sent_to(id))
     }
 
-    /// Ends an attempt; returns the server that the request was sent to next, if any.
+    /// Reports the outcome of an attempt; returns the server that the request is sent to next, if any.
     pub fn respond(&mut self, id: RequestId, attempt: u32, outcome: Outcome) -> Option<ServerId> {
         self.harness.respond(id, attempt, outcome, 10.0);
         self.harness.sent_to(id)
     }
 }
 
-/// The standard limits with a change.
+/// The standard limits with one change.
 pub fn limits(change: impl FnOnce(&mut Limits)) -> Arc<Limits> {
     let mut limits = Limits::STANDARD;
     change(&mut limits);
--- a/crates/balancer/tests/drain.rs
+++ b/crates/balancer/tests/drain.rs
@@ -1,4 +1,4 @@
-//! Rule three: no new requests to draining or removed servers.
+//! Rule three: draining and removed servers receive no new requests.
 mod common;
 use bellcroft_balancer::*;
 use common::*;
@@ -32,8 +32,8 @@
 #[test]
 fn last_of_duplicate_entries_applies() {
     assert_drained(|endpoints| {
-        let gone = Endpoint { status: Status::Draining, ..endpoints[0].clone() };
-        EndpointUpdate::Snapshot(vec![endpoints[0].clone(), endpoints[1].clone(), gone])
+        let draining = Endpoint { status: Status::Draining, ..endpoints[0].clone() };
+        EndpointUpdate::Snapshot(vec![endpoints[0].clone(), endpoints[1].clone(), draining])
     });
 }
 
@@ -45,7 +45,10 @@
         ..Settings::default()
     };
     let mut harness = Harness::new(settings, 2);
-    assert!(harness.actions.contains(&Action::Watch { active: true }), "watched from the start");
+    assert!(
+        harness.actions.contains(&Action::Watch { active: true }),
+        "the watch must be open from the start"
+    );
     harness.set_endpoints(fleet(2, 1, 1));
     let mut watches = 0;
     for _ in 0..5 {
--- a/crates/balancer/tests/ejection.rs
+++ b/crates/balancer/tests/ejection.rs
@@ -1,4 +1,4 @@
-//! Ejection of hanging, failing and slow servers, and none where all servers are slow.
+//! Silent, failing and slow servers are ejected; none is if all servers are slow.
 mod common;
 use bellcroft_balancer::*;
 use common::*;
@@ -7,12 +7,13 @@
     Settings { classes: vec![class(retry_safety)], ..Settings::default() }
 }
 
-/// Sends requests one after the other, each completed by `answer`; returns how many went to each of `n` servers.
+/// Sends requests one after another, each with the outcome and duration by `respond_with`; returns the attempts sent to each
+/// of `n` servers.
 fn serve(
     harness: &mut Harness,
     n: usize,
     count: u32,
-    answer: impl Fn(ServerId) -> (Outcome, f64),
+    respond_with: impl Fn(ServerId) -> (Outcome, f64),
 ) -> Vec<u32> {
     let mut sent = vec![0; n];
     for _ in 0..count {
@@ -20,7 +21,7 @@
         let mut attempt = 0;
         while let Some(to) = server {
             sent[to.0 as usize] += 1;
-            let (outcome, ms) = answer(to);
+            let (outcome, ms) = respond_with(to);
             harness.advance(Micros::from_ms(ms));
             harness.respond(id, attempt, outcome, ms);
             server = harness.sent_to(id);
@@ -34,16 +35,21 @@
 
 #[test]
 fn fast_failing_server_is_ejected() {
-    for bad in [Outcome::ServerError, Outcome::ConnectFailed, Outcome::ConnectionReset] {
+    for failure in [Outcome::ServerError, Outcome::ConnectFailed, Outcome::ConnectionReset] {
         let mut harness = Harness::new(settings(RetrySafety::Idempotent), 11);
         harness.set_endpoints(fleet(5, 1, 1));
         let failing = ServerId(2);
         let sent =
-            serve(&mut harness, 5, 400, |s| if s == failing { (bad, 0.2) } else { (Outcome::Success, 30.0) });
-        assert!(sent[2] <= 12, "{bad:?}: {sent:?}, trials only");
-        assert!(sent[2] >= 3, "{bad:?}: {sent:?}, there are trials");
+            serve(
+                &mut harness,
+                5,
+                400,
+                |s| if s == failing { (failure, 0.2) } else { (Outcome::Success, 30.0) },
+            );
+        assert!(sent[2] <= 12, "{failure:?}: {sent:?}, more than trials were sent");
+        assert!(sent[2] >= 3, "{failure:?}: {sent:?}, too few trials were sent");
         let recovered = serve(&mut harness, 5, 400, |_| (Outcome::Success, 30.0));
-        assert!(recovered[2] > 30, "{bad:?}: {recovered:?}, the ejection has ended");
+        assert!(recovered[2] > 30, "{failure:?}: {recovered:?}, the ejection has not ended");
     }
 }
 
@@ -71,7 +77,7 @@
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 5);
     harness.set_endpoints(fleet(4, 1, 1));
     serve(&mut harness, 4, 40, |_| (Outcome::Success, 20.0));
-    // Two requests at one server without a response, none at the others.
+    // Two requests at one server stay without a response; the other servers respond.
     let requests: Vec<_> =
         (0..8).map(|_| harness.request(0)).filter_map(|(id, s)| s.map(|s| (id, s))).collect();
     let silent =
@@ -89,20 +95,20 @@
         harness.respond(id, 1, Outcome::Success, 20.0);
     }
     let after = serve(&mut harness, 4, 6, |_| (Outcome::Success, 20.0));
-    assert_eq!(after[silent.0 as usize], 0, "none before its first trial");
+    assert_eq!(after[silent.0 as usize], 0, "requests were sent before the first trial");
 }
 
-/// Regression: at low load, expensive requests ejected healthy servers, and were retried in vain.
+/// Regression: at low load, an expensive request ejected a healthy server and was retried without need.
 #[test]
 fn expensive_lone_request_is_not_overdue_early() {
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 5);
     harness.set_endpoints(fleet(4, 1, 1));
     serve(&mut harness, 4, 40, |_| (Outcome::Success, 20.0));
     assert!(harness.request(0).1.is_some());
-    let seen =
+    let is_overdue_handled =
         |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Cancel { .. } | Action::Log { .. }));
-    assert!(!seen(&harness.advance(Micros::from_ms(195.0))));
-    assert!(seen(&harness.advance(Micros::from_ms(60.0))), "overdue after its objective");
+    assert!(!is_overdue_handled(&harness.advance(Micros::from_ms(195.0))));
+    assert!(is_overdue_handled(&harness.advance(Micros::from_ms(60.0))), "not overdue after its objective");
 }
 
 #[test]
@@ -116,7 +122,7 @@
     harness.assert_rules();
 }
 
-/// Without idempotent classes there are no preferred trials, so that other requests must be sent as trials.
+/// Without idempotent classes, non-idempotent requests must be used as trials.
 #[test]
 fn non_idempotent_trial_ends_ejection() {
     let mut harness = Harness::new(settings(RetrySafety::AtMostOnce), 11);
@@ -130,7 +136,7 @@
 }
 
 #[test]
-fn mostly_unreachable_fleet_uses_the_rest() {
+fn mostly_unreachable_fleet_uses_remaining_servers() {
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 11);
     harness.set_endpoints(fleet(8, 1, 1));
     let outcome_of =
--- a/crates/balancer/tests/final_response.rs
+++ b/crates/balancer/tests/final_response.rs
@@ -1,9 +1,9 @@
-//! Rule one: each accepted request gets one final response in time, and nothing is sent for it afterwards.
+//! Rule one: each request gets exactly one final response in time, and no attempt is sent afterwards.
 mod common;
 use bellcroft_balancer::*;
 use common::*;
 
-fn plain() -> Settings {
+fn settings() -> Settings {
     Settings {
         classes: vec![class(RetrySafety::Idempotent), class(RetrySafety::AtMostOnce)],
         ..Settings::default()
@@ -11,19 +11,19 @@
 }
 
 #[test]
-fn empty_fleet_queues_then_rejects() {
-    let mut harness = Harness::new(plain(), 1);
+fn empty_fleet_queues_then_sheds() {
+    let mut harness = Harness::new(settings(), 1);
     let (id, sent) = harness.request(0);
     assert_eq!(sent, None);
-    assert!(!is_rejected(&harness.actions, id), "queued first");
+    assert!(!is_shed(&harness.actions, id), "queued first");
     let actions = harness.advance(Micros::from_ms(800.0));
-    assert!(is_rejected(&actions, id));
+    assert!(is_shed(&actions, id));
     harness.assert_rules();
 }
 
 #[test]
 fn queued_request_is_sent_when_list_arrives() {
-    let mut harness = Harness::new(plain(), 1);
+    let mut harness = Harness::new(settings(), 1);
     let (id, _) = harness.request(1);
     harness.set_endpoints(fleet(3, 1, 1));
     assert!(harness.sent_to(id).is_some());
@@ -33,20 +33,20 @@
 
 /// Regression: a client's last retry may arrive without any time left.
 #[test]
-fn request_without_time_left_is_rejected() {
+fn request_without_time_left_is_shed() {
     for servers in [0, 3] {
-        let mut harness = Harness::new(plain(), 1);
+        let mut harness = Harness::new(settings(), 1);
         harness.set_endpoints(fleet(servers, 1, 1));
         let id = RequestId(77);
         harness.handle(Event::Request(Request::new(id, ClassId(0), Micros::ZERO)));
-        assert!(is_rejected(&harness.actions, id));
+        assert!(is_shed(&harness.actions, id));
         harness.assert_rules();
     }
 }
 
 #[test]
 fn timed_out_unsafe_request_fails() {
-    let mut harness = Harness::new(plain(), 1);
+    let mut harness = Harness::new(settings(), 1);
     harness.set_endpoints(fleet(3, 1, 1));
     let (id, _) = harness.request(1);
     harness.advance(Micros::from_ms(800.0));
@@ -57,7 +57,7 @@
 
 #[test]
 fn late_duplicate_and_unknown_events_are_ignored() {
-    let mut harness = Harness::new(plain(), 1);
+    let mut harness = Harness::new(settings(), 1);
     harness.set_endpoints(fleet(3, 1, 1));
     let (id, _) = harness.request(0);
     harness.respond(id, 0, Outcome::Success, 20.0);
@@ -82,7 +82,7 @@
 
 #[test]
 fn disconnected_client_gets_no_retry() {
-    let mut harness = Harness::new(plain(), 1);
+    let mut harness = Harness::new(settings(), 1);
     harness.set_endpoints(fleet(3, 1, 1));
     let (id, _) = harness.request(0);
     harness.handle(Event::ClientDisconnected { request: id });
@@ -92,26 +92,26 @@
 
 #[test]
 fn settings_limit_attempts() {
-    for most in 1..4 {
-        let mut harness = Harness::new(Settings { max_attempts: most, ..plain() }, 5);
+    for max_attempts in 1..4 {
+        let mut harness = Harness::new(Settings { max_attempts, ..settings() }, 5);
         harness.set_endpoints(fleet(9, 1, 1));
         let (id, _) = harness.request(0);
         let mut sends = 1;
-        for attempt in 0..most {
+        for attempt in 0..max_attempts {
             harness.respond(id, attempt, Outcome::Rejected, 1.0);
             sends += u32::from(harness.sent_to(id).is_some());
         }
-        assert_eq!(sends, most);
-        assert!(is_rejected(&harness.actions, id));
+        assert_eq!(sends, max_attempts);
+        assert!(is_shed(&harness.actions, id));
         harness.assert_rules();
     }
 }
 
-/// Regression: a request that was queued at the time of a tick postponed the tick, so that a steady stream of
-/// requests prevented it, and queued requests passed their deadline without a response.
+/// Regression: each request that was queued postponed the next tick, so that a steady stream of requests prevented it and
+/// queued requests passed their deadline without a response.
 #[test]
 fn requests_at_each_tick_do_not_postpone_it() {
-    let mut harness = Harness::new(plain(), 1);
+    let mut harness = Harness::new(settings(), 1);
     let (first, _) = harness.request(0);
     let mut all = Vec::new();
     for _ in 0..200 {
@@ -119,7 +119,7 @@
         harness.request(0);
         all.extend(harness.advance(Micros::ZERO));
     }
-    assert!(is_rejected(&all, first));
-    assert_eq!(harness.observer.lost(harness.now), 0);
+    assert!(is_shed(&all, first));
+    assert_eq!(harness.observer.overdue_responses(harness.now), 0);
     harness.assert_rules();
 }
--- a/crates/balancer/tests/limits.rs
+++ b/crates/balancer/tests/limits.rs
@@ -57,16 +57,16 @@
 
 #[test]
 fn route_limits_attempts() {
-    for most in 1..4 {
+    for max_attempts in 1..4 {
         let mut route = RouteHarness::new(6);
-        let limits = limits(|l| l.max_attempts = most);
+        let limits = limits(|l| l.max_attempts = max_attempts);
         let (id, sent) = route.request(0, &limits, None);
         assert!(sent.is_some());
         let mut attempts = 1;
         while route.respond(id, attempts - 1, Outcome::ServerError).is_some() {
             attempts += 1;
         }
-        assert_eq!(attempts, most);
+        assert_eq!(attempts, max_attempts);
         route.harness.assert_rules();
     }
 }
@@ -97,20 +97,20 @@
     let mut elsewhere = 0;
     for seed in 0..40 {
         let mut route = RouteHarness::new(8);
-        for (class, kept) in [(0, true), (0, false)] {
-            let route_limits = if kept { limits.clone() } else { Arc::new(Limits::STANDARD) };
+        for (class, is_limited) in [(0, true), (0, false)] {
+            let route_limits = if is_limited { limits.clone() } else { Arc::new(Limits::STANDARD) };
             for _ in 0..seed % 5 {
                 route.harness.request(0);
             }
             let (id, Some(first)) = route.request(class, &route_limits, None) else { continue };
             if let Some(second) = route.respond(id, 0, Outcome::ConnectFailed) {
                 let same = first.0 % 2 == second.0 % 2;
-                assert!(same || !kept, "{first:?} {second:?}");
+                assert!(same || !is_limited, "{first:?} {second:?}");
                 elsewhere += u32::from(!same);
             }
         }
     }
-    assert!(elsewhere > 0, "no attempt without the limit left its zone: the test shows nothing");
+    assert!(elsewhere > 0, "no attempt without the limit left its zone: the test has no effect");
 }
 
 #[test]
@@ -138,64 +138,73 @@
         route.harness.advance(Micros::from_ms(100.0));
         route.harness.respond(id, 2, Outcome::TimedOut, 100.0);
     }
-    assert!(is_rejected(&route.harness.actions, id), "its final response is immediate");
+    assert!(is_shed(&route.harness.actions, id), "the final response must be immediate");
     route.harness.assert_rules();
 }
 
-/// The deduplication window starts with the first attempt, the drain grace period with the decision; and a connect timeout of
-/// a quarter of the time until the objective leaves the rest to another attempt.
+/// The first byte must be written within the dedup window, which starts with the first attempt, the drain grace period, which
+/// starts with the decision, and the connect timeout. That is a quarter of the time to the objective, which leaves time for
+/// another attempt.
 #[test]
 fn write_deadline_is_the_earliest_bound() {
-    let patient = |aim_ms: f64| Class {
-        latency_objective: Micros::from_ms(aim_ms),
+    let patient = |objective_ms: f64| Class {
+        latency_objective: Micros::from_ms(objective_ms),
         deadline: Micros::from_ms(30_000.0),
         ..class(keyed(DedupScope::All, 3000.0))
     };
     // In milliseconds after the request arrived.
-    let write_by = |harness: &Harness, came: Time| {
+    let write_by = |harness: &Harness, arrived_at: Time| {
         harness.actions.iter().find_map(|a| match a {
-            Action::Send { write_by, .. } => Some(write_by.since(came).ms()),
+            Action::Send { write_by, .. } => Some(write_by.since(arrived_at).ms()),
             _ => None,
         })
     };
-    let ask = |aim_ms: f64, grace_ms: f64| {
-        let (classes, drain_grace) = (vec![patient(aim_ms)], Micros::from_ms(grace_ms));
+    let submit = |objective_ms: f64, grace_ms: f64| {
+        let (classes, drain_grace) = (vec![patient(objective_ms)], Micros::from_ms(grace_ms));
         let settings = Settings { classes, drain_grace_period: drain_grace, ..Settings::default() };
         let mut harness = Harness::new(settings, 3);
         harness.set_endpoints(fleet(4, 1, 1));
-        let (came, (id, _)) = (harness.now, harness.request(0));
-        (harness, id, came)
+        let (arrived_at, (id, _)) = (harness.now, harness.request(0));
+        (harness, id, arrived_at)
     };
-    let (harness, _, came) = ask(20_000.0, 1000.0);
+    let (harness, _, arrived_at) = submit(20_000.0, 1000.0);
     assert_eq!(
-        write_by(&harness, came),
+        write_by(&harness, arrived_at),
         Some(850.0),
-        "the grace, less 150 ms for a hold-up, is the shortest"
+        "the drain grace period, less 150 ms for a stall"
     );
-    let (harness, _, came) = ask(2000.0, 1000.0);
-    assert_eq!(write_by(&harness, came), Some(500.0), "a quarter of the wanted time is");
-    let (harness, _, came) = ask(40.0, 1000.0);
-    assert_eq!(write_by(&harness, came), Some(50.0), "no connection is given less");
-    let (mut harness, id, came) = ask(20_000.0, 10_000.0);
-    assert_eq!(write_by(&harness, came), Some(5000.0));
+    let (harness, _, arrived_at) = submit(2000.0, 1000.0);
+    assert_eq!(
+        write_by(&harness, arrived_at),
+        Some(500.0),
+        "the connect timeout, a quarter of the latency objective"
+    );
+    let (harness, _, arrived_at) = submit(40.0, 1000.0);
+    assert_eq!(write_by(&harness, arrived_at), Some(50.0), "the minimum connect timeout");
+    let (mut harness, id, arrived_at) = submit(20_000.0, 10_000.0);
+    assert_eq!(write_by(&harness, arrived_at), Some(5000.0));
     harness.advance(Micros::from_ms(1000.0));
     harness.respond(id, 0, Outcome::ConnectionReset, 1000.0);
-    assert_eq!(write_by(&harness, came), Some(3000.0), "the end of the window, and not of the quarter");
-    let (mut harness, id, came) = ask(20_000.0, 10_000.0);
+    assert_eq!(
+        write_by(&harness, arrived_at),
+        Some(3000.0),
+        "the end of the dedup window, before the connect timeout"
+    );
+    let (mut harness, id, arrived_at) = submit(20_000.0, 10_000.0);
     harness.advance(Micros::from_ms(1000.0));
     harness.respond(id, 0, Outcome::ConnectFailed, 1000.0);
     // An attempt that never ran starts no window.
-    assert_eq!(write_by(&harness, came), Some(1000.0 + 4750.0));
+    assert_eq!(write_by(&harness, arrived_at), Some(1000.0 + 4750.0));
 }
 
 #[test]
-fn queue_timeout_rejects_request() {
+fn queue_timeout_sheds_request() {
     let mut route = RouteHarness::new(0);
     let (short, _) = route.request(0, &limits(|l| l.queue_timeout = Micros::from_ms(100.0)), None);
     let (long, _) = route.request(0, &Arc::new(Limits::STANDARD), None);
     assert!(route.harness.advance(Micros::from_ms(90.0)).iter().all(|a| !matches!(a, Action::Shed { .. })));
     let actions = route.harness.advance(Micros::from_ms(30.0));
-    assert!(is_rejected(&actions, short) && !is_rejected(&actions, long));
+    assert!(is_shed(&actions, short) && !is_shed(&actions, long));
 }
 
 #[test]
@@ -207,12 +216,15 @@
     let (a, sent) = route.request(0, &one, None);
     assert!(sent.is_some());
     assert!(route.request(2, &two, None).1.is_some());
-    let (held, sent) = route.request(0, &one, None);
-    assert!(sent.is_none() && !is_rejected(&route.harness.actions, held), "queued");
-    let (over, _) = route.request(2, &two, None);
-    assert!(is_rejected(&route.harness.actions, over), "the queue holds one");
-    assert!(route.request(0, &Arc::new(Limits::STANDARD), None).1.is_some(), "others are not limited");
+    let (queued, sent) = route.request(0, &one, None);
+    assert!(sent.is_none() && !is_shed(&route.harness.actions, queued), "queued");
+    let (excess, _) = route.request(2, &two, None);
+    assert!(is_shed(&route.harness.actions, excess), "only one request may be queued");
+    assert!(
+        route.request(0, &Arc::new(Limits::STANDARD), None).1.is_some(),
+        "other requests are not limited"
+    );
     route.harness.respond(a, 0, Outcome::Success, 20.0);
-    assert!(route.harness.sent_to(held).is_some(), "capacity is free again");
+    assert!(route.harness.sent_to(queued).is_some(), "the queued request is sent when capacity is available");
     route.harness.assert_rules();
 }
--- a/crates/balancer/tests/overload.rs
+++ b/crates/balancer/tests/overload.rs
@@ -1,4 +1,4 @@
-//! Overload: late responses, queues, retry storms and fair load shedding.
+//! Overload: late responses, queues, client retries and fair load shedding.
 mod common;
 use bellcroft_balancer::*;
 use common::*;
@@ -9,56 +9,56 @@
 }
 
 /// Fills a fleet of one server until requests are queued; returns the requests sent and those queued.
-fn fill(harness: &mut Harness, count: u32) -> (Vec<RequestId>, Vec<RequestId>) {
+fn fill_queue(harness: &mut Harness, count: u32) -> (Vec<RequestId>, Vec<RequestId>) {
     harness.set_endpoints(fleet(1, 1, 1));
-    let asked: Vec<_> = (0..count)
+    let submitted: Vec<_> = (0..count)
         .map(|_| {
             harness.advance(Micros::from_ms(1.0));
             harness.request(0)
         })
         .collect();
-    let sent = asked.iter().filter(|a| a.1.is_some()).map(|a| a.0).collect();
-    (sent, asked.iter().filter(|a| a.1.is_none()).map(|a| a.0).collect())
+    let sent = submitted.iter().filter(|a| a.1.is_some()).map(|a| a.0).collect();
+    (sent, submitted.iter().filter(|a| a.1.is_none()).map(|a| a.0).collect())
 }
 
-/// In FIFO order every queued request would be late.
+/// In FIFO order every queued request would get a late response.
 #[test]
 fn queue_is_drained_newest_first() {
     let mut harness = Harness::new(settings(), 1);
-    let (sent, held) = fill(&mut harness, 12);
-    assert!(!sent.is_empty() && held.len() > 4);
+    let (sent, queued) = fill_queue(&mut harness, 12);
+    assert!(!sent.is_empty() && queued.len() > 4);
     harness.respond(sent[0], 0, Outcome::Success, 20.0);
-    assert!(harness.sent_to(*held.last().unwrap()).is_some());
-    assert!(harness.sent_to(held[0]).is_none());
+    assert!(harness.sent_to(*queued.last().unwrap()).is_some());
+    assert!(harness.sent_to(queued[0]).is_none());
 }
 
 #[test]
-fn queued_request_is_rejected_before_objective() {
+fn queued_request_is_shed_before_objective() {
     let mut harness = Harness::new(settings(), 1);
-    let (_, held) = fill(&mut harness, 12);
+    let (_, queued) = fill_queue(&mut harness, 12);
     let start = harness.now;
-    let mut refusals = 0;
+    let mut sheds = 0;
     while harness.now.since(start) < Micros::from_ms(200.0) {
-        refusals += harness
+        sheds += harness
             .advance(Micros::from_ms(10.0))
             .iter()
             .filter(|a| matches!(a, Action::Shed { .. }))
             .count();
-        if refusals == held.len() {
+        if sheds == queued.len() {
             break;
         }
     }
-    assert_eq!(refusals, held.len());
-    assert!(harness.now.since(start) < Micros::from_ms(200.0), "in time for the client's retry");
+    assert_eq!(sheds, queued.len());
+    assert!(harness.now.since(start) < Micros::from_ms(200.0), "shed too late for the client's retry");
 }
 
 #[test]
 fn limits_shrink_and_recover_with_latency() {
     let mut harness = Harness::new(settings(), 1);
     harness.set_endpoints(fleet(2, 1, 1));
-    let mut round = |ms: f64| {
+    let mut run_round = |ms: f64| {
         let mut out = Vec::new();
-        let held = loop {
+        let queued = loop {
             match harness.request(0) {
                 (id, Some(_)) => out.push(id),
                 (id, None) => break id,
@@ -68,29 +68,29 @@
         harness.advance(Micros::from_ms(ms));
         let mut late = None;
         for id in out {
-            late = late.or(sent_in(harness.respond(id, 0, Outcome::Success, ms), held));
+            late = late.or(sent_in(harness.respond(id, 0, Outcome::Success, ms), queued));
         }
         if late.is_some() {
-            harness.respond(held, 0, Outcome::Success, ms);
+            harness.respond(queued, 0, Outcome::Success, ms);
         }
         harness.advance(Micros::from_ms(250.0));
         now
     };
-    let first = round(20.0);
+    let first = run_round(20.0);
     for _ in 0..10 {
-        round(210.0);
+        run_round(210.0);
     }
-    let crowded = round(210.0);
-    assert!(crowded < first, "{crowded} after late responses, {first} before");
+    let congested = run_round(210.0);
+    assert!(congested < first, "{congested} after late responses, {first} before");
     for _ in 0..60 {
-        round(15.0);
+        run_round(15.0);
     }
-    assert!(round(15.0) > crowded + 2, "limits grow again, from one and a half too");
+    assert!(run_round(15.0) > congested + 2, "limits do not grow again");
 }
 
-/// Rejected attempts must not circulate in the fleet without delay.
+/// Attempts that servers reject must not circulate in the fleet without delay.
 #[test]
-fn rejecting_server_rests() {
+fn rejecting_server_is_paused() {
     let mut harness = Harness::new(settings(), 1);
     harness.set_endpoints(fleet(3, 1, 1));
     let mut sends = 0;
@@ -113,8 +113,8 @@
     harness.assert_rules();
 }
 
-/// Limits of one request each from many balancers can overload a server. A balancer with four requests per second sheds
-/// what a state of half a second's lifetime allows.
+/// Many balancers with a limit of one request each can overload a server. At four requests per second, how much a balancer
+/// sheds is bounded by the lifetime of its fleet state, half a second.
 #[test]
 fn limit_falls_below_one_with_many_balancers() {
     let rate = |balancers| {
@@ -132,7 +132,7 @@
         sends
     };
     let (one, twenty) = (rate(1), rate(20));
-    assert!(twenty * 2 < one, "{twenty} sends beside twenty others, {one} alone");
+    assert!(twenty * 2 < one, "{twenty} sends with 20 balancers, {one} with one");
 }
 
 fn sends(harness: &mut Harness, id: u64, left_ms: f64, is_retry: bool) -> bool {
@@ -141,7 +141,7 @@
     actions.iter().any(|action| matches!(action, Action::Send { .. }))
 }
 
-/// First attempts of a class arrive with equal time left, here with 500 of 800 ms.
+/// A harness whose clients' first tries arrive with 500 ms left of a deadline of 800 ms.
 fn harness_with_usual_time_left() -> Harness {
     let mut harness = Harness::new(settings(), 1);
     harness.set_endpoints(fleet(9, 1, 1));
@@ -151,45 +151,49 @@
     harness
 }
 
-/// A client's retry is recognised by its mark; after its objective, serving it is of no value.
+/// A client's retry is recognised by its mark. A response after its objective has no value.
 #[test]
-fn marked_client_retry_past_objective_is_rejected() {
+fn marked_client_retry_past_objective_is_shed() {
     let mut harness = harness_with_usual_time_left();
     assert!(sends(&mut harness, 10, 700.0, true), "100 ms spent: half of the objective is left");
     assert!(!sends(&mut harness, 11, 580.0, true), "220 ms spent: past the objective of 200 ms");
 }
 
-/// Without a mark it is recognised by its unusual time left, after a request of its class has been given up.
+/// A client's retry without a mark is recognised by its unusual time left, if a request of its class was shed before.
 #[test]
-fn unmarked_client_retry_past_objective_is_rejected() {
+fn unmarked_client_retry_past_objective_is_shed() {
     let mut harness = harness_with_usual_time_left();
-    let give_up = |harness: &mut Harness, id: u64| {
-        assert!(!sends(harness, id, 1.0, false), "nobody answers that soon");
+    let fail_request = |harness: &mut Harness, id: u64| {
+        assert!(!sends(harness, id, 1.0, false), "a response within 1 ms is impossible");
     };
-    give_up(&mut harness, 20);
+    fail_request(&mut harness, 20);
     assert!(sends(&mut harness, 10, 700.0, false), "100 ms spent: half of the objective is left");
-    give_up(&mut harness, 21);
+    fail_request(&mut harness, 21);
     assert!(!sends(&mut harness, 11, 580.0, false), "220 ms spent: past the objective of 200 ms");
-    assert!(sends(&mut harness, 12, 580.0, false), "each that was given up has had its retry");
+    assert!(sends(&mut harness, 12, 580.0, false), "no further retry is expected");
 }
 
-/// A client with less patience than others must not be rejected for a retry that it is not.
+/// A request of a client with a shorter deadline must not be shed as a retry.
 #[test]
-fn request_with_unusual_time_left_is_no_retry_if_none_was_given_up() {
+fn unusual_time_left_alone_marks_no_retry() {
     let mut harness = harness_with_usual_time_left();
     for id in 10..14 {
         assert!(sends(&mut harness, id, 400.0, false), "nothing was rejected and nothing failed");
     }
 }
 
-fn pressed(settings: Settings, ask: impl Fn(u32) -> Request) -> BTreeMap<(usize, Option<usize>), (u32, u32)> {
+/// Sends more load than the fleet can serve; returns the numbers of requests and of responses by class and tenant.
+fn overloaded_counts(
+    settings: Settings,
+    request_at: impl Fn(u32) -> Request,
+) -> BTreeMap<(usize, Option<usize>), (u32, u32)> {
     let mut harness = Harness::new(settings, 3);
     harness.set_endpoints(fleet(2, 1, 1));
     let mut out: Vec<(Time, Request)> = Vec::new();
-    let mut tally: BTreeMap<_, (u32, u32)> = BTreeMap::new();
+    let mut counts: BTreeMap<_, (u32, u32)> = BTreeMap::new();
     for i in 0..6000 {
-        let request = ask(i);
-        let entry = tally.entry((request.class.0, request.tenant.map(|t| t.0))).or_default();
+        let request = request_at(i);
+        let entry = counts.entry((request.class.0, request.tenant.map(|t| t.0))).or_default();
         entry.0 += 1;
         let mut actions = harness.handle(Event::Request(request.clone())).to_vec();
         out.push((Time(u64::MAX), request));
@@ -197,10 +201,10 @@
         let due: Vec<_> = out.iter().filter(|o| o.0 <= harness.now).map(|o| o.1.id).collect();
         for id in due {
             actions.extend_from_slice(harness.respond(id, 0, Outcome::Success, 40.0));
-            let (_, r) = out.swap_remove(out.iter().position(|o| o.1.id == id).expect("it is out"));
-            tally
+            let (_, r) = out.swap_remove(out.iter().position(|o| o.1.id == id).expect("it is in flight"));
+            counts
                 .get_mut(&(r.class.0, r.tenant.map(|t| t.0)))
-                .expect("a tally of each class and tenant")
+                .expect("each class and tenant has an entry")
                 .1 += 1;
         }
         for action in actions {
@@ -211,26 +215,26 @@
             }
         }
     }
-    tally
+    counts
 }
 
-fn share(tally: &(u32, u32)) -> f64 {
-    f64::from(tally.1) / f64::from(tally.0)
+fn served_fraction(counts: &(u32, u32)) -> f64 {
+    f64::from(counts.1) / f64::from(counts.0)
 }
 
 #[test]
 fn overload_sheds_low_priority_first_without_starvation() {
-    let worth = |worth| Class { priority_weight: worth, ..class(RetrySafety::Idempotent) };
-    let goal = Objective { all_requests: 0.7, worst_window: 0.0, worst_class: 0.3, worst_tenant: 0.0 };
+    let with_weight = |weight| Class { priority_weight: weight, ..class(RetrySafety::Idempotent) };
+    let objective = Objective { all_requests: 0.7, worst_window: 0.0, worst_class: 0.3, worst_tenant: 0.0 };
     let settings = Settings {
-        classes: vec![worth(1.0), worth(3.0), worth(10.0)],
-        objective: goal,
+        classes: vec![with_weight(1.0), with_weight(3.0), with_weight(10.0)],
+        objective,
         ..Settings::default()
     };
-    let tally = pressed(settings, |i| {
+    let counts = overloaded_counts(settings, |i| {
         Request::new(RequestId(u64::from(i)), ClassId((i % 3) as usize), Micros::from_ms(800.0))
     });
-    let served: Vec<f64> = tally.values().map(share).collect();
+    let served: Vec<f64> = counts.values().map(served_fraction).collect();
     assert!(served[2] > served[0] + 0.1 && served[2] > served[1] + 0.1, "{served:?}");
     assert!(served[0] > 0.05 && served[1] > 0.05, "{served:?}");
 }
@@ -244,16 +248,16 @@
         classes: vec![class(RetrySafety::Idempotent)],
         ..Settings::default()
     };
-    let tally = pressed(settings, |i| Request {
+    let counts = overloaded_counts(settings, |i| Request {
         tenant: Some(TenantId(usize::from(i % 5 == 0))),
         ..Request::new(RequestId(u64::from(i)), ClassId(0), Micros::from_ms(800.0))
     });
-    let served: Vec<f64> = tally.values().map(share).collect();
+    let served: Vec<f64> = counts.values().map(served_fraction).collect();
     assert!(served[1] > served[0] + 0.05, "the tenant within its quota: {served:?}");
 }
 
-/// Regression: a balancer with little traffic has few responses of each server; with limits per server only, it took half a
-/// minute of late responses to relieve a congested fleet.
+/// Regression: a balancer with little traffic receives few responses from each server. With limits per server alone it took
+/// half a minute of late responses to reduce the load of a congested fleet.
 #[test]
 fn round_of_late_responses_halves_sends() {
     let settings = Settings { balancers: 20, ..settings() };
@@ -261,32 +265,32 @@
     harness.set_endpoints(fleet(24, 1, 1));
     let burst = |harness: &mut Harness| -> Vec<RequestId> {
         let sent = |harness: &mut Harness| {
-            Some(harness.request(0)).filter(|asked| asked.1.is_some()).map(|asked| asked.0)
+            Some(harness.request(0)).filter(|submitted| submitted.1.is_some()).map(|submitted| submitted.0)
         };
         std::iter::from_fn(|| sent(harness)).collect()
     };
-    let answer = |harness: &mut Harness, ids: &[RequestId], ms: f64| {
+    let respond = |harness: &mut Harness, ids: &[RequestId], ms: f64| {
         harness.advance(Micros::from_ms(ms));
         ids.iter().for_each(|&id| {
             harness.respond(id, 0, Outcome::Success, ms);
         });
     };
-    let crowd = burst(&mut harness);
-    answer(&mut harness, &crowd, 250.0);
+    let before = burst(&mut harness);
+    respond(&mut harness, &before, 250.0);
     harness.advance(Micros::from_ms(250.0));
     let after = burst(&mut harness);
-    assert!(after.len() * 2 < crowd.len(), "{} sent, {} before", after.len(), crowd.len());
-    answer(&mut harness, &after, 20.0);
+    assert!(after.len() * 2 < before.len(), "{} sent, {} before", after.len(), before.len());
+    respond(&mut harness, &after, 20.0);
     for _ in 0..500 {
         harness.request_and_respond(20.0);
     }
     let last = burst(&mut harness);
-    assert!(last.len() * 3 > crowd.len(), "good responses restore it: {}", last.len());
+    assert!(last.len() * 3 > before.len(), "the load does not recover after good responses: {}", last.len());
 }
 
-/// Regression: rests kept the duration set with the last response, up to 47 s after congestion.
+/// Regression: the pause after a response was fixed when the response arrived, so that it lasted up to 47 s after congestion.
 #[test]
-fn rest_ends_when_limit_scale_recovers() {
+fn pause_ends_when_limit_scale_recovers() {
     let mut harness = Harness::new(Settings { balancers: 20, ..settings() }, 1);
     harness.set_endpoints(fleet(2, 1, 1));
     for _ in 0..30 {
@@ -298,5 +302,5 @@
         used.extend(harness.request_and_respond(5.0));
         harness.advance(Micros::from_ms(45.0));
     }
-    assert_eq!(used.len(), 2, "both in use within 8 s");
+    assert_eq!(used.len(), 2, "both servers must be in use within 8 s");
 }
--- a/crates/balancer/tests/random_walk.rs
+++ b/crates/balancer/tests/random_walk.rs
@@ -1,4 +1,4 @@
-//! The four rules under random events, and determinism: equal events yield equal actions.
+//! Random events violate none of the four rules, and equal events yield equal actions.
 mod common;
 use bellcroft_balancer::*;
 use common::*;
@@ -34,11 +34,11 @@
     attempt: u32,
     sent_at: Time,
     deadline: Time,
-    /// Its response stream has begun.
-    is_bound: bool,
+    /// True if its response stream has begun.
+    has_response_started: bool,
 }
 
-/// A harness with random events.
+/// A harness that generates random events.
 struct Walk {
     rng: fastrand::Rng,
     settings: Settings,
@@ -47,11 +47,11 @@
     /// Requests whose body is still arriving.
     streaming: Vec<RequestId>,
     in_flight: Vec<InFlight>,
-    /// Attempts by request.
+    /// Number of attempts by request.
     attempts: BTreeMap<RequestId, u32>,
 }
 
-/// Runs `steps` random events; returns the balancer's actions of each step as text.
+/// Runs `steps` random events; returns the harness and the actions of each step as text.
 fn walk(seed: u64, steps: u32) -> (Harness, Vec<String>) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let settings = settings(seed);
@@ -75,7 +75,7 @@
     fn random_event(&mut self, step: u32) -> Vec<Action> {
         match self.rng.u32(0..100) {
             0..=39 => self.submit_request(step),
-            40..=79 if !self.in_flight.is_empty() => self.end_attempt(),
+            40..=79 if !self.in_flight.is_empty() => self.finish_attempt(),
             80..=83 if !self.in_flight.is_empty() => self.begin_response(),
             84 if !self.streaming.is_empty() => self.complete_body(),
             85 if !self.streaming.is_empty() => {
@@ -109,26 +109,26 @@
         self.harness.handle(Event::Request(request)).to_vec()
     }
 
-    fn end_attempt(&mut self) -> Vec<Action> {
+    fn finish_attempt(&mut self) -> Vec<Action> {
         let rng = &mut self.rng;
-        let ended = self.in_flight.swap_remove(rng.usize(0..self.in_flight.len()));
+        let finished = self.in_flight.swap_remove(rng.usize(0..self.in_flight.len()));
         let outcome = match rng.u32(0..10) {
-            _ if self.harness.now >= ended.deadline && !ended.is_bound => Outcome::TimedOut,
+            _ if self.harness.now >= finished.deadline && !finished.has_response_started => Outcome::TimedOut,
             0 => Outcome::ServerError,
-            1 if !ended.is_bound => Outcome::Rejected,
-            2 if !ended.is_bound => Outcome::ConnectFailed,
+            1 if !finished.has_response_started => Outcome::Rejected,
+            2 if !finished.has_response_started => Outcome::ConnectFailed,
             3 => Outcome::ConnectionReset,
-            4 if !ended.is_bound => Outcome::NotSent,
+            4 if !finished.has_response_started => Outcome::NotSent,
             _ => Outcome::Success,
         };
         let report = rng.bool().then(|| vec![rng.f64() * 9.0, [f64::NAN, -4.0, 30.0][rng.usize(0..3)]]);
         let event = Event::Outcome {
-            request: ended.request,
-            attempt: AttemptNo(ended.attempt),
+            request: finished.request,
+            attempt: AttemptNo(finished.attempt),
             outcome,
-            elapsed: self.harness.now.since(ended.sent_at),
+            elapsed: self.harness.now.since(finished.sent_at),
             report,
-            is_final: outcome == Outcome::Success || ended.is_bound,
+            is_final: outcome == Outcome::Success || finished.has_response_started,
         };
         self.harness.handle(event).to_vec()
     }
@@ -136,7 +136,7 @@
     fn begin_response(&mut self) -> Vec<Action> {
         let index = self.rng.usize(0..self.in_flight.len());
         let attempt = &mut self.in_flight[index];
-        attempt.is_bound = true;
+        attempt.has_response_started = true;
         let event = Event::FirstByte { request: attempt.request, attempt: AttemptNo(attempt.attempt) };
         self.harness.handle(event).to_vec()
     }
@@ -180,10 +180,10 @@
         self.harness.handle(Event::Endpoints(update)).to_vec()
     }
 
-    /// Ends the attempts that have passed their deadline, as the host would.
+    /// Times out the attempts that have passed their deadline, as the host would.
     fn time_out_overdue(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
-        let is_overdue = |attempt: &InFlight, now| now >= attempt.deadline && !attempt.is_bound;
+        let is_overdue = |attempt: &InFlight, now| now >= attempt.deadline && !attempt.has_response_started;
         while let Some(index) = self.in_flight.iter().position(|a| is_overdue(a, self.harness.now)) {
             let overdue = self.in_flight.swap_remove(index);
             let outcome = Outcome::TimedOut;
@@ -192,7 +192,7 @@
         actions
     }
 
-    /// Adds the attempts that were sent. Cancelled ones end with the next step, as if they had timed out.
+    /// Records the attempts that were sent. Cancelled attempts finish in the next step as if they had timed out.
     fn record(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
@@ -203,13 +203,13 @@
                         attempt: *attempts,
                         sent_at: self.harness.now,
                         deadline: *timeout_at,
-                        is_bound: false,
+                        has_response_started: false,
                     });
                     *attempts += 1;
                 }
                 Action::Cancel { request, attempt } => {
                     let is_cancelled = |other: &&mut InFlight| {
-                        other.request == *request && other.attempt == attempt.0 && !other.is_bound
+                        other.request == *request && other.attempt == attempt.0 && !other.has_response_started
                     };
                     if let Some(cancelled) = self.in_flight.iter_mut().find(is_cancelled) {
                         cancelled.deadline = self.harness.now;
@@ -221,12 +221,13 @@
     }
 }
 
-/// Plays walks of so many steps, and checks the rules on each; one that hardly sends shows nothing.
+/// Runs random walks of `steps` steps and checks the rules. A walk with few sends would not test them, so each must send more
+/// than 50 times.
 fn check_walks(steps: u32) {
     for seed in 0..120 {
         let (harness, texts) = walk(seed, steps);
-        assert!(harness.observer.faults.is_empty(), "walk {seed}: {:#?}", harness.observer.faults);
-        assert_eq!(harness.observer.lost(harness.now), 0, "walk {seed}");
+        assert!(harness.observer.violations.is_empty(), "walk {seed}: {:#?}", harness.observer.violations);
+        assert_eq!(harness.observer.overdue_responses(harness.now), 0, "walk {seed}");
         let sends = texts.iter().filter(|s| s.contains("Send")).count();
         assert!(sends > 50, "walk {seed} sent only {sends} times");
     }
@@ -237,7 +238,7 @@
     check_walks(1500);
 }
 
-/// The rules over more steps; it is no substitute for the shorter walks, whose sends are to be over 50 as well.
+/// Checks longer walks as well. They do not replace the shorter ones, which must also send more than 50 times.
 #[test]
 fn longer_random_walks_violate_no_rule() {
     check_walks(1800);
@@ -260,7 +261,7 @@
     assert_ne!(with(1), with(2));
 }
 
-/// Two balancers that handle events in turn act as each does alone: they share no state.
+/// Balancers share no state: two that handle events alternately act as each does alone.
 #[test]
 fn interleaved_balancers_are_independent() {
     let step = |harness: &mut Harness, i: u32| {
--- a/crates/balancer/tests/retry_budgets.rs
+++ b/crates/balancer/tests/retry_budgets.rs
@@ -1,43 +1,44 @@
-//! Retry budgets of routes and of pools that routes share.
+//! Retry budgets of routes and of pools, which several routes share.
 mod common;
 use bellcroft_balancer::*;
 use common::*;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Requests of two routes with a budget each and one that they share: neither a route nor both together exceed theirs.
+/// Two routes have a budget each and share a third: neither a route nor both together exceed their budgets.
 #[test]
 fn retry_budgets_of_route_and_pool_hold() {
     let mut route = RouteHarness::new(8);
     let pool = budget(3, 0.0, 3.0);
     let routes = [1, 2].map(|id| limits(|l| l.retry_budgets = vec![budget(id, 0.0, 2.0), pool]));
-    let mut spent = [0, 0];
-    for (place, route_limits) in routes.iter().enumerate() {
+    let mut retries = [0, 0];
+    for (index, route_limits) in routes.iter().enumerate() {
         for outcome in [Outcome::Rejected, Outcome::ServerError, Outcome::ConnectFailed, Outcome::Rejected] {
             let (id, _) = route.request(0, route_limits, None);
             if route.respond(id, 0, outcome).is_some() {
-                spent[place] += 1;
+                retries[index] += 1;
                 route.harness.respond(id, 1, Outcome::Success, 10.0);
             }
         }
     }
-    assert_eq!(spent, [2, 1], "two by the first route's budget, and one left in the shared one");
+    assert_eq!(retries, [2, 1], "two by the first route's budget, then one by the rest of the shared budget");
     route.harness.assert_rules();
 }
 
-/// The maximum of retries per window of a second, the requests in it, and all retries, while the fleet fails for a while.
-fn storm(limits: &Arc<Limits>, copy: Option<f64>) -> (usize, f64, usize) {
+/// Simulates a temporary failure of the fleet; returns the maximum number of retries in a window of one second, the requests in
+/// that window, and the total number of retries.
+fn retry_storm(limits: &Arc<Limits>, hedge_after_ms: Option<f64>) -> (usize, f64, usize) {
     let mut route = RouteHarness::new(10);
     let mut out: VecDeque<(Time, RequestId, u32)> = VecDeque::new();
     let mut attempts: BTreeMap<RequestId, u32> = BTreeMap::new();
-    let (mut extra, mut asked): (Vec<Time>, Vec<Time>) = (Vec::new(), Vec::new());
-    let mut take = |now: Time, actions: &[Action], out: &mut VecDeque<_>, extra: &mut Vec<Time>| {
+    let (mut retry_times, mut request_times): (Vec<Time>, Vec<Time>) = (Vec::new(), Vec::new());
+    let mut record = |now: Time, actions: &[Action], out: &mut VecDeque<_>, retry_times: &mut Vec<Time>| {
         for action in actions {
             if let Action::Send { request, .. } = action {
                 let n = attempts.entry(*request).or_insert(0);
                 out.push_back((now + Micros::from_ms(150.0), *request, *n));
                 if *n > 0 {
-                    extra.push(now);
+                    retry_times.push(now);
                 }
                 *n += 1;
             }
@@ -45,20 +46,20 @@
     };
     for step in 0..8000_u32 {
         let actions = route.harness.advance(Micros::from_ms(1.0));
-        take(route.harness.now, &actions, &mut out, &mut extra);
+        record(route.harness.now, &actions, &mut out, &mut retry_times);
         if step % 5 == 0 {
-            route.request(0, limits, copy);
-            asked.push(route.harness.now);
+            route.request(0, limits, hedge_after_ms);
+            request_times.push(route.harness.now);
             let actions = route.harness.actions.clone();
-            take(route.harness.now, &actions, &mut out, &mut extra);
+            record(route.harness.now, &actions, &mut out, &mut retry_times);
         }
         while out.front().is_some_and(|(at, ..)| *at <= route.harness.now) {
-            let (_, id, attempt) = out.pop_front().expect("there is one");
+            let (_, id, attempt) = out.pop_front().expect("the queue is not empty");
             let slow = (2000..6000).contains(&step);
             let outcome = if slow { Outcome::ServerError } else { Outcome::Success };
             route.harness.respond(id, attempt, outcome, 150.0);
             let actions = route.harness.actions.clone();
-            take(route.harness.now, &actions, &mut out, &mut extra);
+            record(route.harness.now, &actions, &mut out, &mut retry_times);
         }
     }
     route.harness.assert_rules();
@@ -66,21 +67,24 @@
     let within = |times: &[Time], from: Time| {
         times.iter().filter(|at| **at >= from && at.since(from) < window).count()
     };
-    let worst =
-        extra.iter().map(|from| (within(&extra, *from), within(&asked, *from))).max().unwrap_or_default();
-    (worst.0, worst.1 as f64, extra.len())
+    let worst = retry_times
+        .iter()
+        .map(|from| (within(&retry_times, *from), within(&request_times, *from)))
+        .max()
+        .unwrap_or_default();
+    (worst.0, worst.1 as f64, retry_times.len())
 }
 
-/// No retry storm: no window has more retries than its requests earn plus the burst. As a control, the same with a budget
-/// that is practically unlimited.
+/// There is no retry storm: no window has more retries than its requests earn plus the burst. As a control, the same load
+/// with a practically unlimited budget has many more.
 #[test]
 fn retries_stay_within_budget_in_any_window() {
     let (ratio, burst) = (0.1, 5.0);
-    let kept = limits(|l| l.retry_budgets.push(budget(1, ratio, burst)));
-    let (worst, asked, all) = storm(&kept, Some(100.0));
-    assert!(worst as f64 <= ratio * asked + burst + 1.0, "{worst} of {asked}");
+    let limited = limits(|l| l.retry_budgets.push(budget(1, ratio, burst)));
+    let (worst, requests, all) = retry_storm(&limited, Some(100.0));
+    assert!(worst as f64 <= ratio * requests + burst + 1.0, "{worst} of {requests}");
     assert!(all > 20, "{all}: too few retries");
-    let loose = limits(|l| l.retry_budgets.push(budget(1, 1.0, 1e6)));
-    let (storm, ..) = storm(&loose, Some(100.0));
-    assert!(storm > 2 * worst, "{storm} without a budget, {worst} with one");
+    let unlimited = limits(|l| l.retry_budgets.push(budget(1, 1.0, 1e6)));
+    let (storm, ..) = retry_storm(&unlimited, Some(100.0));
+    assert!(storm > 2 * worst, "{storm} with an unlimited budget, {worst} with a limited one");
 }
--- a/crates/balancer/tests/retry_safety.rs
+++ b/crates/balancer/tests/retry_safety.rs
@@ -1,4 +1,4 @@
-//! Rule two: no request runs twice, and none that may have run is rejected as if it had not.
+//! Rule two: no request runs twice, and none that may have run is shed as if it had not.
 mod common;
 use bellcroft_balancer::*;
 use common::*;
@@ -13,7 +13,7 @@
     Outcome::NotSent,
 ];
 
-/// All combinations of retry safety, outcome of the first attempt, scope, and time inside or after the window.
+/// All combinations of retry safety, outcome of the first attempt, and time within or after the dedup window.
 #[test]
 fn retry_follows_retry_safety_and_outcome() {
     let retry_safeties = [
@@ -32,7 +32,7 @@
                     let mut harness = Harness::new(settings, 3);
                     harness.set_endpoints(fleet(12, 3, 4));
                     let (id, first) = harness.request(0);
-                    let first = first.expect("an idle fleet takes a request").0;
+                    let first = first.expect("an idle fleet accepts a request").0;
                     harness.advance(Micros::from_ms(ms));
                     harness.respond(id, 0, outcome, ms);
                     let (next, actions) = (harness.sent_to(id), harness.actions.clone());
@@ -51,7 +51,7 @@
                             match group {
                                 _ if never_ran => {}
                                 DedupScope::All => {
-                                    assert_eq!(is_rejected(&actions, id), !in_window, "{case}");
+                                    assert_eq!(is_shed(&actions, id), !in_window, "{case}");
                                 }
                                 DedupScope::Zone => assert_eq!(next % 3, first % 3, "{case}"),
                                 DedupScope::Group => assert_eq!(next % 4, first % 4, "{case}"),
@@ -68,7 +68,7 @@
     }
 }
 
-/// The window and the scope follow the first attempt that may have run, not the first or the last one.
+/// The dedup window and scope are those of the first attempt that may have run, not of the first or the last attempt.
 #[test]
 fn scope_follows_first_attempt_that_may_have_run() {
     let settings = Settings {
@@ -81,17 +81,17 @@
         harness.set_endpoints(fleet(9, 3, 3));
         let (id, _) = harness.request(0);
         harness.respond(id, 0, Outcome::ConnectFailed, 1.0);
-        let second = harness.sent_to(id).expect("never ran: anywhere").0;
+        let second = harness.sent_to(id).expect("a retry on any server, since the first attempt never ran").0;
         harness.respond(id, 1, Outcome::ConnectionReset, 1.0);
-        let third = harness.sent_to(id).expect("inside the window: same zone").0;
+        let third = harness.sent_to(id).expect("a retry in the same zone within the dedup window").0;
         assert_eq!(third % 3, second % 3);
         harness.assert_rules();
     }
 }
 
-/// A proof that a later attempt did not run does not lift the restriction by an earlier one.
+/// A later attempt that never ran does not lift the restriction by an earlier one that may have run.
 #[test]
-fn later_rejection_does_not_lift_retry_ban() {
+fn later_rejection_does_not_lift_retry_restriction() {
     let settings = Settings { classes: vec![class(keyed(DedupScope::Group, 5000.0))], ..Settings::default() };
     let mut harness = Harness::new(settings, 9);
     harness.set_endpoints(fleet(8, 2, 4));
@@ -101,6 +101,6 @@
     harness.respond(id, 1, Outcome::Rejected, 1.0);
     let third = harness.sent_to(id).map(|s| s.0 % 4);
     assert_eq!(third.unwrap_or(first.unwrap().0 % 4), first.unwrap().0 % 4);
-    assert!(!is_rejected(&harness.actions, id), "it may have run in the first attempt");
+    assert!(!is_shed(&harness.actions, id), "it may have run in the first attempt");
     harness.assert_rules();
 }
--- a/crates/balancer/tests/settings.rs
+++ b/crates/balancer/tests/settings.rs
@@ -38,7 +38,7 @@
     assert_eq!(with(|_| ()), None);
 }
 
-/// Without reports, keys, tenants, health checks, cancellation, Retry-After and objective, requests are served.
+/// Requests are served without load reports, keys, tenants, health checks, cancellation, Retry-After and objective weights.
 #[test]
 fn minimal_settings_serve_requests() {
     let settings = Settings {
@@ -60,12 +60,12 @@
 }
 
 #[test]
-fn request_of_unknown_class_is_rejected() {
+fn request_of_unknown_class_is_shed() {
     let mut harness = Harness::new(Settings::default(), 1);
     harness.set_endpoints(fleet(3, 1, 1));
     let request = Request::new(RequestId(5), ClassId(9), Micros::from_ms(100.0));
     let mut actions = Vec::new();
     harness.balancer.handle(harness.now, Event::Request(request), &mut actions);
-    assert!(is_rejected(&actions, RequestId(5)));
+    assert!(is_shed(&actions, RequestId(5)));
     assert!(!actions.iter().any(|a| matches!(a, Action::Send { .. })));
 }
--- a/crates/balancer/tests/slow_start/fleet.rs
+++ b/crates/balancer/tests/slow_start/fleet.rs
@@ -5,23 +5,23 @@
 use bellcroft_balancer::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The network delay between a balancer and a server, one way.
+/// One-way network delay between a balancer and a server.
 const NETWORK_DELAY: Micros = Micros(400);
-/// The work of a handshake, in mean requests; each attempt counts with one.
+/// Work of a handshake, in mean requests; each attempt includes a handshake.
 const HANDSHAKE_WORK: f64 = 0.1;
-/// How long a server that restarts is down.
+/// Time for which a restarting server is down.
 const DOWN_TIME: Micros = Micros(600_000);
-/// The interval between two servers of a rolling restart.
+/// Interval between two servers of a rolling restart.
 const ROLLING_STEP: Micros = Micros(500_000);
-/// A rejected client retries once, after this time.
+/// Time after which a client retries a shed request, at most once.
 const CLIENT_BACKOFF: Micros = Micros(30_000);
-/// The time before the first start, in which the balancers collect statistics of their servers.
+/// Time before the first server start, in which the balancers collect statistics of their servers.
 const RUN_IN: Micros = Micros(3_000_000);
 
 struct Process {
     balancer: Balancer,
     generation: u32,
-    /// The start of each server, as far as it has been notified.
+    /// Start time of each server in the list, as of the last update that the process received.
     notified: BTreeMap<ServerId, Option<Time>>,
     requests: BTreeMap<RequestId, ClientRequest>,
     /// Attempts without an outcome.
@@ -35,7 +35,7 @@
     is_retry: bool,
 }
 
-/// The relative traffic of a process: some have several times the mean.
+/// The relative traffic of a process; some have several times the mean.
 fn traffic_share(process: usize) -> f64 {
     if process % 6 == 0 {
         4.0
@@ -44,7 +44,7 @@
     }
 }
 
-/// An attempt of a process, which may have restarted since.
+/// An attempt of a process that may have restarted since.
 #[derive(Clone, Copy)]
 struct Attempt {
     process: usize,
@@ -53,7 +53,7 @@
     number: u32,
 }
 
-/// An event of the simulation; `usize` is the index of a process or a server.
+/// An event of the simulation. A `usize` is the index of a process or a server.
 enum FleetEvent {
     NextRequest(usize),
     ClientRetries(usize, ClientRequest),
@@ -83,7 +83,7 @@
 
 impl Fleet {
     /// Simulates a scenario to its end.
-    pub fn play(scenario: Scenario) -> Observed {
+    pub fn simulate(scenario: Scenario) -> Observed {
         let start = Time::from_ms(50_000.0);
         let mut fleet = Fleet {
             rng: fastrand::Rng::with_seed(scenario.seed),
@@ -131,12 +131,12 @@
 
     fn new_process(&mut self, index: usize, generation: u32) -> Process {
         let settings = Settings { zone: ZoneId(index as u32 % 3), ..self.scenario.settings.clone() };
-        let balancer = Balancer::new(settings, self.rng.u64(..)).expect("usable settings");
+        let balancer = Balancer::new(settings, self.rng.u64(..)).expect("valid settings");
         let (notified, requests, open) = (BTreeMap::new(), BTreeMap::new(), BTreeSet::new());
         Process { balancer, generation, notified, requests, open }
     }
 
-    /// Starts a new process, which receives the full list at once.
+    /// Starts a new process, which receives the full list immediately.
     fn start_process(&mut self, index: usize) {
         let now = self.now;
         let running = |s: &&Server| s.up_since.is_some();
@@ -150,7 +150,7 @@
         self.apply(index, actions);
     }
 
-    /// The time to the next request of a process.
+    /// A random time until the next request of a process.
     fn gap(&mut self, index: usize) -> Micros {
         let all: f64 = (0..self.scenario.settings.balancers as usize).map(traffic_share).sum();
         let fleet =
@@ -160,7 +160,7 @@
         Micros::from_ms(-(1.0 - self.rng.f64()).ln() * 1e3 / rate)
     }
 
-    /// Skewed work: one request in ten takes four times the mean of the others.
+    /// A random work of a request: one request in ten has four times the mean work of the others.
     fn draw_work(&mut self) -> Micros {
         let heavy = if self.rng.u32(0..10) == 0 { 4.0 } else { 1.0 };
         self.scenario.mean_work * (heavy * (0.4 + 1.2 * self.rng.f64()) / 1.3)
@@ -259,8 +259,11 @@
         };
         self.count(attempt, server, work);
         let capacity = (self.scenario.queue_per_core * self.scenario.cores) as usize;
-        let warmth =
-            if self.servers[server].has_restarted { self.scenario.warmth(now.since(up_since)) } else { 1.0 };
+        let guaranteed_capacity = if self.servers[server].has_restarted {
+            self.scenario.guaranteed_capacity(now.since(up_since))
+        } else {
+            1.0
+        };
         let s = &mut self.servers[server];
         while s.waiting.front().is_some_and(|starts_at| *starts_at <= now) {
             s.waiting.pop_front();
@@ -272,7 +275,7 @@
         }
         let core = s.free_at.iter_mut().min().expect("a server has cores");
         let starts_at = now.max(*core);
-        *core = starts_at + work * (1.0 / warmth);
+        *core = starts_at + work * (1.0 / guaranteed_capacity);
         let done = core.since(now);
         if starts_at > now {
             s.waiting.push_back(starts_at);
@@ -283,7 +286,7 @@
         );
     }
 
-    /// Counts a request that reaches a server in slow start, and compares the window that ends now with the bound.
+    /// Adds a request that reaches a server in slow start to the window that ends now and compares the window with the bound.
     fn count(&mut self, attempt: Attempt, server: usize, work: Micros) {
         let (now, overload_tolerance) = (self.now, self.scenario.settings.overload_tolerance);
         let s = &mut self.servers[server];
@@ -301,7 +304,7 @@
         let work: f64 = s.window.iter().map(|a| a.work).sum();
         let notified: f64 = s.window.iter().filter(|a| a.notified).map(|a| a.work).sum();
         let ratio = work / self.scenario.bound(age);
-        let peak = s.peak.as_mut().expect("set at its start");
+        let peak = s.peak.as_mut().expect("the peak is set at the start");
         if notified > work * 2.0 / 3.0 && ratio > peak.ratio {
             *peak = Peak { ratio, work, age };
         }
@@ -336,7 +339,7 @@
         self.observed.peaks.extend(self.servers[server].peak.take());
     }
 
-    /// Begins the starts of the scenario, with a burst of load.
+    /// Schedules the restarts and joins of the scenario and starts the burst of load.
     fn start_scenario(&mut self) {
         let kind = self.scenario.kind;
         let all = self.scenario.servers;
@@ -366,7 +369,7 @@
         }
     }
 
-    /// Restarts all processes; the requests of the previous ones are dropped.
+    /// Restarts all processes; requests of the previous processes are discarded.
     fn restart_processes(&mut self) {
         for index in 0..self.processes.len() {
             let generation = self.processes[index].generation + 1;
--- a/crates/balancer/tests/slow_start/mod.rs
+++ b/crates/balancer/tests/slow_start/mod.rs
@@ -1,7 +1,7 @@
-//! Simulates a fleet in virtual time: many balancers side by side, without peers, and servers in slow start.
+//! Simulates a fleet in virtual time: many balancers without peer hints, and servers in slow start.
 //!
-//! Each server counts the work that reaches it and compares each window of `overload_tolerance` with the bound by the settings. The
-//! balancers know only the settings and the endpoint list.
+//! Each server sums the work that reaches it in each window of `overload_tolerance` and compares it with the bound by the
+//! settings. The balancers know only the settings and the endpoint list.
 
 mod fleet;
 mod scenario;
--- a/crates/balancer/tests/slow_start/scenario.rs
+++ b/crates/balancer/tests/slow_start/scenario.rs
@@ -1,4 +1,4 @@
-//! Random scenarios: fleets and their starts.
+//! Random scenarios of fleets with starting servers.
 
 use bellcroft_balancer::*;
 
@@ -33,20 +33,20 @@
     ];
 }
 
-/// A fleet, its settings and its starts.
+/// A fleet, its settings and its starting servers.
 #[derive(Debug, Clone)]
 pub struct Scenario {
     pub settings: Settings,
     pub servers: u32,
     pub cores: u32,
     pub mean_work: Micros,
-    /// Queue length per core; a server rejects requests beyond it.
+    /// Maximum queue length per core; a server rejects further requests.
     pub queue_per_core: u32,
-    /// Load outside the burst, as a fraction of the warm fleet's capacity.
+    /// Load outside the burst, as a fraction of the capacity of the warm fleet.
     pub utilisation: f64,
-    /// The factor on the load while servers start.
+    /// Factor on the load while servers start.
     pub burst: f64,
-    /// Balancers receive an update of the list within this time of each other.
+    /// Maximum difference between the times at which balancers receive an update of the list.
     pub list_spread: Micros,
     pub kind: StartKind,
     pub seed: u64,
@@ -54,7 +54,7 @@
 
 impl Scenario {
     /// Draws a random scenario within the ranges of the platform's settings.
-    pub fn draw(processes: u32, kind: StartKind, seed: u64) -> Self {
+    pub fn random(processes: u32, kind: StartKind, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed((seed * 7 + kind as u64) << 10 | u64::from(processes));
         let range = |rng: &mut fastrand::Rng, low: f64, high: f64| low + (high - low) * rng.f64();
         let mean_work = Micros::from_ms(range(&mut rng, 20.0, 100.0));
@@ -98,10 +98,10 @@
         }
     }
 
-    /// As [`Scenario::draw`], with small servers that start at a seventh of their capacity or less and fail soon: each
+    /// Like [`Scenario::random`], with small servers that start at a seventh of their capacity or less and fail soon: each
     /// withstands about ten requests in a window, fewer than there are processes.
-    pub fn draw_small_servers(processes: u32, kind: StartKind, seed: u64) -> Self {
-        let drawn = Scenario::draw(processes, kind, seed);
+    pub fn random_small_servers(processes: u32, kind: StartKind, seed: u64) -> Self {
+        let drawn = Scenario::random(processes, kind, seed);
         let mut rng = fastrand::Rng::with_seed(seed);
         let mean_work = Micros::from_ms(60.0 + 40.0 * rng.f64());
         let objective = mean_work * (4.0 + 4.0 * rng.f64());
@@ -126,8 +126,8 @@
         f64::from(self.cores) * 1e3 / self.mean_work.ms()
     }
 
-    /// The fraction of its capacity that a server of this age has reached.
-    pub(super) fn warmth(&self, age: Micros) -> f64 {
+    /// The fraction of its full capacity that a server of this age has reached.
+    pub(super) fn guaranteed_capacity(&self, age: Micros) -> f64 {
         let grown = (age.ms() / self.settings.slow_start_window.ms()).min(1.0);
         self.settings.initial_capacity + (1.0 - self.settings.initial_capacity) * grown
     }
@@ -135,7 +135,8 @@
     /// The work per window, in mean requests, above which a server of this age fails.
     pub(super) fn bound(&self, age: Micros) -> f64 {
         let window = self.settings.overload_tolerance.ms() / 1e3;
-        let allowed = self.settings.overload_factor * self.warmth(age) * self.capacity_per_s() * window;
+        let allowed =
+            self.settings.overload_factor * self.guaranteed_capacity(age) * self.capacity_per_s() * window;
         allowed + 2.0 * allowed.sqrt() + 2.0
     }
 }
--- a/crates/balancer/tests/slow_start/server.rs
+++ b/crates/balancer/tests/slow_start/server.rs
@@ -1,4 +1,4 @@
-//! Simulated servers and what is observed of their load.
+//! Simulated servers and the observed load.
 
 use bellcroft_balancer::*;
 use std::collections::VecDeque;
@@ -6,10 +6,10 @@
 /// The highest load of a server after one start.
 #[derive(Debug, Clone, Copy)]
 pub struct Peak {
-    /// The work in the window with the highest load, as a fraction of the bound. Windows with less than two thirds of their
-    /// work from balancers that had been notified of the start do not count.
+    /// Work in the window with the highest load, as a fraction of the bound. Only windows count in which more than two thirds of
+    /// the work is from balancers that had been notified of the start.
     pub ratio: f64,
-    /// Requests of mean work in that window.
+    /// Work in that window, in mean requests.
     pub work: f64,
     /// Age of the server at the end of that window.
     pub age: Micros,
@@ -19,8 +19,9 @@
 #[derive(Debug, Default)]
 pub struct Observed {
     pub peaks: Vec<Peak>,
-    /// Successful requests, and all requests of clients.
+    /// Number of successful requests.
     pub served: u32,
+    /// Number of requests of clients, without their retries.
     pub requests: u32,
 }
 
@@ -34,9 +35,9 @@
 /// A simulated server.
 pub(super) struct Server {
     pub(super) endpoint: Endpoint,
-    /// Since when it has been running; `None` while it is down.
+    /// Time of its start; `None` while it is down.
     pub(super) up_since: Option<Time>,
-    /// The list gives its start; otherwise it started long ago and is warm.
+    /// True if it has restarted, so that the list gives its start time; otherwise it started long ago and is warm.
     pub(super) has_restarted: bool,
     pub(super) free_at: Vec<Time>,
     pub(super) waiting: VecDeque<Time>,
--- a/crates/balancer/tests/slow_start_fleet.rs
+++ b/crates/balancer/tests/slow_start_fleet.rs
@@ -1,20 +1,20 @@
-//! Rule four for the sum of many balancers: without peers, no fleet of them overloads a server in slow start.
+//! Rule four for many balancers together: even without peer hints they do not overload a server in slow start.
 mod slow_start;
 
 use slow_start::{Fleet, Observed, Scenario, StartKind};
 
-type Draw = fn(u32, StartKind, u64) -> Scenario;
+type DrawScenario = fn(u32, StartKind, u64) -> Scenario;
 
 /// Simulates each kind of start with these seeds.
-fn play(draw: Draw, processes: u32, seeds: std::ops::Range<u64>) -> Vec<(Scenario, Observed)> {
+fn simulate(draw: DrawScenario, processes: u32, seeds: std::ops::Range<u64>) -> Vec<(Scenario, Observed)> {
     let kinds = |seed| StartKind::ALL.map(|kind| draw(processes, kind, seed));
-    seeds.flat_map(kinds).map(|scenario| (scenario.clone(), Fleet::play(scenario))).collect()
+    seeds.flat_map(kinds).map(|scenario| (scenario.clone(), Fleet::simulate(scenario))).collect()
 }
 
-/// Prints starts, those above the bound and the highest window, by kind of start.
-fn print_table(processes: u32, plays: &[(Scenario, Observed)]) {
+/// Prints for each kind of start the number of starts, the number above the bound, and the windows with the highest load.
+fn print_table(processes: u32, results: &[(Scenario, Observed)]) {
     for kind in StartKind::ALL {
-        let of_kind = || plays.iter().filter(|(scenario, _)| scenario.kind == kind);
+        let of_kind = || results.iter().filter(|(scenario, _)| scenario.kind == kind);
         let mut ratios: Vec<(f64, &Scenario, f64, f64)> = of_kind()
             .flat_map(|(s, o)| o.peaks.iter().map(move |p| (p.ratio, s, p.work, p.age.ms())))
             .collect();
@@ -30,7 +30,7 @@
         );
         for (ratio, s, work, age) in &ratios[..3.min(ratios.len())] {
             println!(
-                "       {ratio:.2}: seed {} servers {} cores {} work {:.0} ms, load {:.2}, factor {} cold {:.2} warm {:.0} fall {:.0} spread {:.0} reports {:?}: {work:.1} at {age:.0} ms",
+                "       {ratio:.2}: seed {} servers {} cores {} work {:.0} ms, load {:.2}, factor {} capacity {:.2} slow start {:.0} tolerance {:.0} spread {:.0} reports {:?}: {work:.1} at {age:.0} ms",
                 s.seed, s.servers, s.cores, s.mean_work.ms(), s.utilisation, s.settings.overload_factor,
                 s.settings.initial_capacity, s.settings.slow_start_window.ms(), s.settings.overload_tolerance.ms(), s.list_spread.ms(),
                 s.settings.report_source
@@ -39,39 +39,40 @@
     }
 }
 
-fn assert_none_falls(draw: Draw, processes: u32, seeds: std::ops::Range<u64>) {
-    let plays = play(draw, processes, seeds);
-    print_table(processes, &plays);
-    for (scenario, observed) in &plays {
+fn assert_within_bound(draw: DrawScenario, processes: u32, seeds: std::ops::Range<u64>) {
+    let results = simulate(draw, processes, seeds);
+    print_table(processes, &results);
+    for (scenario, observed) in &results {
         let worst = observed.peaks.iter().map(|p| p.ratio).fold(0.0, f64::max);
-        assert!(worst <= 1.0, "{worst:.2} of what it bears: {scenario:?}");
+        assert!(worst <= 1.0, "{worst:.2} times the bound: {scenario:?}");
     }
 }
 
 #[test]
-fn cold_server_of_20_processes_stays_within_bound() {
-    assert_none_falls(Scenario::draw, 20, 0..4);
+fn slow_start_with_20_balancers_stays_within_bound() {
+    assert_within_bound(Scenario::random, 20, 0..4);
 }
 
 #[test]
-fn cold_server_of_30_processes_stays_within_bound() {
-    assert_none_falls(Scenario::draw, 30, 0..4);
+fn slow_start_with_30_balancers_stays_within_bound() {
+    assert_within_bound(Scenario::random, 30, 0..4);
 }
 
-/// Each process may have one request in flight to each server, and a window withstands fewer than there are processes.
+/// Each process may have one request in flight to each server, and a server withstands fewer requests per window than there
+/// are processes.
 #[test]
-fn small_cold_server_of_30_processes_stays_within_bound() {
-    assert_none_falls(Scenario::draw_small_servers, 30, 0..4);
+fn small_servers_with_30_balancers_stay_within_bound() {
+    assert_within_bound(Scenario::random_small_servers, 30, 0..4);
 }
 
-/// Run manually and optimised: `cargo test --release --test slow_start_fleet -- --ignored --nocapture`.
+/// Run manually with optimisation: `cargo test --release --test slow_start_fleet -- --ignored --nocapture`.
 #[test]
-#[ignore = "a measurement over some thousands of starts"]
+#[ignore = "a measurement of several thousand starts"]
 fn measure_thousands_of_starts() {
     for processes in [1, 3, 20, 30] {
         println!("any servers");
-        print_table(processes, &play(Scenario::draw, processes, 0..40));
+        print_table(processes, &simulate(Scenario::random, processes, 0..40));
         println!("small servers");
-        print_table(processes, &play(Scenario::draw_small_servers, processes, 0..40));
+        print_table(processes, &simulate(Scenario::random_small_servers, processes, 0..40));
     }
 }
--- a/crates/balancer/tests/slow_start_share.rs
+++ b/crates/balancer/tests/slow_start_share.rs
@@ -1,4 +1,4 @@
-//! Rule four: a server in slow start receives its share only.
+//! Rule four: a server in slow start receives no more than its share.
 mod common;
 use bellcroft_balancer::*;
 use common::*;
@@ -15,30 +15,30 @@
     }
 }
 
-/// Sends `per_s` requests per second for `ms`, each answered after 20 ms; returns how many went to `server`, and all.
+/// Sends `per_s` requests per second for `ms`, each with a response after 20 ms; returns the sends to `server` and all sends.
 fn load(harness: &mut Harness, per_s: f64, ms: f64, server: ServerId) -> (u32, u32) {
-    let (mut there, mut all) = (0, 0);
-    let mut out: Vec<(Time, RequestId, u32)> = Vec::new();
+    let (mut to_server, mut all) = (0, 0);
+    let mut in_flight: Vec<(Time, RequestId, u32)> = Vec::new();
     let end = harness.now + Micros::from_ms(ms);
     while harness.now < end {
         let (id, sent) = harness.request(0);
         if let Some(sent) = sent {
             all += 1;
-            there += u32::from(sent == server);
-            out.push((harness.now + Micros::from_ms(20.0), id, 0));
+            to_server += u32::from(sent == server);
+            in_flight.push((harness.now + Micros::from_ms(20.0), id, 0));
         }
         harness.advance(Micros::from_ms(1000.0 / per_s));
         let now = harness.now;
-        let due: Vec<_> = out.iter().filter(|o| o.0 <= now).copied().collect();
-        out.retain(|o| o.0 > now);
+        let due: Vec<_> = in_flight.iter().filter(|o| o.0 <= now).copied().collect();
+        in_flight.retain(|o| o.0 > now);
         for (_, id, attempt) in due {
             harness.respond(id, attempt, Outcome::Success, 20.0);
         }
     }
-    for (_, id, attempt) in out {
+    for (_, id, attempt) in in_flight {
         harness.respond(id, attempt, Outcome::Success, 20.0);
     }
-    (there, all)
+    (to_server, all)
 }
 
 #[test]
@@ -47,13 +47,13 @@
     let mut endpoints = fleet(6, 1, 1);
     endpoints[5].started_at = Some(harness.now);
     harness.set_endpoints(endpoints);
-    let (cold, all) = load(&mut harness, 200.0, 1500.0, ServerId(5));
-    let warm = f64::from(all - cold) / 5.0;
-    assert!(f64::from(cold) <= 0.5 * warm, "cold {cold}, a warm one {warm}");
-    assert!(cold >= 1, "it receives some requests");
+    let (slow_start, all) = load(&mut harness, 200.0, 1500.0, ServerId(5));
+    let warm = f64::from(all - slow_start) / 5.0;
+    assert!(f64::from(slow_start) <= 0.5 * warm, "{slow_start} sent in slow start, {warm} to a warm server");
+    assert!(slow_start >= 1, "it receives some requests");
     load(&mut harness, 200.0, 8600.0, ServerId(5));
     let (then, all) = load(&mut harness, 200.0, 1500.0, ServerId(5));
-    assert!(f64::from(then) > 0.5 * f64::from(all) / 6.0, "warm by then: {then} of {all}");
+    assert!(f64::from(then) > 0.5 * f64::from(all) / 6.0, "the server is warm: {then} of {all}");
     harness.assert_rules();
 }
 
@@ -66,8 +66,8 @@
     load(&mut harness, 200.0, 8000.0, ServerId(5));
     endpoints[5].started_at = Some(harness.now);
     harness.handle(Event::Endpoints(EndpointUpdate::Delta(vec![endpoints[5].clone()])));
-    let (cold, all) = load(&mut harness, 200.0, 1000.0, ServerId(5));
-    assert!(f64::from(cold) <= 0.5 * f64::from(all - cold) / 5.0, "{cold} of {all}");
+    let (slow_start, all) = load(&mut harness, 200.0, 1000.0, ServerId(5));
+    assert!(f64::from(slow_start) <= 0.5 * f64::from(all - slow_start) / 5.0, "{slow_start} of {all}");
     harness.assert_rules();
 }
 
@@ -85,7 +85,7 @@
     }
 }
 
-/// Before the first response, a fleet in slow start must not be flooded by the requests of the first seconds.
+/// Before the first response, the requests of the first seconds must not flood a fleet in slow start.
 #[test]
 fn fleet_in_slow_start_is_not_flooded() {
     let mut harness = Harness::new(settings(), 4);
@@ -100,7 +100,7 @@
     assert!(sent <= 8, "{sent} sent at once to four servers at a fifth of their capacity");
 }
 
-/// A clock that starts near zero does not mean that a server has just started.
+/// With a clock near zero, servers without a start time are not considered recently started.
 #[test]
 fn clock_near_zero_starts_no_slow_start() {
     let settings = settings();
--- a/crates/balancer/tests/streaming_requests.rs
+++ b/crates/balancer/tests/streaming_requests.rs
@@ -1,4 +1,4 @@
-//! Requests whose body is forwarded while it arrives, and settings that change while requests are pending.
+//! Requests whose body is forwarded while it arrives, and replacement of the settings while requests are pending.
 mod common;
 use bellcroft_balancer::*;
 use common::*;
@@ -13,7 +13,7 @@
     Event::Request(Request { streaming: true, ..Request::new(RequestId(id), ClassId(0), MAX_UPLOAD_TIME) })
 }
 
-/// However long the body takes, no response is due: the server is neither silent nor ejected.
+/// No response is due while the body is arriving, so that the server is neither considered silent nor ejected.
 #[test]
 fn streaming_request_does_not_eject_its_server() {
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 1);
@@ -24,14 +24,14 @@
     let blames_server =
         |a: &Action| matches!(a, Action::Cancel { .. } | Action::Log { .. } | Action::Fail { .. });
     assert!(!actions.iter().any(blames_server), "{actions:?}");
-    // It does not count towards the server's concurrency limit, which is two at first.
+    // The streaming request does not count towards the server's concurrency limit, which is initially two.
     for _ in 0..2 {
         assert!(harness.request(0).1.is_some());
     }
     harness.respond(RequestId(900), 0, Outcome::Success, 1.0);
 }
 
-/// The deadline, and the time in which a response is due, run from the end of the body.
+/// The deadline and the time until an attempt is overdue start when the body is complete.
 #[test]
 fn deadline_runs_from_body_complete() {
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 1);
@@ -49,7 +49,7 @@
     harness.assert_rules();
 }
 
-/// While its body is buffered completely it is retried like any other request; afterwards it ends at once.
+/// A streaming request is retried while its body is buffered completely; afterwards it gets its final response at once.
 #[test]
 fn exhausted_request_is_not_retried() {
     for (is_exhausted, retry_safety) in [
@@ -65,11 +65,11 @@
         }
         let actions = harness.respond(RequestId(900), 0, Outcome::ConnectFailed, 1.0).to_vec();
         assert_eq!(sent_in(&actions, RequestId(900)).is_some(), !is_exhausted);
-        assert_eq!(is_rejected(&actions, RequestId(900)), is_exhausted, "it never ran");
+        assert_eq!(is_shed(&actions, RequestId(900)), is_exhausted, "it never ran");
     }
 }
 
-/// An attempt that outlives its request keeps the slot of its server, although it did not count as in flight.
+/// An attempt that outlives its request keeps the slot of its server, although the server does not count it as in flight.
 #[test]
 fn attempt_outlives_disconnected_streaming_request() {
     let mut harness = Harness::new(settings(RetrySafety::Idempotent), 1);
@@ -87,26 +87,26 @@
     harness.assert_rules();
 }
 
-/// Pending requests keep their class and their number of attempts; later ones have the new settings.
+/// Pending requests keep their class and their number of attempts; later requests have the new settings.
 #[test]
 fn pending_requests_keep_their_limits_after_reconfiguration() {
     let old = Settings { max_attempts: 1, ..settings(keyed(DedupScope::All, 5e3)) };
     let mut harness = Harness::new(old.clone(), 1);
     harness.set_endpoints(fleet(4, 1, 1));
-    let (open, _) = harness.request(0);
+    let (pending, _) = harness.request(0);
     let classes = vec![old.classes[0].clone(), class(RetrySafety::AtMostOnce)];
-    let newer = Settings { classes, max_attempts: 3, ..old };
-    harness.balancer.reconfigure(newer.clone(), &[(1, Some(0))]).expect("usable settings");
-    harness.observer.settings = newer;
-    let actions = harness.respond(open, 0, Outcome::ConnectionReset, 1.0).to_vec();
-    assert_eq!(sent_in(&actions, open), None, "one attempt was allowed when it arrived");
+    let new = Settings { classes, max_attempts: 3, ..old };
+    harness.balancer.reconfigure(new.clone(), &[(1, Some(0))]).expect("usable settings");
+    harness.observer.settings = new;
+    let actions = harness.respond(pending, 0, Outcome::ConnectionReset, 1.0).to_vec();
+    assert_eq!(sent_in(&actions, pending), None, "one attempt was allowed when it arrived");
     let (later, _) = harness.request(0);
     let actions = harness.respond(later, 0, Outcome::ConnectionReset, 1.0).to_vec();
     assert!(sent_in(&actions, later).is_some());
     let (unsafe_request, _) = harness.request(1);
     let actions = harness.respond(unsafe_request, 0, Outcome::ConnectionReset, 1.0).to_vec();
-    assert_eq!(sent_in(&actions, unsafe_request), None, "the new class's rules");
-    let bad = Settings { classes: Vec::new(), ..harness.observer.settings.clone() };
-    assert_eq!(harness.balancer.reconfigure(bad, &[]), Err(SettingsError::NoClasses));
+    assert_eq!(sent_in(&actions, unsafe_request), None, "the retry safety of the new class applies");
+    let invalid = Settings { classes: Vec::new(), ..harness.observer.settings.clone() };
+    assert_eq!(harness.balancer.reconfigure(invalid, &[]), Err(SettingsError::NoClasses));
     assert_eq!(harness.balancer.settings().max_attempts, 3, "nothing has changed");
 }
