--- a/crates/balancer/src/decisions/admission.rs
+++ b/crates/balancer/src/decisions/admission.rs
@@ -7,8 +7,8 @@
 /// Maximum number of votes for the usual time left of a class. When clients change their deadlines, the new time left is
 /// accepted after this many requests.
 const MAX_TIME_LEFT_VOTES: u32 = 50;
-/// Minimum count of recent rejections and failures for a request without a retry mark to be treated as a client's retry.
-/// It is less than one because the count decays.
+/// Minimum number of recent requests that were shed or failed, for a request without a retry mark to be treated as a
+/// client's retry. It is less than one because the number decays.
 const MIN_AWAITED_CLIENT_RETRIES: f64 = 0.5;
 /// Lower bound of the time until a response, as a fraction of the baseline latency of the class.
 const FASTEST_RESPONSE: f64 = 0.7;
@@ -62,7 +62,7 @@
     ///
     /// Clients of a class usually send their first try with the same time left. A request with a different time left is
     /// considered a retry within the original deadline if the client marks it as a retry, or if a recent request of the
-    /// class was rejected or failed and no retry has followed it yet. Otherwise the client has a shorter deadline than usual.
+    /// class was shed or failed and no retry has followed it yet. Otherwise the client has a shorter deadline than usual.
     fn time_spent_before(&mut self, now: Time, request: &Request) -> Micros {
         let tolerance = self.settings.event_interval;
         let deadline = self.settings.classes[request.class.0].deadline;
@@ -122,9 +122,9 @@
         }
     }
 
-    /// Decides at random whether to admit a request while the fleet is congested; protected classes take precedence. A
-    /// sparse balancer needs this because it sends each server only one request in many seconds, so that concurrency limits
-    /// per server have no effect.
+    /// Decides at random whether to admit a request while the fleet is congested; protected classes take precedence. Limits
+    /// per server do not suffice: they have no effect at a sparse balancer, which sends each server only one request in many
+    /// seconds.
     fn admits(&mut self, now: Time, class: usize) -> bool {
         let admitted = if self.is_sparse { self.admitted_fraction(now) } else { 1.0 };
         let admitted = admitted.min(self.slow_start.admitted_fraction);
--- a/crates/balancer/src/decisions/fleet_load.rs
+++ b/crates/balancer/src/decisions/fleet_load.rs
@@ -101,7 +101,7 @@
     }
 
     /// Adds a sample and returns the latency that its load predicts. `reported_load` is the number of requests at the server.
-    fn add(&mut self, now: Time, latency: f64, reported_load: Option<f64>, state_ms: f64) -> f64 {
+    fn add(&mut self, now: Time, latency: f64, reported_load: Option<f64>, time_constant_ms: f64) -> f64 {
         let samples = self.samples.value_at(now);
         let load = match reported_load {
             Some(load) => load + 1.0,
@@ -110,11 +110,11 @@
         };
         self.cost_latency.add(now, COST_TIME_CONSTANT_MS, latency);
         self.cost_load.add(now, COST_TIME_CONSTANT_MS, load);
-        self.samples.add(now, state_ms, 1.0);
-        self.latency.add(now, state_ms, latency);
+        self.samples.add(now, time_constant_ms, 1.0);
+        self.latency.add(now, time_constant_ms, latency);
         let cost = self.cost(now);
         let load = load.min(MAX_PREDICTED_LATENCY / cost.max(MIN_DIVISOR));
-        self.load.add(now, state_ms, load);
+        self.load.add(now, time_constant_ms, load);
         load * cost
     }
 }
@@ -144,8 +144,8 @@
         reported_load: Option<f64>,
     ) {
         let rate = self.traffic.requests_per_s();
-        let state_ms = STATE_TIME_CONSTANT_MS * (1.0 + (rate / HIGH_REQUEST_RATE).min(1.0));
-        let load = self.fleet_load.add(now, latency, reported_load, state_ms);
+        let time_constant_ms = STATE_TIME_CONSTANT_MS * (1.0 + (rate / HIGH_REQUEST_RATE).min(1.0));
+        let load = self.fleet_load.add(now, latency, reported_load, time_constant_ms);
         self.record_sample(ResponseSample { zone, latency, load });
     }
 }
--- a/crates/balancer/src/decisions/selection.rs
+++ b/crates/balancer/src/decisions/selection.rs
@@ -5,7 +5,7 @@
 use crate::api::*;
 use crate::state::*;
 
-/// Increase of the factor on the load of a server in another zone, per 1% of a request's value that crossing zones costs.
+/// Increase of the factor on the load of a server in another zone, per 1% of a request that crossing zones costs.
 const CROSS_ZONE_FACTOR: f64 = 0.25;
 /// Maximum of that factor. It is less than 2, the ratio of the loads with one request in flight and with none, so that the
 /// cost alone does not let a zone fill up.
--- a/crates/balancer/tests/limits.rs
+++ b/crates/balancer/tests/limits.rs
@@ -11,22 +11,23 @@
     for seed in 0..60 {
         let mut texts = Vec::new();
         for limits in [None, Some(Arc::new(Limits::STANDARD))] {
-            let mut random = fastrand::Rng::with_seed(seed);
+            let mut rng = fastrand::Rng::with_seed(seed);
             let mut harness = Harness::new(route_settings(), seed);
-            harness.set_endpoints(fleet(1 + random.u32(0..6), 2, 2));
-            let mut out: VecDeque<(RequestId, u32)> = VecDeque::new();
+            harness.set_endpoints(fleet(1 + rng.u32(0..6), 2, 2));
+            let mut in_flight: VecDeque<(RequestId, u32)> = VecDeque::new();
             let mut sends: BTreeMap<RequestId, u32> = BTreeMap::new();
             let mut text = Vec::new();
             for step in 0..800 {
-                let mut actions = match random.u8(0..4) {
+                let mut actions = match rng.u8(0..4) {
                     0 | 1 => {
-                        let class = ClassId(random.usize(0..3));
-                        let left = Micros::from_ms(f64::from(random.u32(1..3000)));
+                        let class = ClassId(rng.usize(0..3));
+                        let left = Micros::from_ms(f64::from(rng.u32(1..3000)));
                         let request = Request::new(RequestId(step), class, left);
                         harness.handle(Event::Request(Request { limits: limits.clone(), ..request })).to_vec()
                     }
-                    2 if !out.is_empty() => {
-                        let (id, attempt) = out.remove(random.usize(0..out.len())).expect("in range");
+                    2 if !in_flight.is_empty() => {
+                        let (id, attempt) =
+                            in_flight.remove(rng.usize(0..in_flight.len())).expect("in range");
                         let outcomes = [
                             Outcome::Success,
                             Outcome::Success,
@@ -35,14 +36,14 @@
                             Outcome::TimedOut,
                             Outcome::ConnectFailed,
                         ];
-                        harness.respond(id, attempt, outcomes[random.usize(0..outcomes.len())], 40.0).to_vec()
+                        harness.respond(id, attempt, outcomes[rng.usize(0..outcomes.len())], 40.0).to_vec()
                     }
-                    _ => harness.advance(Micros::from_ms(f64::from(random.u32(1..60)))),
+                    _ => harness.advance(Micros::from_ms(f64::from(rng.u32(1..60)))),
                 };
                 for action in &actions {
                     if let Action::Send { request, .. } = action {
                         let attempt = sends.entry(*request).or_insert(0);
-                        out.push_back((*request, *attempt));
+                        in_flight.push_back((*request, *attempt));
                         *attempt += 1;
                     }
                 }
--- a/crates/balancer/tests/overload.rs
+++ b/crates/balancer/tests/overload.rs
@@ -57,24 +57,24 @@
     let mut harness = Harness::new(settings(), 1);
     harness.set_endpoints(fleet(2, 1, 1));
     let mut run_round = |ms: f64| {
-        let mut out = Vec::new();
+        let mut in_flight = Vec::new();
         let queued = loop {
             match harness.request(0) {
-                (id, Some(_)) => out.push(id),
+                (id, Some(_)) => in_flight.push(id),
                 (id, None) => break id,
             }
         };
-        let now = out.len();
+        let sent_count = in_flight.len();
         harness.advance(Micros::from_ms(ms));
-        let mut late = None;
-        for id in out {
-            late = late.or(sent_in(harness.respond(id, 0, Outcome::Success, ms), queued));
+        let mut sent_later = None;
+        for id in in_flight {
+            sent_later = sent_later.or(sent_in(harness.respond(id, 0, Outcome::Success, ms), queued));
         }
-        if late.is_some() {
+        if sent_later.is_some() {
             harness.respond(queued, 0, Outcome::Success, ms);
         }
         harness.advance(Micros::from_ms(250.0));
-        now
+        sent_count
     };
     let first = run_round(20.0);
     for _ in 0..10 {
@@ -178,7 +178,7 @@
 fn unusual_time_left_alone_marks_no_retry() {
     let mut harness = harness_with_usual_time_left();
     for id in 10..14 {
-        assert!(sends(&mut harness, id, 400.0, false), "nothing was rejected and nothing failed");
+        assert!(sends(&mut harness, id, 400.0, false), "nothing was shed and nothing failed");
     }
 }
 
@@ -189,19 +189,20 @@
 ) -> BTreeMap<(usize, Option<usize>), (u32, u32)> {
     let mut harness = Harness::new(settings, 3);
     harness.set_endpoints(fleet(2, 1, 1));
-    let mut out: Vec<(Time, Request)> = Vec::new();
+    let mut in_flight: Vec<(Time, Request)> = Vec::new();
     let mut counts: BTreeMap<_, (u32, u32)> = BTreeMap::new();
     for i in 0..6000 {
         let request = request_at(i);
         let entry = counts.entry((request.class.0, request.tenant.map(|t| t.0))).or_default();
         entry.0 += 1;
         let mut actions = harness.handle(Event::Request(request.clone())).to_vec();
-        out.push((Time(u64::MAX), request));
+        in_flight.push((Time(u64::MAX), request));
         actions.extend(harness.advance(Micros::from_ms(2.0)));
-        let due: Vec<_> = out.iter().filter(|o| o.0 <= harness.now).map(|o| o.1.id).collect();
+        let due: Vec<_> = in_flight.iter().filter(|o| o.0 <= harness.now).map(|o| o.1.id).collect();
         for id in due {
             actions.extend_from_slice(harness.respond(id, 0, Outcome::Success, 40.0));
-            let (_, r) = out.swap_remove(out.iter().position(|o| o.1.id == id).expect("it is in flight"));
+            let (_, r) =
+                in_flight.swap_remove(in_flight.iter().position(|o| o.1.id == id).expect("it is in flight"));
             counts
                 .get_mut(&(r.class.0, r.tenant.map(|t| t.0)))
                 .expect("each class and tenant has an entry")
@@ -209,7 +210,7 @@
         }
         for action in actions {
             if let Action::Send { request, .. } = action {
-                if let Some(o) = out.iter_mut().find(|o| o.1.id == request) {
+                if let Some(o) = in_flight.iter_mut().find(|o| o.1.id == request) {
                     o.0 = harness.now + Micros::from_ms(40.0);
                 }
             }
--- a/crates/balancer/tests/retry_budgets.rs
+++ b/crates/balancer/tests/retry_budgets.rs
@@ -29,37 +29,38 @@
 /// that window, and the total number of retries.
 fn retry_storm(limits: &Arc<Limits>, hedge_after_ms: Option<f64>) -> (usize, f64, usize) {
     let mut route = RouteHarness::new(10);
-    let mut out: VecDeque<(Time, RequestId, u32)> = VecDeque::new();
+    let mut in_flight: VecDeque<(Time, RequestId, u32)> = VecDeque::new();
     let mut attempts: BTreeMap<RequestId, u32> = BTreeMap::new();
     let (mut retry_times, mut request_times): (Vec<Time>, Vec<Time>) = (Vec::new(), Vec::new());
-    let mut record = |now: Time, actions: &[Action], out: &mut VecDeque<_>, retry_times: &mut Vec<Time>| {
-        for action in actions {
-            if let Action::Send { request, .. } = action {
-                let n = attempts.entry(*request).or_insert(0);
-                out.push_back((now + Micros::from_ms(150.0), *request, *n));
-                if *n > 0 {
-                    retry_times.push(now);
+    let mut record =
+        |now: Time, actions: &[Action], in_flight: &mut VecDeque<_>, retry_times: &mut Vec<Time>| {
+            for action in actions {
+                if let Action::Send { request, .. } = action {
+                    let n = attempts.entry(*request).or_insert(0);
+                    in_flight.push_back((now + Micros::from_ms(150.0), *request, *n));
+                    if *n > 0 {
+                        retry_times.push(now);
+                    }
+                    *n += 1;
                 }
-                *n += 1;
             }
-        }
-    };
+        };
     for step in 0..8000_u32 {
         let actions = route.harness.advance(Micros::from_ms(1.0));
-        record(route.harness.now, &actions, &mut out, &mut retry_times);
+        record(route.harness.now, &actions, &mut in_flight, &mut retry_times);
         if step % 5 == 0 {
             route.request(0, limits, hedge_after_ms);
             request_times.push(route.harness.now);
             let actions = route.harness.actions.clone();
-            record(route.harness.now, &actions, &mut out, &mut retry_times);
+            record(route.harness.now, &actions, &mut in_flight, &mut retry_times);
         }
-        while out.front().is_some_and(|(at, ..)| *at <= route.harness.now) {
-            let (_, id, attempt) = out.pop_front().expect("the queue is not empty");
+        while in_flight.front().is_some_and(|(at, ..)| *at <= route.harness.now) {
+            let (_, id, attempt) = in_flight.pop_front().expect("the queue is not empty");
             let slow = (2000..6000).contains(&step);
             let outcome = if slow { Outcome::ServerError } else { Outcome::Success };
             route.harness.respond(id, attempt, outcome, 150.0);
             let actions = route.harness.actions.clone();
-            record(route.harness.now, &actions, &mut out, &mut retry_times);
+            record(route.harness.now, &actions, &mut in_flight, &mut retry_times);
         }
     }
     route.harness.assert_rules();
--- a/crates/balancer/tests/slow_start/fleet.rs
+++ b/crates/balancer/tests/slow_start/fleet.rs
@@ -16,7 +16,7 @@
 /// Time after which a client retries a shed request, at most once.
 const CLIENT_BACKOFF: Micros = Micros(30_000);
 /// Time before the first server start, in which the balancers collect statistics of their servers.
-const RUN_IN: Micros = Micros(3_000_000);
+const TRAFFIC_BEFORE_STARTS: Micros = Micros(3_000_000);
 
 struct Process {
     balancer: Balancer,
@@ -25,7 +25,7 @@
     notified: BTreeMap<ServerId, Option<Time>>,
     requests: BTreeMap<RequestId, ClientRequest>,
     /// Attempts without an outcome.
-    open: BTreeSet<(RequestId, u32)>,
+    in_flight: BTreeSet<(RequestId, u32)>,
 }
 
 #[derive(Clone, Copy)]
@@ -105,12 +105,13 @@
             let process = fleet.new_process(index, 0);
             fleet.processes.push(process);
             fleet.start_process(index);
-            let gap = fleet.gap(index);
-            fleet.schedule(gap, FleetEvent::NextRequest(index));
+            let time_to_next_request = fleet.time_to_next_request(index);
+            fleet.schedule(time_to_next_request, FleetEvent::NextRequest(index));
         }
-        fleet.schedule(RUN_IN, FleetEvent::StartScenario);
+        fleet.schedule(TRAFFIC_BEFORE_STARTS, FleetEvent::StartScenario);
         let rolling = Micros(ROLLING_STEP.0 * u64::from(fleet.scenario.servers));
-        let end = start + RUN_IN + DOWN_TIME + rolling + fleet.scenario.settings.slow_start_window;
+        let end =
+            start + TRAFFIC_BEFORE_STARTS + DOWN_TIME + rolling + fleet.scenario.settings.slow_start_window;
         while let Some(((at, _), event)) = fleet.queue.pop_first() {
             if at > end {
                 break;
@@ -119,7 +120,7 @@
             fleet.handle(event);
         }
         for index in 0..fleet.servers.len() {
-            fleet.close_peak(index);
+            fleet.store_peak(index);
         }
         fleet.observed
     }
@@ -132,8 +133,8 @@
     fn new_process(&mut self, index: usize, generation: u32) -> Process {
         let settings = Settings { zone: ZoneId(index as u32 % 3), ..self.scenario.settings.clone() };
         let balancer = Balancer::new(settings, self.rng.u64(..)).expect("valid settings");
-        let (notified, requests, open) = (BTreeMap::new(), BTreeMap::new(), BTreeSet::new());
-        Process { balancer, generation, notified, requests, open }
+        let (notified, requests, in_flight) = (BTreeMap::new(), BTreeMap::new(), BTreeSet::new());
+        Process { balancer, generation, notified, requests, in_flight }
     }
 
     /// Starts a new process, which receives the full list immediately.
@@ -151,7 +152,7 @@
     }
 
     /// A random time until the next request of a process.
-    fn gap(&mut self, index: usize) -> Micros {
+    fn time_to_next_request(&mut self, index: usize) -> Micros {
         let all: f64 = (0..self.scenario.settings.balancers as usize).map(traffic_share).sum();
         let fleet =
             f64::from(self.scenario.servers) * self.scenario.capacity_per_s() * self.scenario.utilisation;
@@ -173,8 +174,8 @@
                 let request = ClientRequest { work: self.draw_work(), class, is_retry: false };
                 self.observed.requests += 1;
                 self.request(index, request);
-                let gap = self.gap(index);
-                self.schedule(gap, FleetEvent::NextRequest(index));
+                let time_to_next_request = self.time_to_next_request(index);
+                self.schedule(time_to_next_request, FleetEvent::NextRequest(index));
             }
             FleetEvent::ClientRetries(index, request) => self.request(index, request),
             FleetEvent::Timer(index, generation, timer) => {
@@ -221,7 +222,7 @@
                     let number = attempt.0;
                     let attempt = Attempt { process: index, generation, request, number };
                     let process = &mut self.processes[index];
-                    process.open.insert((request, number));
+                    process.in_flight.insert((request, number));
                     let (work, sent, server) = (process.requests[&request].work, self.now, server.0 as usize);
                     self.schedule(NETWORK_DELAY, FleetEvent::Arrival { attempt, server, sent, work });
                     let (outcome, report) = (Outcome::TimedOut, None);
@@ -257,7 +258,7 @@
             let (outcome, report) = (Outcome::ConnectFailed, None);
             return self.schedule(NETWORK_DELAY, FleetEvent::AttemptEnds { attempt, outcome, sent, report });
         };
-        self.count(attempt, server, work);
+        self.record_arrival(attempt, server, work);
         let capacity = (self.scenario.queue_per_core * self.scenario.cores) as usize;
         let guaranteed_capacity = if self.servers[server].has_restarted {
             self.scenario.guaranteed_capacity(now.since(up_since))
@@ -287,7 +288,7 @@
     }
 
     /// Adds a request that reaches a server in slow start to the window that ends now and compares the window with the bound.
-    fn count(&mut self, attempt: Attempt, server: usize, work: Micros) {
+    fn record_arrival(&mut self, attempt: Attempt, server: usize, work: Micros) {
         let (now, overload_tolerance) = (self.now, self.scenario.settings.overload_tolerance);
         let s = &mut self.servers[server];
         let Some(age) = s.up_since.filter(|_| s.has_restarted).map(|since| now.since(since)) else { return };
@@ -313,7 +314,7 @@
     fn on_attempt_ended(&mut self, attempt: Attempt, outcome: Outcome, sent: Time, report: Option<f64>) {
         let Attempt { process: index, generation, request, number } = attempt;
         let process = &mut self.processes[index];
-        if process.generation != generation || !process.open.remove(&(request, number)) {
+        if process.generation != generation || !process.in_flight.remove(&(request, number)) {
             return;
         }
         let is_final = outcome == Outcome::Success && process.requests.remove(&request).is_some();
@@ -325,7 +326,7 @@
     }
 
     fn on_server_up(&mut self, server: usize) {
-        self.close_peak(server);
+        self.store_peak(server);
         self.servers[server].restart(self.now);
         let spread = self.scenario.list_spread.0;
         for index in 0..self.processes.len() {
@@ -335,7 +336,7 @@
         }
     }
 
-    fn close_peak(&mut self, server: usize) {
+    fn store_peak(&mut self, server: usize) {
         self.observed.peaks.extend(self.servers[server].peak.take());
     }
 
--- a/crates/balancer/tests/slow_start_fleet.rs
+++ b/crates/balancer/tests/slow_start_fleet.rs
@@ -19,12 +19,12 @@
             .flat_map(|(s, o)| o.peaks.iter().map(move |p| (p.ratio, s, p.work, p.age.ms())))
             .collect();
         ratios.sort_by(|a, b| b.0.total_cmp(&a.0));
-        let over = ratios.iter().filter(|r| r.0 > 1.0).count();
+        let above_bound = ratios.iter().filter(|r| r.0 > 1.0).count();
         let median = ratios[ratios.len() / 2].0;
         let (served, all) = of_kind().fold((0, 0), |sum, (_, o)| (sum.0 + o.served, sum.1 + o.requests));
         let served = f64::from(served) / f64::from(all);
         println!(
-            "{processes:4} {kind:?}: {} starts, {over} over, median {median:.2}, worst {:.2}, served {served:.3}",
+            "{processes:4} {kind:?}: {} starts, {above_bound} above the bound, median {median:.2}, worst {:.2}, served {served:.3}",
             ratios.len(),
             ratios[0].0,
         );
