--- a/crates/agent/src/driver/endpoints.rs
+++ b/crates/agent/src/driver/endpoints.rs
@@ -172,7 +172,7 @@
         let status = match record.health {
             Health::Up => Status::Serving,
             Health::Draining => Status::Draining,
-            Health::Removed => Status::Gone,
+            Health::Removed => Status::Removed,
         };
         if status == Status::Serving {
             self.up.insert(server);
@@ -204,7 +204,7 @@
                 self.removed.entry(server).or_insert(now);
             }
         }
-        let gone = endpoints.iter().filter(|endpoint| endpoint.status == Status::Gone);
+        let gone = endpoints.iter().filter(|endpoint| endpoint.status == Status::Removed);
         self.removed.extend(gone.map(|endpoint| (endpoint.server, now)));
         let is_expired = |removed_at: &Instant| now.duration_since(*removed_at) >= SERVER_NAME_RETENTION;
         let expired = self.removed.iter().filter(|(_, removed_at)| is_expired(removed_at));
@@ -239,7 +239,7 @@
                     zone: endpoint.zone.0,
                     cell: endpoint.dedup_group.0,
                     up: endpoint.status == Status::Serving,
-                    here: endpoint.status != Status::Gone,
+                    here: endpoint.status != Status::Removed,
                     started: endpoint.started_at,
                 },
             );
--- a/crates/agent/src/driver/reload.rs
+++ b/crates/agent/src/driver/reload.rs
@@ -17,7 +17,7 @@
     ///
     /// The settings are invalid for the balancer; nothing has changed then.
     pub fn reconfigure(self: &Rc<Self>, new_config: &Config) -> Result<(), SettingsError> {
-        new_config.settings.check()?;
+        new_config.settings.validate()?;
         let mut state = self.state.borrow_mut();
         let now = self.clock.now();
         let former = state.balancer.settings().clone();
--- a/crates/balancer/src/api/settings_error.rs
+++ b/crates/balancer/src/api/settings_error.rs
@@ -2,21 +2,21 @@
 
 use std::fmt;
 
-/// Why settings are invalid.
+/// The reason why settings are invalid.
 #[derive(Debug, Clone, PartialEq)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// No request class is defined; at least one is required.
+    /// There is no request class; at least one is required.
     NoClasses,
     /// A number is negative, infinite or NaN.
-    BadNumber {
+    InvalidNumber {
         /// The name of the setting.
         setting: &'static str,
         /// Its value.
         value: f64,
     },
     /// A tenant's fraction is outside 0 to 1.
-    BadShare {
+    InvalidFraction {
         /// Its value.
         value: f64,
     },
@@ -33,17 +33,17 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             SettingsError::NoClasses => write!(f, "settings name no request class; at least one is needed"),
-            SettingsError::BadNumber { setting, value } => {
-                write!(f, "setting {setting} is {value}; a finite number of zero or more is needed")
+            SettingsError::InvalidNumber { setting, value } => {
+                write!(f, "setting {setting} is {value}; it must be a finite number of at least zero")
             }
-            SettingsError::BadShare { value } => {
-                write!(f, "a tenant's share (fraction) is {value}; a number from 0 to 1 is needed")
+            SettingsError::InvalidFraction { value } => {
+                write!(f, "a tenant's share (fraction) is {value}; it must be between 0 and 1")
             }
             SettingsError::ZeroDuration { setting } => {
                 write!(f, "setting {setting} is zero; it must be longer")
             }
             SettingsError::NoAttempts => {
-                write!(f, "settings allow no attempt for a request; at least one is needed")
+                write!(f, "settings allow no attempts per request; at least one is required")
             }
         }
     }
--- a/crates/balancer/tests/settings.rs
+++ b/crates/balancer/tests/settings.rs
@@ -27,24 +27,24 @@
     for fraction in [1.5, -0.1, f64::NAN] {
         let tenants = vec![Tenant { fraction, ..Tenant::default() }];
         let wrong = Balancer::new(Settings { tenants, ..Settings::default() }, 1).err();
-        assert!(matches!(wrong, Some(SettingsError::BadShare { .. })), "{fraction}");
+        assert!(matches!(wrong, Some(SettingsError::InvalidFraction { .. })), "{fraction}");
     }
-    assert!(matches!(with(|s| s.initial_capacity = f64::NAN), Some(SettingsError::BadNumber { .. })));
-    assert!(matches!(with(|s| s.overload_factor = -1.0), Some(SettingsError::BadNumber { .. })));
+    assert!(matches!(with(|s| s.initial_capacity = f64::NAN), Some(SettingsError::InvalidNumber { .. })));
+    assert!(matches!(with(|s| s.overload_factor = -1.0), Some(SettingsError::InvalidNumber { .. })));
     assert!(matches!(
         with(|s| s.classes[0].priority_weight = f64::INFINITY),
-        Some(SettingsError::BadNumber { .. })
+        Some(SettingsError::InvalidNumber { .. })
     ));
     assert_eq!(with(|_| ()), None);
 }
 
-/// Without reports, keys, tenants, health checks, cancellation, Retry-After and objective, requests are served.
+/// Requests are served without load reports, keys, tenants, health checks, cancellation, Retry-After and objective weights.
 #[test]
 fn minimal_settings_serve_requests() {
     let settings = Settings {
         classes: vec![class(RetrySafety::Idempotent)],
         cancel: false,
-        objective: Objective { whole: 0.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 },
+        objective: Objective { all_requests: 0.0, worst_window: 0.0, worst_class: 0.0, worst_tenant: 0.0 },
         slow_start_window: Micros::ZERO,
         ..Settings::default()
     };
@@ -60,12 +60,12 @@
 }
 
 #[test]
-fn request_of_unknown_class_is_rejected() {
+fn request_of_unknown_class_is_shed() {
     let mut harness = Harness::new(Settings::default(), 1);
     harness.set_endpoints(fleet(3, 1, 1));
     let request = Request::new(RequestId(5), ClassId(9), Micros::from_ms(100.0));
     let mut actions = Vec::new();
     harness.balancer.handle(harness.now, Event::Request(request), &mut actions);
-    assert!(is_rejected(&actions, RequestId(5)));
+    assert!(is_shed(&actions, RequestId(5)));
     assert!(!actions.iter().any(|a| matches!(a, Action::Send { .. })));
 }
--- a/crates/routes/src/check.rs
+++ b/crates/routes/src/check.rs
@@ -220,7 +220,7 @@
         let name = &self.platform.classes[class];
         let class = &self.platform.settings.classes[class];
         let retries_after_execution =
-            route.retry_on.is_none_or(bellcroft_balancer::RetryOn::after_it_may_have_run);
+            route.retry_on.is_none_or(bellcroft_balancer::RetryOn::retries_possibly_processed);
         let hedges = route.hedge != HedgePolicy::Never;
         match class.retry_safety {
             RetrySafety::Idempotent => {}
