--- a/crates/agent/src/control_plane.rs
+++ b/crates/agent/src/control_plane.rs
@@ -9,7 +9,7 @@
 use crate::telemetry;
 use bellcroft_agent_core::reconfigure;
 use bellcroft_balancer::SettingsError;
-use bellcroft_telemetry::{Instance, Owner, Remote};
+use bellcroft_telemetry::{Environment, Instance, Remote};
 use std::cell::{Ref, RefCell};
 use std::io;
 use std::net::SocketAddr;
@@ -159,14 +159,14 @@
             return;
         };
         let (clock, name) = (self.driver.clock, config.name.clone());
-        let owner = Owner {
+        let environment = Environment {
             instance,
             now: Box::new(move || clock.now()),
             refresh: Box::new(refresh),
             log: Box::new(move |text| warn!(target: "bellcroft::telemetry", instance = %name, "{text}")),
             seed: config.seed,
         };
-        *self.remote.borrow_mut() = Some(Remote::start(remote, owner));
+        *self.remote.borrow_mut() = Some(Remote::start(remote, environment));
     }
 
     /// Sets membership's gauges.
@@ -227,8 +227,8 @@
         let remote = self.remote.borrow_mut().take();
         let Some(remote) = remote else { return };
         let counts = remote.stop().await;
-        if counts.dropped_at_end > 0 {
-            let samples = counts.dropped_at_end;
+        if counts.dropped_at_shutdown > 0 {
+            let samples = counts.dropped_at_shutdown;
             let instance = &self.config().name;
             warn!(target: "bellcroft::telemetry", %instance, samples, "remote write: samples dropped at shutdown");
         }
--- a/crates/agent/src/downstream/exchange.rs
+++ b/crates/agent/src/downstream/exchange.rs
@@ -35,7 +35,7 @@
             Err(answer) => {
                 self.tally.on_bad_request();
                 if let Some(telemetry) = &self.driver.telemetry {
-                    telemetry.bad();
+                    telemetry.bad_request();
                 }
                 (answer, true)
             }
--- a/crates/agent/src/downstream/reply.rs
+++ b/crates/agent/src/downstream/reply.rs
@@ -5,7 +5,7 @@
 use crate::daemon::status::{self, RequestOutcome};
 use crate::telemetry::PendingTimer;
 use crate::upstream::Relay;
-use bellcroft_telemetry::Over;
+use bellcroft_telemetry::FinalOutcome;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use std::io;
@@ -39,10 +39,10 @@
         }
         if let Some(mut owing) = self.owing.take() {
             owing.set_outcome(match how {
-                RequestOutcome::Served => Over::Served,
-                RequestOutcome::Rejected => Over::Refused,
-                RequestOutcome::Failed => Over::Failed,
-                RequestOutcome::ClientDisconnected => Over::Left,
+                RequestOutcome::Served => FinalOutcome::Served,
+                RequestOutcome::Rejected => FinalOutcome::Shed,
+                RequestOutcome::Failed => FinalOutcome::Failed,
+                RequestOutcome::ClientDisconnected => FinalOutcome::ClientLeft,
             });
             client.owe(owing);
         }
--- a/crates/agent/src/driver/attempts.rs
+++ b/crates/agent/src/driver/attempts.rs
@@ -112,7 +112,7 @@
     ) -> Option<FirstByte> {
         let telemetry = self.telemetry.clone()?;
         let is_hedge = state.attempts.of_request(key.request, key.attempt).next().is_some();
-        telemetry.attempt(server.0, request.route_name(), key.attempt, is_hedge);
+        telemetry.attempt_started(server.0, request.route_name(), key.attempt, is_hedge);
         let AttemptKey { request, attempt } = key;
         Some(FirstByte { instance: telemetry, clock: self.clock, request, attempt, server })
     }
@@ -158,7 +158,7 @@
         let outcome = result.outcome;
         let elapsed = micros_since(sent_at);
         if let Some(telemetry) = &self.telemetry {
-            telemetry.ended((key.request.0, key.attempt), class.0, server.0, outcome, elapsed);
+            telemetry.attempt_finished((key.request.0, key.attempt), class.0, server.0, outcome, elapsed);
         }
         {
             let mut state = self.state.borrow_mut();
@@ -190,7 +190,7 @@
             let AttemptResult { outcome, report, .. } = driver.upstream.probe(server).await;
             let elapsed = micros_since(sent_at);
             if let Some(telemetry) = &driver.telemetry {
-                telemetry.probed(outcome);
+                telemetry.health_check_finished(outcome);
             }
             let event = Event::HealthChecked { server, outcome, elapsed, report };
             driver.state.borrow_mut().events.push_back(event);
--- a/crates/agent/src/driver/endpoints.rs
+++ b/crates/agent/src/driver/endpoints.rs
@@ -12,7 +12,7 @@
     DedupGroupId, Endpoint, EndpointUpdate, Event, MachineTypeId, ServerId, Status, Time, ZoneId,
 };
 use bellcroft_platform_settings::{fnv1a, Names};
-use bellcroft_telemetry::{Instance, Line};
+use bellcroft_telemetry::{EndpointEntry, Instance};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -227,22 +227,22 @@
         listed: Option<&HashSet<ServerId>>,
     ) {
         for endpoint in endpoints {
-            telemetry.listed(
+            telemetry.endpoint_listed(
                 now,
-                Line {
+                EndpointEntry {
                     server: endpoint.server.0,
                     name: self.name(endpoint.server).unwrap_or_default(),
                     zone: endpoint.zone.0,
-                    cell: endpoint.dedup_group.0,
-                    up: endpoint.status == Status::Serving,
-                    here: endpoint.status != Status::Gone,
+                    dedup_group: endpoint.dedup_group.0,
+                    is_serving: endpoint.status == Status::Serving,
+                    is_listed: endpoint.status != Status::Gone,
                     started: endpoint.started_at,
                 },
             );
         }
         if let Some(listed) = listed {
             for server in self.left.keys().filter(|server| !listed.contains(server)) {
-                telemetry.left(now, server.0);
+                telemetry.endpoint_removed(now, server.0);
             }
         }
     }
@@ -328,7 +328,7 @@
     fn on_endpoints(self: Rc<Self>, list: EndpointList) {
         self.discovery_monitor.borrow_mut().on_answer(list.seq);
         if let Some(telemetry) = &self.telemetry {
-            telemetry.list_answered(self.clock.now());
+            telemetry.list_call_succeeded(self.clock.now());
         }
         self.end_deferral();
         let update = {
@@ -362,7 +362,7 @@
     fn on_silent_watch(&self, version: u64, elapsed: Duration) {
         self.discovery_monitor.borrow_mut().on_silent_watch(version, elapsed);
         if let Some(telemetry) = &self.telemetry {
-            telemetry.watch_silent();
+            telemetry.watch_timed_out();
         }
     }
 }
--- a/crates/agent/src/driver/requests.rs
+++ b/crates/agent/src/driver/requests.rs
@@ -199,7 +199,7 @@
         let telemetry = self.telemetry.clone()?;
         let client_deadline = self.clock.at(incoming.client_deadline);
         let tenant = incoming.tenant.map(|tenant| tenant.0);
-        telemetry.taken(id.0, incoming.class.0, tenant, incoming.route_name(), client_deadline);
+        telemetry.request_received(id.0, incoming.class.0, tenant, incoming.route_name(), client_deadline);
         Some(PendingTimer::new(telemetry, self.clock, id, incoming.class.0, incoming.received_at))
     }
 
--- a/crates/agent/src/telemetry.rs
+++ b/crates/agent/src/telemetry.rs
@@ -10,7 +10,9 @@
 use bellcroft_membership::{QuorumState, RejectReason, State, Stats};
 use bellcroft_operator_config::RemoteWrite;
 use bellcroft_routes::HedgePolicy;
-use bellcroft_telemetry::{families, About, Allowed, Instance, Over, Policy, Registry, Version};
+use bellcroft_telemetry::{
+    families, FinalOutcome, Instance, InstanceInfo, Policy, Registry, RouteBudget, Version,
+};
 use families::Family;
 use std::rc::Rc;
 use tokio::time::Instant;
@@ -29,7 +31,7 @@
 /// The series of an instance; none without remote write.
 pub fn start(config: &Config, started_ms: u64) -> Option<Rc<Instance>> {
     let remote = config.remote_write.as_ref()?;
-    let instance = Instance::new(&About {
+    let instance = Instance::new(&InstanceInfo {
         settings: &config.settings,
         classes: &config.names.classes,
         tenants: &config.names.tenants,
@@ -45,7 +47,8 @@
 
 /// Publishes the budgets of the routes as gauges, beside the counters of what they spend.
 pub fn publish_budgets(instance: &Instance, config: &Config) {
-    let mut allowed = vec![Allowed { route: NO_ROUTE, retries: COMMON_RETRY_RATIO, copies: None }];
+    let mut route_budgets =
+        vec![RouteBudget { route: NO_ROUTE, retry_ratio: COMMON_RETRY_RATIO, hedge_ratio: None }];
     for route in &config.routes.routes {
         let pool = route.pool.as_ref().and_then(|name| config.routes.pools.iter().find(|p| p.name == *name));
         let budgets = [route.retry_budget, pool.and_then(|pool| pool.retry_budget)];
@@ -53,13 +56,13 @@
         let retries = budgets.into_iter().flatten().map(|b| b.ratio).reduce(f64::min);
         let hedge_shares = [route.max_hedge_ratio, pool.and_then(|pool| pool.max_hedge_ratio)];
         let hedges = hedge_shares.into_iter().flatten().reduce(f64::min);
-        allowed.push(Allowed {
+        route_budgets.push(RouteBudget {
             route: &route.name,
-            retries: retries.unwrap_or(COMMON_RETRY_RATIO),
-            copies: hedges.filter(|_| route.hedge != HedgePolicy::Never),
+            retry_ratio: retries.unwrap_or(COMMON_RETRY_RATIO),
+            hedge_ratio: hedges.filter(|_| route.hedge != HedgePolicy::Never),
         });
     }
-    instance.allowed(&allowed);
+    instance.set_route_budgets(&route_budgets);
 }
 
 /// The labels of all series: the operator's, and job and instance unless the operator sets them.
@@ -163,9 +166,9 @@
         policy: Policy {
             version: if remote.version_2 { Version::V2 } else { Version::V1 },
             queue_bytes: remote.queue_bytes,
-            backoff_first: remote.retry.0,
-            backoff_most: remote.retry.1,
-            flush_within: remote.flush_within,
+            initial_backoff: remote.retry.0,
+            max_backoff: remote.retry.1,
+            flush_timeout: remote.flush_within,
             ..Policy::default()
         },
         labels: external_labels(remote, &config.name),
@@ -179,7 +182,7 @@
     request: RequestId,
     class: usize,
     received_at: Instant,
-    outcome: Over,
+    outcome: FinalOutcome,
     is_written: bool,
 }
 
@@ -192,11 +195,19 @@
         class: usize,
         received_at: Instant,
     ) -> Self {
-        PendingTimer { instance, clock, request, class, received_at, outcome: Over::Left, is_written: false }
+        PendingTimer {
+            instance,
+            clock,
+            request,
+            class,
+            received_at,
+            outcome: FinalOutcome::ClientLeft,
+            is_written: false,
+        }
     }
 
     /// The response has been decided, and is being written.
-    pub fn set_outcome(&mut self, outcome: Over) {
+    pub fn set_outcome(&mut self, outcome: FinalOutcome) {
         self.outcome = outcome;
     }
 
@@ -208,10 +219,10 @@
 
 impl Drop for PendingTimer {
     fn drop(&mut self) {
-        let outcome = if self.is_written { self.outcome } else { Over::Left };
+        let outcome = if self.is_written { self.outcome } else { FinalOutcome::ClientLeft };
         let now = Instant::now();
         let elapsed = Micros(now.saturating_duration_since(self.received_at).as_micros() as u64);
-        self.instance.over(self.clock.at(now), self.request.0, self.class, outcome, elapsed);
+        self.instance.request_finished(self.clock.at(now), self.request.0, self.class, outcome, elapsed);
     }
 }
 
--- a/crates/operator-config/src/telemetry.rs
+++ b/crates/operator-config/src/telemetry.rs
@@ -1,7 +1,7 @@
 //! `[remote_write]` and `[remote_write.labels]`.
 
 use crate::section::Section;
-use bellcroft_telemetry::{Url, LABEL_MOST};
+use bellcroft_telemetry::{Url, MAX_LABEL_BYTES};
 use std::path::PathBuf;
 use std::time::Duration;
 
@@ -105,8 +105,8 @@
                 name,
                 "is no label's name; letters, digits and '_' were expected, and no '__' in front",
             );
-        } else if value.len() > LABEL_MOST {
-            section.fault(name, format!("is {} bytes long; at most {LABEL_MOST} are sent", value.len()));
+        } else if value.len() > MAX_LABEL_BYTES {
+            section.fault(name, format!("is {} bytes long; at most {MAX_LABEL_BYTES} are sent", value.len()));
         }
     }
     texts
--- a/crates/telemetry/src/connection.rs
+++ b/crates/telemetry/src/connection.rs
@@ -67,7 +67,7 @@
 
 /// A receiver's answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     /// Its status.
     pub status: u16,
     /// Its `Retry-After`, from now.
@@ -109,7 +109,7 @@
     /// # Errors
     ///
     /// Why there is no whole answer, in words for people on call.
-    pub async fn post(&mut self, post: Post) -> Result<Answer, String> {
+    pub async fn post(&mut self, post: Post) -> Result<Response, String> {
         // Taken out: whatever goes wrong, a time-out or a caller that stops waiting among it, closes it.
         let open = self.open.take();
         let exchange = exchange(&self.url, self.token.as_deref(), open, post);
@@ -129,7 +129,7 @@
     token: Option<&str>,
     open: Option<Open>,
     post: Post,
-) -> Result<(Answer, Option<Open>), String> {
+) -> Result<(Response, Option<Open>), String> {
     let (mut sender, task) = match open.filter(|(sender, _)| !sender.is_closed()) {
         Some(open) => open,
         None => connect(url).await?,
@@ -168,13 +168,13 @@
 }
 
 /// What a head says. `Retry-After` is a count of seconds or a date (RFC 9110, section 10.2.3).
-fn read(status: u16, headers: &HeaderMap, now: SystemTime) -> Answer {
+fn read(status: u16, headers: &HeaderMap, now: SystemTime) -> Response {
     let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok()).map(str::trim);
     let retry_after = text(RETRY_AFTER.as_str()).and_then(|text| match text.parse::<u32>() {
         Ok(seconds) => Some(Duration::from_secs(u64::from(seconds))),
         Err(_) => httpdate::parse_http_date(text).ok().map(|at| at.duration_since(now).unwrap_or_default()),
     });
-    Answer { status, retry_after, written: text(WRITTEN).and_then(|count| count.parse().ok()) }
+    Response { status, retry_after, written: text(WRITTEN).and_then(|count| count.parse().ok()) }
 }
 
 #[cfg(test)]
--- a/crates/telemetry/src/families.rs
+++ b/crates/telemetry/src/families.rs
@@ -13,7 +13,7 @@
 const NAMED: usize = 8_192;
 
 macro_rules! families {
-    ($($constant:ident $kind:ident $name:literal [$($label:literal),*] $most:expr, $help:literal;)*) => {
+    ($($constant:ident $kind:ident $name:literal [$($label:literal),*] $max_series:expr, $help:literal;)*) => {
         $(
             #[doc = $help]
             pub static $constant: Family = Family {
@@ -21,7 +21,7 @@
                 help: $help,
                 kind: Kind::$kind,
                 labels: &[$($label),*],
-                most: $most,
+                max_series: $max_series,
                 bounds: Vec::new(),
             };
         )*
--- a/crates/telemetry/src/instance.rs
+++ b/crates/telemetry/src/instance.rs
@@ -4,7 +4,7 @@
 //! a number or by a text that is at hand, and allocates nothing.
 
 use crate::families::*;
-use crate::observer::{Facts, Observer, Rule};
+use crate::observer::{Observer, Rule, RuleParameters};
 use crate::registry::{Counter, Family, Gauge, Histogram, Registry, Sample, OTHER};
 use crate::sender;
 use bellcroft_balancer::{Micros, Outcome, Settings, Time};
@@ -21,23 +21,23 @@
 
 /// How a request was over, as its client saw it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Over {
+pub enum FinalOutcome {
     /// With a server's answer.
     Served,
     /// With a 429.
-    Refused,
+    Shed,
     /// With another error.
     Failed,
     /// Its client had left.
-    Left,
+    ClientLeft,
 }
 
-impl Over {
-    const ALL: [(Over, &'static str); 4] = [
-        (Over::Served, "served"),
-        (Over::Refused, "refused"),
-        (Over::Failed, "failed"),
-        (Over::Left, "left"),
+impl FinalOutcome {
+    const ALL: [(FinalOutcome, &'static str); 4] = [
+        (FinalOutcome::Served, "served"),
+        (FinalOutcome::Shed, "refused"),
+        (FinalOutcome::Failed, "failed"),
+        (FinalOutcome::ClientLeft, "left"),
     ];
 }
 
@@ -72,7 +72,7 @@
 
 /// What an instance's series are about.
 #[derive(Debug, Clone)]
-pub struct About<'a> {
+pub struct InstanceInfo<'a> {
     /// The platform's settings.
     pub settings: &'a Settings,
     /// The classes' names.
@@ -93,7 +93,7 @@
 
 /// A line of the server list.
 #[derive(Debug, Clone, Copy)]
-pub struct Line<'a> {
+pub struct EndpointEntry<'a> {
     /// The server's number.
     pub server: u32,
     /// Its name.
@@ -101,24 +101,24 @@
     /// Its zone's place in the settings.
     pub zone: u32,
     /// Its cell.
-    pub cell: u32,
+    pub dedup_group: u32,
     /// It takes requests.
-    pub up: bool,
+    pub is_serving: bool,
     /// It is still there.
-    pub here: bool,
+    pub is_listed: bool,
     /// When it started, if that was lately.
     pub started: Option<Time>,
 }
 
 /// What a route's requests may spend, for the gauges beside their counts.
 #[derive(Debug, Clone)]
-pub struct Allowed<'a> {
+pub struct RouteBudget<'a> {
     /// The route's name.
     pub route: &'a str,
     /// Retries that a request earns.
-    pub retries: f64,
+    pub retry_ratio: f64,
     /// Second copies that a request earns; none where it has none.
-    pub copies: Option<f64>,
+    pub hedge_ratio: Option<f64>,
 }
 
 struct ClassSeries {
@@ -179,7 +179,7 @@
 
 impl Instance {
     /// The series of an instance that has seen nothing.
-    pub fn new(about: &About) -> Self {
+    pub fn new(about: &InstanceInfo) -> Self {
         let registry = Registry::new(about.external);
         let settings = about.settings;
         let mut bounds: Vec<f64> = BOUNDS.to_vec();
@@ -195,7 +195,7 @@
         };
         let classes = about.classes.iter().zip(&settings.classes).map(|(name, class)| ClassSeries {
             aim: class.latency_objective,
-            over: Over::ALL.map(|(_, word)| registry.counter(&REQUESTS, &[name, word])),
+            over: FinalOutcome::ALL.map(|(_, word)| registry.counter(&REQUESTS, &[name, word])),
             in_flight: registry.gauge(&IN_FLIGHT, &[name]),
             in_wanted: registry.counter(&IN_WANTED, &[name]),
             answer: histogram(&ANSWER, &[name]),
@@ -225,7 +225,7 @@
         registry.gauge(&GENERATION, &[]).set(1.0);
         registry.counter(&RELOADS_REFUSED, &[]);
         Instance {
-            observer: RefCell::new(Observer::new(Facts::from(settings))),
+            observer: RefCell::new(Observer::new(RuleParameters::from(settings))),
             classes,
             class_names: about.classes.to_vec(),
             tenants,
@@ -241,8 +241,8 @@
             silent_watches: registry.counter(&SILENT_WATCHES, &[]),
             listed_at: Cell::new(None),
             begun: Cell::new(None),
-            breaches: Rule::ALL.map(|rule| registry.counter(&BREACHES, &[rule.word()])),
-            near: Rule::ALL.map(|rule| registry.counter(&NEAR, &[rule.word()])),
+            breaches: Rule::ALL.map(|rule| registry.counter(&BREACHES, &[rule.label()])),
+            near: Rule::ALL.map(|rule| registry.counter(&NEAR, &[rule.label()])),
             registry,
         }
     }
@@ -253,17 +253,17 @@
     }
 
     /// What the routes' requests may spend. A route that was there and is no more keeps its counts and loses its gauge.
-    pub fn allowed(&self, allowed: &[Allowed]) {
+    pub fn set_route_budgets(&self, budgets: &[RouteBudget]) {
         for route in self.routes.borrow().keys() {
             for kind in ["retry", "second_copy"] {
                 self.registry.remove(&BUDGET, &[kind, route]);
             }
         }
-        for one in allowed {
-            self.route(one.route, |_| {});
-            self.registry.gauge(&BUDGET, &["retry", one.route]).set(one.retries);
-            if let Some(copies) = one.copies {
-                self.registry.gauge(&BUDGET, &["second_copy", one.route]).set(copies);
+        for budget in budgets {
+            self.route(budget.route, |_| {});
+            self.registry.gauge(&BUDGET, &["retry", budget.route]).set(budget.retry_ratio);
+            if let Some(copies) = budget.hedge_ratio {
+                self.registry.gauge(&BUDGET, &["second_copy", budget.route]).set(copies);
             }
         }
     }
@@ -296,17 +296,24 @@
     }
 
     /// A request has come whole; its client waits until `deadline`.
-    pub fn taken(&self, id: u64, class: usize, tenant: Option<usize>, route: &str, deadline: Time) {
+    pub fn request_received(
+        &self,
+        id: u64,
+        class: usize,
+        tenant: Option<usize>,
+        route: &str,
+        deadline: Time,
+    ) {
         self.classes[class].in_flight.inc();
         if let Some(tenant) = tenant.and_then(|tenant| self.tenants.get(tenant)) {
             tenant.inc();
         }
         self.route(route, |series| series.requests.inc());
-        self.observer.borrow_mut().taken(id, class, deadline);
+        self.observer.borrow_mut().request_received(id, class, deadline);
     }
 
     /// An attempt has been decided on: the request's first, a later one, or one while another was out.
-    pub fn attempt(&self, server: u32, route: &str, number: u32, another_out: bool) {
+    pub fn attempt_started(&self, server: u32, route: &str, number: u32, another_out: bool) {
         self.zone(self.zone_of(server)).out.inc();
         match (number, another_out) {
             (0, _) => {}
@@ -321,7 +328,7 @@
     }
 
     /// An attempt is over.
-    pub fn ended(
+    pub fn attempt_finished(
         &self,
         (id, attempt): (u64, u32),
         class: usize,
@@ -342,37 +349,37 @@
                 time.inc_by(seconds);
             }
         }
-        self.observer.borrow_mut().ended(id, attempt, outcome.never_ran());
+        self.observer.borrow_mut().attempt_finished(id, attempt, outcome.never_ran());
     }
 
     /// A request is over; but for one whose client had left, its answer's last byte has gone out.
-    pub fn over(&self, now: Time, id: u64, class: usize, over: Over, took: Micros) {
+    pub fn request_finished(&self, now: Time, id: u64, class: usize, over: FinalOutcome, took: Micros) {
         let series = &self.classes[class];
         series.in_flight.dec();
         series.over[over as usize].inc();
         let mut observer = self.observer.borrow_mut();
-        if over == Over::Left {
-            return observer.gone(id);
+        if over == FinalOutcome::ClientLeft {
+            return observer.client_left(id);
         }
         series.answer.observe(took.ms() / 1e3);
-        if over == Over::Served && took <= series.aim {
+        if over == FinalOutcome::Served && took <= series.aim {
             series.in_wanted.inc();
         }
-        observer.answered(now, id, over == Over::Refused);
+        observer.response_sent(now, id, over == FinalOutcome::Shed);
     }
 
     /// A request was wrong.
-    pub fn bad(&self) {
+    pub fn bad_request(&self) {
         self.bad.inc();
     }
 
     /// A probe is over.
-    pub fn probed(&self, outcome: Outcome) {
+    pub fn health_check_finished(&self, outcome: Outcome) {
         self.probes[place(outcome)].inc();
     }
 
     /// Discovery has answered a call.
-    pub fn list_answered(&self, now: Time) {
+    pub fn list_call_succeeded(&self, now: Time) {
         self.list_ok.inc();
         self.listed_at.set(Some(now));
     }
@@ -384,26 +391,26 @@
     }
 
     /// A watch of discovery has not answered in time.
-    pub fn watch_silent(&self) {
+    pub fn watch_timed_out(&self) {
         self.silent_watches.inc();
     }
 
     /// The list says this of a server.
-    pub fn listed(&self, now: Time, line: Line) {
-        let at = (line.zone, line.cell);
-        self.observer.borrow_mut().told(now, line.server, at, line.up, line.started);
+    pub fn endpoint_listed(&self, now: Time, entry: EndpointEntry) {
+        let at = (entry.zone, entry.dedup_group);
+        self.observer.borrow_mut().endpoint_listed(now, entry.server, at, entry.is_serving, entry.started);
         let mut servers = self.servers.borrow_mut();
         let own_name = servers.values().filter(|s| s.own_name).count() < self.server_names;
-        let label = if own_name { line.name } else { OTHER };
-        let series = servers.entry(line.server).or_insert_with(|| ServerSeries {
-            name: line.name.to_owned(),
-            zone: line.zone,
+        let label = if own_name { entry.name } else { OTHER };
+        let series = servers.entry(entry.server).or_insert_with(|| ServerSeries {
+            name: entry.name.to_owned(),
+            zone: entry.zone,
             state: "up",
             named: (self.server_names > 0).then(|| self.named(label)),
             own_name,
         });
-        series.zone = line.zone;
-        series.state = match (line.up, line.here) {
+        series.zone = entry.zone;
+        series.state = match (entry.is_serving, entry.is_listed) {
             (true, _) => "up",
             (false, true) => "draining",
             (false, false) => "gone",
@@ -411,11 +418,11 @@
     }
 
     /// A whole list no longer names a server.
-    pub fn left(&self, now: Time, server: u32) {
+    pub fn endpoint_removed(&self, now: Time, server: u32) {
         if let Some(series) = self.servers.borrow_mut().get_mut(&server) {
             series.state = "gone";
         }
-        self.observer.borrow_mut().left_list(now, server);
+        self.observer.borrow_mut().endpoint_removed(now, server);
     }
 
     fn named(&self, name: &str) -> (Vec<Counter>, Counter) {
@@ -437,11 +444,11 @@
     }
 
     /// Time passes: answers that are overdue are seen.
-    pub fn look(&self, now: Time) {
+    pub fn check_overdue(&self, now: Time) {
         if self.begun.get().is_none() {
             self.begun.set(Some(now));
         }
-        self.observer.borrow_mut().look(now);
+        self.observer.borrow_mut().check_overdue(now);
     }
 
     /// The total of one kind of violation; it is counted by the guard.
@@ -450,7 +457,13 @@
     }
 
     /// What remote write has done; its counts are the sender's own.
-    pub fn remote(&self, counts: &sender::Counts, queue: usize, oldest: Duration, clock_steps: u64) {
+    pub fn set_remote_write(
+        &self,
+        counts: &sender::Counts,
+        queue: usize,
+        oldest: Duration,
+        clock_steps: u64,
+    ) {
         let words = [
             ("sent", counts.sent),
             ("retried", counts.retried),
@@ -468,17 +481,17 @@
 
     /// The value of every series now.
     pub fn gather(&self, now: Time) -> Vec<Sample> {
-        self.look(now);
+        self.check_overdue(now);
         let mut observer = self.observer.borrow_mut();
         for rule in Rule::ALL {
             let margin = observer.margin(rule);
             raise(&self.breaches[rule as usize], margin.breaches);
-            raise(&self.near[rule as usize], margin.near);
+            raise(&self.near[rule as usize], margin.near_misses);
             let (family, labels): (&Family, &[&str]) = match rule {
-                Rule::Cold => (&COLD_LEFT, &[]),
-                _ => (&MARGIN, &[rule.word()]),
+                Rule::SlowStart => (&COLD_LEFT, &[]),
+                _ => (&MARGIN, &[rule.label()]),
             };
-            match observer.take_recent(rule) {
+            match observer.take_recent_min(rule) {
                 Some(left) => self.registry.gauge(family, labels).set(left),
                 None => self.registry.remove(family, labels),
             }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -18,11 +18,11 @@
 mod timeline;
 pub mod wire;
 
-pub use connection::{Answer, Connection, Url};
-pub use instance::{About, Allowed, Instance, Line, Over};
-pub use observer::{Facts, Margin, Observer, Rule};
-pub use registry::{label_value, Counter, Family, Gauge, Histogram, Kind, Registry, Sample, LABEL_MOST};
-pub use remote::{Config, Owner, Remote};
+pub use connection::{Connection, Response, Url};
+pub use instance::{EndpointEntry, FinalOutcome, Instance, InstanceInfo, RouteBudget};
+pub use observer::{Margin, Observer, Rule, RuleParameters};
+pub use registry::{label_value, Counter, Family, Gauge, Histogram, Kind, Registry, Sample, MAX_LABEL_BYTES};
+pub use remote::{Config, Environment, Remote};
 pub use sender::{Action, Counts, Event, Policy, Post, Sender};
 pub use timeline::Timeline;
-pub use wire::{encode, Version, STALE};
+pub use wire::{encode, Version, STALE_MARKER_BITS};
--- a/crates/telemetry/src/registry.rs
+++ b/crates/telemetry/src/registry.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The longest value of a label, in bytes; a longer one is cut at a character.
-pub const LABEL_MOST: usize = 128;
+pub const MAX_LABEL_BYTES: usize = 128;
 /// What stands in a label that has had its share of values.
 pub(crate) const OTHER: &str = "other";
 
@@ -38,7 +38,7 @@
     /// Its labels' names.
     pub labels: &'static [&'static str],
     /// Series at the most. Past that the last label of a new one is `other`.
-    pub most: usize,
+    pub max_series: usize,
     /// Upper bounds of a histogram's buckets, ascending, without the infinite one.
     pub bounds: Vec<f64>,
 }
@@ -170,7 +170,7 @@
             series: BTreeSet::new(),
         });
         let mut key: Vec<String> = values.iter().map(|value| label_value(value.as_bytes())).collect();
-        if !known.series.contains(&key) && known.series.len() >= family.most {
+        if !known.series.contains(&key) && known.series.len() >= family.max_series {
             if let Some(last) = key.last_mut() {
                 *last = OTHER.to_owned();
             }
@@ -275,12 +275,12 @@
     }
 }
 
-/// Any bytes as a label's value: UTF-8, and not longer than [`LABEL_MOST`].
+/// Any bytes as a label's value: UTF-8, and not longer than [`MAX_LABEL_BYTES`].
 pub fn label_value(bytes: &[u8]) -> String {
     // A prefix is enough: what is cut off is not decoded.
-    let head = &bytes[..bytes.len().min(LABEL_MOST + 4)];
+    let head = &bytes[..bytes.len().min(MAX_LABEL_BYTES + 4)];
     let mut text = String::from_utf8_lossy(head).into_owned();
-    let mut end = text.len().min(LABEL_MOST);
+    let mut end = text.len().min(MAX_LABEL_BYTES);
     while !text.is_char_boundary(end) {
         end -= 1;
     }
@@ -292,9 +292,9 @@
 mod tests {
     use super::*;
 
-    fn family(kind: Kind, most: usize) -> Family {
+    fn family(kind: Kind, max_series: usize) -> Family {
         let bounds = if kind == Kind::Histogram { vec![0.25, 1.5] } else { Vec::new() };
-        Family { name: "bellcroft_x", help: "x", kind, labels: &["class", "server"], most, bounds }
+        Family { name: "bellcroft_x", help: "x", kind, labels: &["class", "server"], max_series, bounds }
     }
 
     fn label<'a>(sample: &'a Sample, name: &str) -> Option<&'a str> {
@@ -385,9 +385,9 @@
     fn any_bytes_make_a_label_value() {
         assert_eq!(label_value(b"a\"b\nc\\"), "a\"b\nc\\");
         assert_eq!(label_value(b"a\xffb"), "a\u{fffd}b");
-        assert_eq!(label_value(&vec![b'x'; 10_000]).len(), LABEL_MOST);
+        assert_eq!(label_value(&vec![b'x'; 10_000]).len(), MAX_LABEL_BYTES);
         let wide = "é".repeat(5000);
         let cut = label_value(wide.as_bytes());
-        assert!(cut.len() <= LABEL_MOST && wide.starts_with(&cut) && cut.len() >= LABEL_MOST - 1);
+        assert!(cut.len() <= MAX_LABEL_BYTES && wide.starts_with(&cut) && cut.len() >= MAX_LABEL_BYTES - 1);
     }
 }
--- a/crates/telemetry/src/remote.rs
+++ b/crates/telemetry/src/remote.rs
@@ -53,8 +53,8 @@
     commands: mpsc::UnboundedSender<Command>,
 }
 
-/// What the task needs of its owner.
-pub struct Owner {
+/// What the task needs of its environment.
+pub struct Environment {
     /// What is sampled.
     pub instance: Rc<Instance>,
     /// The decisions' clock.
@@ -69,9 +69,9 @@
 
 impl Remote {
     /// Starts the task on the present [`tokio::task::LocalSet`].
-    pub fn start(config: Config, owner: Owner) -> Self {
+    pub fn start(config: Config, environment: Environment) -> Self {
         let (commands, receiver) = mpsc::unbounded_channel();
-        tokio::task::spawn_local(run(config, owner, receiver));
+        tokio::task::spawn_local(run(config, environment, receiver));
         Remote { commands }
     }
 
@@ -97,7 +97,7 @@
 
 struct Shell {
     config: Config,
-    owner: Owner,
+    environment: Environment,
     sender: Sender,
     timeline: Timeline,
     origin: Instant,
@@ -117,7 +117,7 @@
         self.sender.handle(self.now(), event, &mut actions);
         for action in actions {
             match action {
-                Action::Log(text) => (self.owner.log)(&text),
+                Action::Log(text) => (self.environment.log)(&text),
                 Action::Finished => self.finished = true,
                 Action::Post(post) => {
                     let connection = self.connection.take().unwrap_or_else(|| self.fresh());
@@ -134,56 +134,69 @@
     fn sample(&mut self) {
         let (sender, now) = (&self.sender, self.now());
         let steps = self.timeline.steps();
-        self.owner.instance.remote(&sender.counts(), sender.queued_bytes(), sender.oldest(now), steps);
-        (self.owner.refresh)();
-        let samples = self.owner.instance.gather((self.owner.now)());
+        self.environment.instance.set_remote_write(
+            &sender.counts(),
+            sender.queued_bytes(),
+            sender.oldest(now),
+            steps,
+        );
+        (self.environment.refresh)();
+        let samples = self.environment.instance.gather((self.environment.now)());
         let at = self.timeline.stamp(wall_ms(), now);
         self.tell(Event::Samples(samples, at));
     }
 
     fn change(&mut self, config: Config) {
-        let moved = config.url != self.config.url;
-        if moved || config.token != self.config.token || config.timeout != self.config.timeout {
+        let receiver_changed = config.url != self.config.url;
+        if receiver_changed || config.token != self.config.token || config.timeout != self.config.timeout {
             // An exchange that is out with the same receiver ends by itself, and its connection with it.
             self.connection = None;
-            if moved {
+            if receiver_changed {
                 self.exchange = None;
             }
         }
-        self.owner.instance.registry.relabel(&config.labels);
+        self.environment.instance.registry.relabel(&config.labels);
         let policy = config.policy.clone();
         self.config = config;
-        self.tell(Event::Changed { policy, moved });
+        self.tell(Event::PolicyChanged { policy, receiver_changed });
     }
 }
 
 async fn exchange(mut connection: Connection, post: sender::Post) -> (Connection, Event) {
     let event = match connection.post(post).await {
-        Ok(answer) => Event::Answered {
+        Ok(answer) => Event::Response {
             status: answer.status,
             retry_after: answer.retry_after,
             written: answer.written,
         },
-        Err(why) => Event::Broken(why),
+        Err(why) => Event::Failed(why),
     };
     (connection, event)
 }
 
-async fn run(config: Config, owner: Owner, mut commands: mpsc::UnboundedReceiver<Command>) {
+async fn run(config: Config, environment: Environment, mut commands: mpsc::UnboundedReceiver<Command>) {
     let origin = Instant::now();
     let timeline = Timeline::new(wall_ms(), Duration::ZERO);
-    let sender = Sender::new(config.policy.clone(), owner.seed, wall_ms());
+    let sender = Sender::new(config.policy.clone(), environment.seed, wall_ms());
     let mut next_sample = origin;
     let mut next_look = origin;
     let mut stopping = None;
-    let mut shell =
-        Shell { config, owner, sender, timeline, origin, connection: None, exchange: None, finished: false };
+    let mut shell = Shell {
+        config,
+        environment,
+        sender,
+        timeline,
+        origin,
+        connection: None,
+        exchange: None,
+        finished: false,
+    };
     // Each instance of a fleet samples at its own phase, or a receiver would have all of them at once.
-    let mut phase = fastrand::Rng::with_seed(shell.owner.seed);
+    let mut phase = fastrand::Rng::with_seed(shell.environment.seed);
     while !shell.finished {
         let now = Instant::now();
         if now >= next_look {
-            shell.owner.instance.look((shell.owner.now)());
+            shell.environment.instance.check_overdue((shell.environment.now)());
             next_look = now + LOOK;
         }
         if stopping.is_none() && now >= next_sample {
@@ -219,7 +232,7 @@
                     let at = shell.timeline.stamp(wall_ms(), shell.now());
                     shell.tell(Event::Stop(at));
                 }
-                // Its owner has gone without a word, and the process with it.
+                // Its environment has gone without a word, and the process with it.
                 None => return,
             },
             () = async { match wake { Some(at) => tokio::time::sleep_until(at).await, None => pending().await } } => {
--- a/crates/telemetry/src/sender.rs
+++ b/crates/telemetry/src/sender.rs
@@ -4,7 +4,7 @@
 //! whatever the receiver does. The queue is bounded by bytes; past it the oldest batch goes, for the newest says more.
 
 use crate::registry::Sample;
-use crate::wire::{encode, Version, STALE};
+use crate::wire::{encode, Version, STALE_MARKER_BITS};
 use std::collections::{HashSet, VecDeque};
 use std::time::Duration;
 
@@ -19,13 +19,13 @@
     /// Bytes that may wait, beside the newest moment's samples and those that are out.
     pub queue_bytes: usize,
     /// The pause after a first failure; it doubles with each further one.
-    pub backoff_first: Duration,
+    pub initial_backoff: Duration,
     /// The longest pause.
-    pub backoff_most: Duration,
+    pub max_backoff: Duration,
     /// A receiver's `Retry-After` is heeded up to this.
-    pub retry_after_most: Duration,
+    pub max_retry_after: Duration,
     /// After a stop, what waits has this long.
-    pub flush_within: Duration,
+    pub flush_timeout: Duration,
 }
 
 impl Default for Policy {
@@ -33,10 +33,10 @@
         Policy {
             version: Version::V2,
             queue_bytes: 4 << 20,
-            backoff_first: Duration::from_millis(250),
-            backoff_most: Duration::from_secs(30),
-            retry_after_most: Duration::from_secs(300),
-            flush_within: Duration::from_secs(2),
+            initial_backoff: Duration::from_millis(250),
+            max_backoff: Duration::from_secs(30),
+            max_retry_after: Duration::from_secs(300),
+            flush_timeout: Duration::from_secs(2),
         }
     }
 }
@@ -47,7 +47,7 @@
     /// A moment's samples, with their timestamp in Unix milliseconds.
     Samples(Vec<Sample>, i64),
     /// The receiver's answer to the request that is out.
-    Answered {
+    Response {
         /// Its status.
         status: u16,
         /// Its `Retry-After`.
@@ -56,16 +56,16 @@
         written: Option<u64>,
     },
     /// The request that is out got no whole answer in time, for this reason.
-    Broken(String),
+    Failed(String),
     /// Time has passed.
     Tick,
     /// The operator's word has changed; if the receiver is another one, what waits goes there, the request that was
     /// out to the old one among it, and the caller has given that up.
-    Changed {
+    PolicyChanged {
         /// How samples are sent from now on.
         policy: Policy,
         /// The receiver is another one.
-        moved: bool,
+        receiver_changed: bool,
     },
     /// The process ends; its series end at this timestamp.
     Stop(i64),
@@ -83,7 +83,7 @@
 /// What is to be done.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send this; report [`Event::Answered`] or [`Event::Broken`].
+    /// Send this; report [`Event::Response`] or [`Event::Failed`].
     Post(Post),
     /// Something that people on call may want to read.
     Log(String),
@@ -103,7 +103,7 @@
     /// Dropped because the receiver refused them for good.
     pub dropped_refused: u64,
     /// Still there when the process's last moment was over.
-    pub dropped_at_end: u64,
+    pub dropped_at_shutdown: u64,
     /// Of those sent, not written by the receiver's own account.
     pub unwritten: u64,
 }
@@ -195,8 +195,8 @@
                 ended.extend(samples);
                 self.push(now, ended, at_ms);
             }
-            Event::Changed { policy, moved } => {
-                if moved {
+            Event::PolicyChanged { policy, receiver_changed } => {
+                if receiver_changed {
                     // It has never heard of these series: it is owed neither their ends nor the old one's pauses.
                     (self.out, self.failures, self.not_before) = (false, 0, now);
                     (self.told_refused, self.told_unwritten) = (false, false);
@@ -209,17 +209,17 @@
                 self.trim();
             }
             Event::Samples(..) | Event::Tick => {}
-            Event::Answered { status, retry_after, written } => {
+            Event::Response { status, retry_after, written } => {
                 self.answered(now, status, retry_after, written, actions);
             }
-            Event::Broken(why) => self.failed(now, None, &why, actions),
+            Event::Failed(why) => self.failed(now, None, &why, actions),
             Event::Stop(at_ms) if self.flush_until.is_none() => {
                 let mut ends = std::mem::take(&mut self.last);
-                ends.iter_mut().for_each(|sample| sample.value = f64::from_bits(STALE));
+                ends.iter_mut().for_each(|sample| sample.value = f64::from_bits(STALE_MARKER_BITS));
                 if !ends.is_empty() {
                     self.push(now, ends, at_ms);
                 }
-                self.flush_until = Some(now + self.policy.flush_within);
+                self.flush_until = Some(now + self.policy.flush_timeout);
                 // What a pause put off has no later.
                 self.not_before = now;
             }
@@ -245,7 +245,7 @@
         }
         let now: HashSet<&[(String, String)]> = samples.iter().map(|s| s.labels.as_slice()).collect();
         let gone = self.last.iter().filter(|old| !now.contains(old.labels.as_slice()));
-        gone.map(|old| Sample { value: f64::from_bits(STALE), ..old.clone() }).collect()
+        gone.map(|old| Sample { value: f64::from_bits(STALE_MARKER_BITS), ..old.clone() }).collect()
     }
 
     fn trim(&mut self) {
@@ -331,11 +331,11 @@
             actions.push(Action::Log(format!("remote write: {why}; it is tried again")));
         }
         let doubled =
-            2_f64.powi((self.failures - 1).min(30) as i32) * self.policy.backoff_first.as_secs_f64();
-        let longest = doubled.min(self.policy.backoff_most.as_secs_f64());
+            2_f64.powi((self.failures - 1).min(30) as i32) * self.policy.initial_backoff.as_secs_f64();
+        let longest = doubled.min(self.policy.max_backoff.as_secs_f64());
         // From half to all of it, so that a fleet does not return together.
         let pause = Duration::from_secs_f64(longest * (0.5 + 0.5 * self.random.f64()));
-        let pause = after.map_or(pause, |after| after.min(self.policy.retry_after_most).max(pause));
+        let pause = after.map_or(pause, |after| after.min(self.policy.max_retry_after).max(pause));
         self.not_before = now + pause;
     }
 
@@ -345,7 +345,7 @@
         }
         let late = self.flush_until.is_some_and(|until| now >= until);
         if late || (self.flush_until.is_some() && self.queue.is_empty()) {
-            self.counts.dropped_at_end += self.queue.iter().map(|b| b.samples.len() as u64).sum::<u64>();
+            self.counts.dropped_at_shutdown += self.queue.iter().map(|b| b.samples.len() as u64).sum::<u64>();
             self.queue.clear();
             self.bytes = 0;
             self.finished = true;
--- a/crates/telemetry/src/wire.rs
+++ b/crates/telemetry/src/wire.rs
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 
 /// The value that ends a series (specification 1.0, "Stale Markers"): a signalling NaN with these bits.
-pub const STALE: u64 = 0x7ff0_0000_0000_0002;
+pub const STALE_MARKER_BITS: u64 = 0x7ff0_0000_0000_0002;
 
 /// Which form a body has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/telemetry/tests/golden.rs
+++ b/crates/telemetry/tests/golden.rs
@@ -9,7 +9,8 @@
 
 fn registry() -> Registry {
     let registry = Registry::new(&[("instance".into(), "desk-1".into()), ("job".into(), "bellcroft".into())]);
-    let family = |name, kind, labels, bounds| Family { name, help: "Help.", kind, labels, most: 100, bounds };
+    let family =
+        |name, kind, labels, bounds| Family { name, help: "Help.", kind, labels, max_series: 100, bounds };
     let counted = family("bellcroft_requests_total", Kind::Counter, &["class", "outcome"][..], Vec::new());
     registry.counter(&counted, &["read", "served"]).inc_by(3.0);
     registry.counter(&counted, &["read", "refused"]).inc();
--- a/crates/telemetry/tests/instance.rs
+++ b/crates/telemetry/tests/instance.rs
@@ -15,7 +15,7 @@
         balancers: 2,
         ..Settings::default()
     };
-    Instance::new(&About {
+    Instance::new(&InstanceInfo {
         settings: &settings,
         classes,
         tenants,
@@ -27,8 +27,8 @@
     })
 }
 
-fn line(server: u32, name: &str, up: bool) -> Line<'_> {
-    Line { server, name, zone: 0, cell: 0, up, here: up, started: None }
+fn line(server: u32, name: &str, is_serving: bool) -> EndpointEntry<'_> {
+    EndpointEntry { server, name, zone: 0, dedup_group: 0, is_serving, is_listed: is_serving, started: None }
 }
 
 fn value(samples: &[Sample], name: &str, labels: &[(&str, &str)]) -> Option<f64> {
@@ -46,11 +46,11 @@
     for n in 0..10_000_u32 {
         let now = at(u64::from(n) * 8640);
         let name = format!("server-{n}");
-        instance.listed(now, line(n, &name, true));
-        instance.ended((u64::from(n), 0), 0, n, Outcome::Success, Micros(1000));
+        instance.endpoint_listed(now, line(n, &name, true));
+        instance.attempt_finished((u64::from(n), 0), 0, n, Outcome::Success, Micros(1000));
         // Eight stand at a time: five have names, three share one.
         if n >= 8 {
-            instance.left(now, n - 8);
+            instance.endpoint_removed(now, n - 8);
             instance.forget(n - 8);
         }
         if n % 500 == 0 {
@@ -73,8 +73,8 @@
     let classes = ["read".to_owned()];
     let instance = instance(&classes, &[], 1);
     for (server, name) in [(0, "a"), (1, "b"), (2, "c")] {
-        instance.listed(at(1), line(server, name, true));
-        instance.ended((u64::from(server), 0), 0, server, Outcome::Success, Micros(1000));
+        instance.endpoint_listed(at(1), line(server, name, true));
+        instance.attempt_finished((u64::from(server), 0), 0, server, Outcome::Success, Micros(1000));
     }
     let of = |name: &str| {
         value(
@@ -85,13 +85,13 @@
     };
     assert_eq!((of("a"), of("b"), of("c"), of("other")), (Some(1.0), None, None, Some(2.0)));
     // One that happens to be called so, too.
-    instance.listed(at(2), line(4, "other", true));
+    instance.endpoint_listed(at(2), line(4, "other", true));
     instance.forget(4);
     instance.forget(1);
     assert_eq!(of("other"), Some(2.0), "what one of many counted stays");
     instance.forget(0);
-    instance.listed(at(3), line(3, "d", true));
-    instance.ended((3, 0), 0, 3, Outcome::Success, Micros(1000));
+    instance.endpoint_listed(at(3), line(3, "d", true));
+    instance.attempt_finished((3, 0), 0, 3, Outcome::Success, Micros(1000));
     assert_eq!((of("a"), of("d")), (None, Some(1.0)));
 }
 
@@ -101,15 +101,15 @@
         ["quote\"s".to_owned(), "new\nline".to_owned(), "x".repeat(10_000), "back\\slash".to_owned()];
     let tenants = [String::from_utf8_lossy(b"not \xff UTF-8").into_owned(), "\u{1f600}".repeat(3000)];
     let instance = instance(&classes, &tenants, 3);
-    instance.listed(at(1), line(0, &"y".repeat(10_000), true));
-    instance.taken(1, 2, Some(1), "no \"route\"\n", at(500));
-    instance.over(at(10), 1, 2, Over::Served, Micros(9000));
+    instance.endpoint_listed(at(1), line(0, &"y".repeat(10_000), true));
+    instance.request_received(1, 2, Some(1), "no \"route\"\n", at(500));
+    instance.request_finished(at(10), 1, 2, FinalOutcome::Served, Micros(9000));
     let samples = instance.gather(at(20));
     for version in [Version::V1, Version::V2] {
         let mut store = Store::default();
         let written = store.take(version == Version::V2, &encode(version, &samples, 5, 1)).expect("a body");
         assert_eq!((written, store.wrong.as_slice()), (samples.len(), [].as_slice()));
-        assert!(store.series.keys().flat_map(|l| l.values()).all(|v| v.len() <= LABEL_MOST));
+        assert!(store.series.keys().flat_map(|l| l.values()).all(|v| v.len() <= MAX_LABEL_BYTES));
         assert_eq!(store.sum("bellcroft_requests_total", &[("outcome", "served")]), 1.0);
         assert_eq!(
             store.latest("bellcroft_requests_total", &[("class", "new\nline"), ("outcome", "left")]),
@@ -123,8 +123,8 @@
     let classes = ["read".to_owned()];
     let instance = instance(&classes, &[], 0);
     let answer = |id: u64, deadline: u64, now: u64| {
-        instance.taken(id, 0, None, "none", at(deadline));
-        instance.over(at(now), id, 0, Over::Served, Micros(1000));
+        instance.request_received(id, 0, None, "none", at(deadline));
+        instance.request_finished(at(now), id, 0, FinalOutcome::Served, Micros(1000));
     };
     let margin = |samples: &[Sample]| value(samples, "bellcroft_rule_margin_seconds", &[("rule", "answer")]);
     answer(1, 1000, 400);
@@ -148,22 +148,22 @@
         (of("bellcroft_rule_near_misses_total"), of("bellcroft_rule_breaches_total")),
         (Some(1.0), Some(1.0))
     );
-    assert_eq!(instance.observer().margin(Rule::Answer).breaches, 1);
+    assert_eq!(instance.observer().margin(Rule::Response).breaches, 1);
 }
 
 #[test]
 fn budgets_of_routes_that_are_gone_lose_their_gauge_and_keep_their_counts() {
     let classes = ["read".to_owned()];
     let instance = instance(&classes, &[], 0);
-    let allowed = |route, retries, copies| Allowed { route, retries, copies };
-    instance.allowed(&[allowed("none", 0.1, None), allowed("read", 0.2, Some(0.05))]);
-    instance.attempt(0, "read", 1, false);
-    instance.attempt(0, "read", 2, true);
+    let route_budget = |route, retry_ratio, hedge_ratio| RouteBudget { route, retry_ratio, hedge_ratio };
+    instance.set_route_budgets(&[route_budget("none", 0.1, None), route_budget("read", 0.2, Some(0.05))]);
+    instance.attempt_started(0, "read", 1, false);
+    instance.attempt_started(0, "read", 2, true);
     let of =
         |name: &str, kind: &str| value(&instance.gather(at(1)), name, &[("route", "read"), ("kind", kind)]);
     let (budget, further) = ("bellcroft_further_attempts_allowed_ratio", "bellcroft_further_attempts_total");
     assert_eq!((of(budget, "retry"), of(budget, "second_copy")), (Some(0.2), Some(0.05)));
-    instance.allowed(&[allowed("none", 0.1, None)]);
+    instance.set_route_budgets(&[route_budget("none", 0.1, None)]);
     assert_eq!((of(budget, "retry"), of(budget, "second_copy")), (None, None));
     assert_eq!((of(further, "retry"), of(further, "second_copy")), (Some(1.0), Some(1.0)));
 }
--- a/crates/telemetry/tests/observer.rs
+++ b/crates/telemetry/tests/observer.rs
@@ -1,7 +1,7 @@
 //! The observer beside modules that cheat, and beside the real one.
 
 use bellcroft_balancer::*;
-use bellcroft_telemetry::{Facts, Observer, Rule};
+use bellcroft_telemetry::{Observer, Rule, RuleParameters};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn settings() -> Settings {
@@ -31,9 +31,9 @@
 
 /// Four warm servers, two in each zone.
 fn observer() -> Observer {
-    let mut observer = Observer::new(Facts::from(&settings()));
+    let mut observer = Observer::new(RuleParameters::from(&settings()));
     for server in 0..4 {
-        observer.told(at(0), server, (server % 2, server), true, None);
+        observer.endpoint_listed(at(0), server, (server % 2, server), true, None);
     }
     observer
 }
@@ -45,38 +45,38 @@
 #[test]
 fn an_honest_request_breaks_nothing_and_leaves_its_margin() {
     let mut o = observer();
-    o.taken(1, 1, at(800));
+    o.request_received(1, 1, at(800));
     o.first_byte(at(10), 1, 0, 0);
-    o.ended(1, 0, false);
+    o.attempt_finished(1, 0, false);
     o.first_byte(at(110), 1, 1, 1);
-    o.answered(at(200), 1, false);
-    o.look(at(5000));
+    o.response_sent(at(200), 1, false);
+    o.check_overdue(at(5000));
     assert_eq!(breaches(&o), [0; 4]);
-    let near = |rule, seconds: f64| (o.margin(rule).least.expect("a margin") - seconds).abs() < 1e-6;
-    assert!(near(Rule::Answer, 0.6) && near(Rule::Effect, 0.2), "{o:?}");
+    let near = |rule, seconds: f64| (o.margin(rule).min.expect("a margin") - seconds).abs() < 1e-6;
+    assert!(near(Rule::Response, 0.6) && near(Rule::RetrySafety, 0.2), "{o:?}");
 }
 
 #[test]
 fn requests_without_an_answer_with_two_or_with_a_late_one() {
     let mut o = observer();
-    o.taken(1, 0, at(800));
-    o.look(at(849));
+    o.request_received(1, 0, at(800));
+    o.check_overdue(at(849));
     assert_eq!(breaches(&o), [0; 4], "not yet");
-    o.look(at(851));
-    o.look(at(900));
+    o.check_overdue(at(851));
+    o.check_overdue(at(900));
     assert_eq!(breaches(&o), [1, 0, 0, 0], "lost, and once");
-    o.taken(2, 0, at(2000));
-    o.answered(at(1900), 2, false);
-    o.answered(at(1910), 2, false);
+    o.request_received(2, 0, at(2000));
+    o.response_sent(at(1900), 2, false);
+    o.response_sent(at(1910), 2, false);
     assert_eq!(breaches(&o), [2, 0, 0, 0], "answered twice");
-    o.taken(3, 0, at(3000));
-    o.answered(at(3051), 3, false);
+    o.request_received(3, 0, at(3000));
+    o.response_sent(at(3051), 3, false);
     assert_eq!(breaches(&o), [3, 0, 0, 0], "too late");
-    o.answered(at(3051), 99, false);
+    o.response_sent(at(3051), 99, false);
     assert_eq!(breaches(&o), [4, 0, 0, 0], "nobody asked");
-    o.taken(4, 0, at(5000));
-    o.gone(4);
-    o.look(at(9000));
+    o.request_received(4, 0, at(5000));
+    o.client_left(4);
+    o.check_overdue(at(9000));
     assert_eq!(breaches(&o), [4, 0, 0, 0], "nothing is owed to who has left");
     o.first_byte(at(4100), 4, 0, 0);
     assert_eq!(breaches(&o), [5, 0, 0, 0], "something goes out for it afterwards");
@@ -85,27 +85,27 @@
 #[test]
 fn repeats_outside_window_and_group_and_refusals_of_what_may_have_run() {
     let mut o = observer();
-    o.taken(1, 1, at(800));
+    o.request_received(1, 1, at(800));
     o.first_byte(at(0), 1, 0, 0);
     o.first_byte(at(351), 1, 1, 1);
     assert_eq!(breaches(&o), [0, 1, 0, 0], "after the window");
-    o.taken(2, 2, at(800));
+    o.request_received(2, 2, at(800));
     o.first_byte(at(0), 2, 0, 0);
     o.first_byte(at(100), 2, 1, 2);
     assert_eq!(breaches(&o), [0, 1, 0, 0], "the same zone");
     o.first_byte(at(110), 2, 2, 1);
     assert_eq!(breaches(&o), [0, 2, 0, 0], "another zone");
-    o.taken(3, 3, at(800));
+    o.request_received(3, 3, at(800));
     o.first_byte(at(0), 3, 0, 0);
-    o.ended(3, 0, true);
+    o.attempt_finished(3, 0, true);
     o.first_byte(at(10), 3, 1, 1);
     assert_eq!(breaches(&o), [0, 2, 0, 0], "turned away unseen");
-    o.ended(3, 1, false);
+    o.attempt_finished(3, 1, false);
     o.first_byte(at(20), 3, 2, 2);
     assert_eq!(breaches(&o), [0, 3, 0, 0], "may have run");
-    o.answered(at(30), 3, true);
+    o.response_sent(at(30), 3, true);
     assert_eq!(breaches(&o), [0, 4, 0, 0], "refused though it may have run");
-    o.answered(at(30), 1, true);
+    o.response_sent(at(30), 1, true);
     assert_eq!(breaches(&o), [0, 4, 0, 0], "all servers drop repeats: trying again is harmless");
 }
 
@@ -113,21 +113,21 @@
 fn bytes_to_servers_that_drain_or_that_nobody_named() {
     let mut o = observer();
     let grace = settings().drain_grace_period.ms() as u64;
-    o.told(at(0), 1, (1, 1), false, None);
+    o.endpoint_listed(at(0), 1, (1, 1), false, None);
     for (n, ms) in [(1, grace), (2, grace + 50), (3, grace + 51)] {
-        o.taken(n, 0, at(60_000));
+        o.request_received(n, 0, at(60_000));
         o.first_byte(at(ms), n, 0, 1);
         assert_eq!(breaches(&o)[2], u64::from(ms > grace + 50), "{ms}");
     }
     // Being told again is no new beginning; coming back is.
-    o.told(at(3000), 1, (1, 1), false, None);
-    o.taken(4, 0, at(60_000));
+    o.endpoint_listed(at(3000), 1, (1, 1), false, None);
+    o.request_received(4, 0, at(60_000));
     o.first_byte(at(3001), 4, 0, 1);
     assert_eq!(breaches(&o)[2], 2);
-    o.told(at(4000), 1, (1, 1), true, None);
-    o.taken(5, 0, at(60_000));
+    o.endpoint_listed(at(4000), 1, (1, 1), true, None);
+    o.request_received(5, 0, at(60_000));
     o.first_byte(at(4001), 5, 0, 1);
-    o.taken(6, 0, at(60_000));
+    o.request_received(6, 0, at(60_000));
     o.first_byte(at(4001), 6, 0, 77);
     assert_eq!(breaches(&o)[2], 3, "one that no list names");
 }
@@ -135,13 +135,13 @@
 #[test]
 fn a_cold_server_that_is_sent_more_than_its_budget() {
     let mut o = observer();
-    o.told(at(0), 4, (0, 4), true, Some(at(0)));
+    o.endpoint_listed(at(0), 4, (0, 4), true, Some(at(0)));
     let mut id = 0;
     let mut send = |o: &mut Observer, ms: u64, server: u32| {
         id += 1;
-        o.taken(id, 0, at(ms + 800));
+        o.request_received(id, 0, at(ms + 800));
         o.first_byte(at(ms), id, 0, server);
-        o.answered(at(ms + 10), id, false);
+        o.response_sent(at(ms + 10), id, false);
     };
     for ms in 0..500 {
         send(&mut o, ms, (ms % 4) as u32);
@@ -154,19 +154,19 @@
         send(&mut o, 500, 4);
     }
     assert!(breaches(&o)[3] > 0);
-    assert!(o.margin(Rule::Cold).least.is_some_and(|least| least < 0.0));
+    assert!(o.margin(Rule::SlowStart).min.is_some_and(|least| least < 0.0));
 }
 
 #[test]
 fn a_long_day_leaves_little_behind() {
     let mut o = observer();
     for id in 0..100_000 {
-        o.taken(id, 0, at(id + 800));
+        o.request_received(id, 0, at(id + 800));
         o.first_byte(at(id), id, 0, (id % 4) as u32);
-        o.ended(id, 0, false);
-        o.answered(at(id + 5), id, false);
+        o.attempt_finished(id, 0, false);
+        o.response_sent(at(id + 5), id, false);
     }
-    assert!(o.kept() <= 2_001, "{}", o.kept());
+    assert!(o.tracked_requests() <= 2_001, "{}", o.tracked_requests());
     assert_eq!(breaches(&o), [0; 4]);
 }
 
@@ -186,7 +186,7 @@
 fn walk(seed: u64, cheat: Cheat) -> [u64; 4] {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut balancer = Balancer::new(settings(), seed).expect("settings");
-    let mut observer = Observer::new(Facts::from(&settings()));
+    let mut observer = Observer::new(RuleParameters::from(&settings()));
     let mut now = at(0);
     let mut actions = Vec::new();
     balancer.start(now, &mut actions);
@@ -203,7 +203,7 @@
     let mut classes: BTreeMap<u64, usize> = BTreeMap::new();
     let mut over = BTreeSet::new();
     for line in &lines {
-        observer.told(now, line.server.0, (line.zone.0, line.dedup_group.0), true, None);
+        observer.endpoint_listed(now, line.server.0, (line.zone.0, line.dedup_group.0), true, None);
     }
     let mut events = vec![Event::Endpoints(EndpointUpdate::Snapshot(lines.clone()))];
     for step in 0..4000_u64 {
@@ -211,7 +211,7 @@
         if step % 6 == 0 && step < 3000 {
             let class = random.usize(0..4);
             classes.insert(step, class);
-            observer.taken(step, class, now + Micros::from_ms(800.0));
+            observer.request_received(step, class, now + Micros::from_ms(800.0));
             events.push(Event::Request(Request::new(
                 RequestId(step),
                 ClassId(class),
@@ -232,9 +232,9 @@
                 1 => Outcome::Rejected,
                 _ => Outcome::Success,
             };
-            observer.ended(key.0, key.1, outcome == Outcome::Rejected);
+            observer.attempt_finished(key.0, key.1, outcome == Outcome::Rejected);
             if outcome == Outcome::Success && over.insert(key.0) {
-                observer.answered(now, key.0, false);
+                observer.response_sent(now, key.0, false);
             }
             events.push(Event::Outcome {
                 request: RequestId(key.0),
@@ -268,17 +268,17 @@
                     Action::Shed { request, .. } | Action::Fail { request } if over.insert(request.0) => {
                         let refused = matches!(action, Action::Shed { .. });
                         if cheat != Cheat::Forgets || classes[&request.0] != 0 {
-                            observer.answered(now, request.0, refused);
+                            observer.response_sent(now, request.0, refused);
                         }
                         if cheat == Cheat::AnswersTwice {
-                            observer.answered(now, request.0, refused);
+                            observer.response_sent(now, request.0, refused);
                         }
                     }
                     _ => {}
                 }
             }
         }
-        observer.look(now);
+        observer.check_overdue(now);
     }
     Rule::ALL.map(|rule| observer.margin(rule).breaches)
 }
--- a/crates/telemetry/tests/sender.rs
+++ b/crates/telemetry/tests/sender.rs
@@ -23,7 +23,7 @@
         help: "Requests.",
         kind: Kind::Counter,
         labels: &["class", "outcome"],
-        most: 100,
+        max_series: 100,
         bounds: Vec::new(),
     };
     let counter = registry.counter(&family, &["read", "served"]);
@@ -33,7 +33,7 @@
         help: "Answer times.",
         kind: Kind::Histogram,
         labels: &["class"],
-        most: 100,
+        max_series: 100,
         bounds: vec![0.25, 1.5],
     };
     registry.histogram(&family, &["read"]).observe(0.3);
@@ -76,7 +76,7 @@
     }
 
     fn answer(&mut self, status: u16, written: Option<u64>) {
-        self.tell(Event::Answered { status, retry_after: None, written });
+        self.tell(Event::Response { status, retry_after: None, written });
     }
 
     fn wait(&mut self, span: Duration) {
@@ -168,7 +168,7 @@
                     match random.u8(0..4) {
                         0 => rig.answer(500, None),
                         1 => rig.answer(503, None),
-                        2 => rig.tell(Event::Broken("reset".into())),
+                        2 => rig.tell(Event::Failed("reset".into())),
                         _ => rig.answer(429, None),
                     }
                 } else {
@@ -207,7 +207,7 @@
         assert!(rig.sender.queued_bytes() <= 20_000);
         rig.wait(MS * 500);
         if rig.posts.pop().is_some() {
-            rig.tell(Event::Broken("refused".into()));
+            rig.tell(Event::Failed("refused".into()));
         }
     }
     assert!(rig.sender.oldest(rig.now) < Duration::from_secs(60), "the oldest go first");
@@ -217,7 +217,7 @@
     let counts = rig.sender.counts();
     // The stop adds one end to each series.
     assert_eq!(counts.sent, 0);
-    assert_eq!(counts.dropped_full + counts.dropped_at_end, made + registry.len() as u64);
+    assert_eq!(counts.dropped_full + counts.dropped_at_shutdown, made + registry.len() as u64);
     assert_eq!(rig.logs.len(), 1, "told once: {:?}", rig.logs);
 }
 
@@ -245,7 +245,7 @@
         rig.samples(&registry);
         rig.posts.clear();
         let retry_after = Some(Duration::from_secs(asked));
-        rig.tell(Event::Answered { status: 429, retry_after, written: None });
+        rig.tell(Event::Response { status: 429, retry_after, written: None });
         rig.wait(Duration::from_secs(waits) - MS);
         assert!(rig.posts.is_empty(), "too soon");
         rig.wait(MS);
@@ -308,7 +308,7 @@
     assert!(rig.finished);
     assert_eq!(receiver.wrong, Vec::<String>::new());
     for (labels, own) in &receiver.series {
-        assert_eq!(own.last().map(|(_, value)| value.to_bits()), Some(STALE), "{labels:?}");
+        assert_eq!(own.last().map(|(_, value)| value.to_bits()), Some(STALE_MARKER_BITS), "{labels:?}");
     }
     // Samples that come after the end are nobody's.
     rig.samples(&registry);
@@ -317,11 +317,11 @@
     let mut rig = Rig::new(v1());
     rig.samples(&registry);
     rig.tell(Event::Stop(CREATED + 10));
-    rig.wait(Policy::default().flush_within - MS);
+    rig.wait(Policy::default().flush_timeout - MS);
     assert!(!rig.finished);
     rig.wait(MS);
     assert!(rig.finished);
-    assert_eq!(rig.sender.counts().dropped_at_end, 2 * registry.len() as u64);
+    assert_eq!(rig.sender.counts().dropped_at_shutdown, 2 * registry.len() as u64);
 }
 
 #[test]
@@ -343,7 +343,7 @@
         help: "By server.",
         kind: Kind::Counter,
         labels: &["server"],
-        most: 10,
+        max_series: 10,
         bounds: Vec::new(),
     };
     registry.counter(&family, &["s1"]).inc();
@@ -363,7 +363,7 @@
     let own =
         receiver.series.iter().find(|(labels, _)| labels.values().any(|v| v == "s1")).expect("it is there").1;
     let bits: Vec<u64> = own.iter().map(|(_, value)| value.to_bits()).collect();
-    assert_eq!(bits, [1.0_f64.to_bits(), STALE, 1.0_f64.to_bits()]);
+    assert_eq!(bits, [1.0_f64.to_bits(), STALE_MARKER_BITS, 1.0_f64.to_bits()]);
     assert_eq!(receiver.wrong, Vec::<String>::new());
 }
 
@@ -374,11 +374,11 @@
     rig.samples(&registry);
     rig.answer(415, None);
     rig.posts.clear();
-    rig.tell(Event::Broken("reset".into()));
+    rig.tell(Event::Failed("reset".into()));
     rig.wait(MS * 10);
     rig.samples(&registry);
     assert!(rig.posts.is_empty(), "it waits for its pause");
-    rig.tell(Event::Changed { policy: Policy::default(), moved: true });
+    rig.tell(Event::PolicyChanged { policy: Policy::default(), receiver_changed: true });
     let mut receiver = Store::default();
     for _ in 0..2 {
         let post = rig.posts.pop().expect("at once");
@@ -391,8 +391,11 @@
     // The same receiver under other words keeps its pause.
     rig.samples(&registry);
     rig.posts.clear();
-    rig.tell(Event::Broken("reset".into()));
-    rig.tell(Event::Changed { policy: Policy { queue_bytes: 1 << 20, ..Policy::default() }, moved: false });
+    rig.tell(Event::Failed("reset".into()));
+    rig.tell(Event::PolicyChanged {
+        policy: Policy { queue_bytes: 1 << 20, ..Policy::default() },
+        receiver_changed: false,
+    });
     assert!(rig.posts.is_empty());
 }
 
@@ -402,7 +405,7 @@
     let mut rig = Rig::new(Policy { queue_bytes: 10, ..v1() });
     rig.samples(&registry);
     assert_eq!(rig.posts.len(), 1);
-    rig.tell(Event::Broken("reset".into()));
+    rig.tell(Event::Failed("reset".into()));
     for _ in 0..5 {
         rig.samples(&registry);
     }
--- a/crates/testbed/src/incidents.rs
+++ b/crates/testbed/src/incidents.rs
@@ -10,7 +10,9 @@
 use crate::traffic::{Load, Record, Traffic};
 use crate::world::World;
 use bellcroft_balancer::{Micros, Outcome, RetrySafety, Settings, Time};
-use bellcroft_telemetry::{About, Config, Instance, Line, Over, Owner, Policy, Remote, Url};
+use bellcroft_telemetry::{
+    Config, EndpointEntry, Environment, FinalOutcome, Instance, InstanceInfo, Policy, Remote, Url,
+};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -238,7 +240,7 @@
     let mut settings = Settings::default();
     settings.classes[0].retry_safety = RetrySafety::AtMostOnce;
     let labels = [("instance", "cheat"), ("job", "bellcroft")].map(|(n, v)| (n.to_owned(), v.to_owned()));
-    let instance = Rc::new(Instance::new(&About {
+    let instance = Rc::new(Instance::new(&InstanceInfo {
         settings: &settings,
         classes: &["pay".to_owned()],
         tenants: &[],
@@ -259,7 +261,7 @@
         policy: Policy::default(),
         labels: labels.to_vec(),
     };
-    let owner = Owner {
+    let owner = Environment {
         instance: instance.clone(),
         now: Box::new(now),
         refresh: Box::new(|| {}),
@@ -267,23 +269,31 @@
         seed: 41,
     };
     let remote = Remote::start(config, owner);
-    let line = |server, up, started| Line { server, name: "s", zone: 0, cell: 0, up, here: true, started };
-    instance.list_answered(now());
-    instance.listed(now(), line(0, true, None));
-    instance.listed(now(), line(1, false, None));
+    let line = |server, is_serving, started| EndpointEntry {
+        server,
+        name: "s",
+        zone: 0,
+        dedup_group: 0,
+        is_serving,
+        is_listed: true,
+        started,
+    };
+    instance.list_call_succeeded(now());
+    instance.endpoint_listed(now(), line(0, true, None));
+    instance.endpoint_listed(now(), line(1, false, None));
     let (mut id, mut cold) = (0, None);
     while origin.elapsed() < lasts {
         id += 1;
         let at = now();
-        instance.list_answered(at);
-        instance.taken(id, 0, None, "none", Time(at.0 + 1_000_000));
+        instance.list_call_succeeded(at);
+        instance.request_received(id, 0, None, "none", Time(at.0 + 1_000_000));
         // An honest one goes to a server that is up, once. From the half on most go to one that has just started, and
         // each tenth to one that drains, then out again, and is answered twice.
         let half = origin.elapsed() > lasts / 2;
         let cheats = half && id % 10 == 0;
         if half && cold.is_none() {
             cold = Some(at);
-            instance.listed(at, line(2, true, cold));
+            instance.endpoint_listed(at, line(2, true, cold));
         }
         let server = match (half, cheats) {
             (false, _) => 0,
@@ -291,14 +301,14 @@
             (true, false) => 2,
         };
         instance.first_byte(at, id, 0, server);
-        instance.ended((id, 0), 0, 0, Outcome::Success, Micros(1000));
+        instance.attempt_finished((id, 0), 0, 0, Outcome::Success, Micros(1000));
         if cheats {
             instance.first_byte(at, id, 1, 0);
-            instance.ended((id, 1), 0, 0, Outcome::Success, Micros(1000));
+            instance.attempt_finished((id, 1), 0, 0, Outcome::Success, Micros(1000));
         }
-        instance.over(at, id, 0, Over::Served, Micros(1000));
+        instance.request_finished(at, id, 0, FinalOutcome::Served, Micros(1000));
         if cheats {
-            instance.over(at, id, 0, Over::Served, Micros(1000));
+            instance.request_finished(at, id, 0, FinalOutcome::Served, Micros(1000));
         }
         sleep(Duration::from_millis(20)).await;
     }
--- a/crates/testbed/src/measure_telemetry.rs
+++ b/crates/testbed/src/measure_telemetry.rs
@@ -146,7 +146,7 @@
     let labels = [("instance", "desk-12"), ("job", "bellcroft"), ("building", "north")];
     let labels: Vec<_> = labels.iter().map(|(n, v)| ((*n).to_owned(), (*v).to_owned())).collect();
     let registry = Registry::new(&labels);
-    let family = Family { most: series, ..families::SERVER_ATTEMPTS.clone() };
+    let family = Family { max_series: series, ..families::SERVER_ATTEMPTS.clone() };
     assert_eq!(family.kind, Kind::Counter);
     let mut random = fastrand::Rng::with_seed(7);
     for place in 0..series {
