--- a/crates/telemetry/src/instance.rs
+++ b/crates/telemetry/src/instance.rs
@@ -1,7 +1,7 @@
-//! What one instance counts: its series, and the observer beside them, fed by its sockets.
+//! The series of an instance, and the observer of what is sent and received on its sockets.
 //!
-//! Each handle is made once. On the way of a request a count is an addition to it; a look-up, where there is one, is by
-//! a number or by a text that is at hand, and allocates nothing.
+//! Each handle is made once. On the request path an update is an addition; lookups are by a number or by an existing
+//! text, and allocate nothing.
 
 use crate::families::*;
 use crate::observer::{Observer, Rule, RuleParameters};
@@ -12,23 +12,23 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Zones past those that the settings name share one label.
+/// Label value of all zones that are not in the settings.
 const ZONE_UNKNOWN: &str = "unknown";
-/// Common bounds of answer times, in seconds, beside the wanted times and deadlines.
-const BOUNDS: [f64; 8] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1.0, 5.0];
-/// The most wanted times and deadlines that become bounds of a histogram.
-const BOUNDS_MOST: usize = 24;
+/// Bounds of response times in seconds. Latency objectives and deadlines are added to them.
+const COMMON_BOUNDS: [f64; 8] = [0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1.0, 5.0];
+/// Limit of the latency objectives and deadlines that are added to the bounds.
+const MAX_CLASS_BOUNDS: usize = 24;
 
-/// How a request was over, as its client saw it.
+/// The outcome of a request, as its client sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FinalOutcome {
-    /// With a server's answer.
+    /// The client got a server's response.
     Served,
-    /// With a 429.
+    /// The request was shed with a 429.
     Shed,
-    /// With another error.
+    /// The client got another error.
     Failed,
-    /// Its client had left.
+    /// The client disconnected first.
     ClientLeft,
 }
 
@@ -41,8 +41,8 @@
     ];
 }
 
-/// An attempt's outcome as a label.
-fn word(outcome: Outcome) -> &'static str {
+/// The label value of an attempt's outcome.
+fn outcome_label(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Success => "served",
         Outcome::ServerError => "error",
@@ -66,125 +66,126 @@
     Outcome::NotSent,
 ];
 
-fn place(outcome: Outcome) -> usize {
+/// Index of an outcome in [`OUTCOMES`].
+fn outcome_index(outcome: Outcome) -> usize {
     OUTCOMES.iter().position(|known| *known == outcome).unwrap_or(0)
 }
 
-/// What an instance's series are about.
+/// The properties of an instance that determine its series.
 #[derive(Debug, Clone)]
 pub struct InstanceInfo<'a> {
-    /// The platform's settings.
+    /// Settings of the platform.
     pub settings: &'a Settings,
-    /// The classes' names.
+    /// Names of the classes.
     pub classes: &'a [String],
-    /// The tenants' names.
+    /// Names of the tenants.
     pub tenants: &'a [String],
-    /// The zones' names.
+    /// Names of the zones.
     pub zones: &'a [String],
-    /// The program's version.
+    /// Version of the program.
     pub version: &'a str,
-    /// When the process started, in Unix seconds.
+    /// Start of the process, in Unix seconds.
     pub started: f64,
-    /// Labels of every series.
+    /// Labels that are added to every series.
     pub external: &'a [(String, String)],
-    /// Servers that may be named at a time; 0, and none is.
+    /// Limit of the servers that have series under their own names at one time; 0 for no series by server.
     pub server_names: usize,
 }
 
-/// A line of the server list.
+/// An entry of the endpoint list.
 #[derive(Debug, Clone, Copy)]
 pub struct EndpointEntry<'a> {
-    /// The server's number.
+    /// Number of the server.
     pub server: u32,
-    /// Its name.
+    /// Name of the server.
     pub name: &'a str,
-    /// Its zone's place in the settings.
+    /// Index of its zone in the settings.
     pub zone: u32,
-    /// Its cell.
+    /// Number of its dedup group.
     pub dedup_group: u32,
-    /// It takes requests.
+    /// The server accepts requests.
     pub is_serving: bool,
-    /// It is still there.
+    /// The server is serving or draining, and not gone.
     pub is_listed: bool,
-    /// When it started, if that was lately.
+    /// Start of its process, if it may still be in slow start.
     pub started: Option<Time>,
 }
 
-/// What a route's requests may spend, for the gauges beside their counts.
+/// The retry and hedge budgets of a route, published as gauges.
 #[derive(Debug, Clone)]
 pub struct RouteBudget<'a> {
-    /// The route's name.
+    /// Name of the route.
     pub route: &'a str,
-    /// Retries that a request earns.
+    /// Retries that each request adds to the budget.
     pub retry_ratio: f64,
-    /// Second copies that a request earns; none where it has none.
+    /// Hedged requests that each request adds to the budget; none if the route has no hedging.
     pub hedge_ratio: Option<f64>,
 }
 
 struct ClassSeries {
-    aim: Micros,
-    over: [Counter; 4],
+    objective: Micros,
+    outcomes: [Counter; 4],
     in_flight: Gauge,
-    in_wanted: Counter,
-    answer: Histogram,
+    within_objective: Counter,
+    response_seconds: Histogram,
 }
 
 struct ZoneSeries {
-    /// By class and outcome.
+    /// Finished attempts by class and outcome.
     attempts: Vec<Vec<Counter>>,
-    seconds: Histogram,
-    out: Gauge,
+    attempt_seconds: Histogram,
+    in_flight: Gauge,
 }
 
 struct RouteSeries {
     requests: Counter,
     retries: Counter,
-    copies: Counter,
+    hedges: Counter,
 }
 
 struct ServerSeries {
     name: String,
     zone: u32,
     state: &'static str,
-    /// By outcome, and the time of those that were served; only where it may be named.
-    named: Option<(Vec<Counter>, Counter)>,
-    /// The label there is its own.
-    own_name: bool,
+    /// Attempts by outcome, and the total time of the served ones; none without series by server.
+    by_server: Option<(Vec<Counter>, Counter)>,
+    /// The series carry the server's own name, not the common `other`.
+    has_own_name: bool,
 }
 
-/// All that an instance counts.
+/// The series of an instance, and its observer.
 pub struct Instance {
-    /// The owner of its series.
+    /// The registry that holds the series.
     pub registry: Registry,
     observer: RefCell<Observer>,
     classes: Vec<ClassSeries>,
     class_names: Vec<String>,
     tenants: Vec<Counter>,
     zone_names: Vec<String>,
-    /// By place in the settings; the last is for all others.
+    /// Zones by their index in the settings; the last one is for all others.
     zones: Vec<ZoneSeries>,
     routes: RefCell<HashMap<String, RouteSeries>>,
     servers: RefCell<HashMap<u32, ServerSeries>>,
     server_names: usize,
-    bad: Counter,
-    probes: Vec<Counter>,
-    list_ok: Counter,
-    list_failed: Counter,
-    silent_watches: Counter,
-    listed_at: Cell<Option<Time>>,
-    begun: Cell<Option<Time>>,
+    bad_requests: Counter,
+    health_checks: Vec<Counter>,
+    list_calls_ok: Counter,
+    list_calls_failed: Counter,
+    watch_timeouts: Counter,
+    last_list_at: Cell<Option<Time>>,
+    observed_since: Cell<Option<Time>>,
     breaches: [Counter; 4],
-    near: [Counter; 4],
+    near_misses: [Counter; 4],
 }
 
 impl Instance {
-    /// The series of an instance that has seen nothing.
-    pub fn new(about: &InstanceInfo) -> Self {
-        let registry = Registry::new(about.external);
-        let settings = about.settings;
-        let mut bounds: Vec<f64> = BOUNDS.to_vec();
-        let wanted = settings.classes.iter().flat_map(|class| [class.latency_objective, class.deadline]);
-        for bound in wanted.map(|span| span.ms() / 1e3).take(BOUNDS_MOST) {
+    /// Creates the series, with all counts at 0.
+    pub fn new(info: &InstanceInfo) -> Self {
+        let registry = Registry::new(info.external);
+        let settings = info.settings;
+        let mut bounds: Vec<f64> = COMMON_BOUNDS.to_vec();
+        let limits = settings.classes.iter().flat_map(|class| [class.latency_objective, class.deadline]);
+        for bound in limits.map(|limit| limit.ms() / 1e3).take(MAX_CLASS_BOUNDS) {
             if !bounds.contains(&bound) {
                 bounds.push(bound);
             }
@@ -193,96 +194,98 @@
         let histogram = |family: &Family, values: &[&str]| {
             registry.histogram(&Family { bounds: bounds.clone(), ..family.clone() }, values)
         };
-        let classes = about.classes.iter().zip(&settings.classes).map(|(name, class)| ClassSeries {
-            aim: class.latency_objective,
-            over: FinalOutcome::ALL.map(|(_, word)| registry.counter(&REQUESTS, &[name, word])),
+        let classes = info.classes.iter().zip(&settings.classes).map(|(name, class)| ClassSeries {
+            objective: class.latency_objective,
+            outcomes: FinalOutcome::ALL.map(|(_, label)| registry.counter(&REQUESTS, &[name, label])),
             in_flight: registry.gauge(&IN_FLIGHT, &[name]),
-            in_wanted: registry.counter(&IN_WANTED, &[name]),
-            answer: histogram(&ANSWER, &[name]),
+            within_objective: registry.counter(&REQUESTS_WITHIN_OBJECTIVE, &[name]),
+            response_seconds: histogram(&RESPONSE_SECONDS, &[name]),
         });
         let classes = classes.collect();
         let unknown = ZONE_UNKNOWN.to_owned();
-        let zone_names: Vec<String> = about.zones.iter().chain([&unknown]).cloned().collect();
+        let zone_names: Vec<String> = info.zones.iter().chain([&unknown]).cloned().collect();
         let zones = zone_names.iter().map(|zone| ZoneSeries {
-            attempts: about
+            attempts: info
                 .classes
                 .iter()
-                .map(|class| OUTCOMES.map(|o| registry.counter(&ATTEMPTS, &[class, zone, word(o)])).to_vec())
+                .map(|class| {
+                    OUTCOMES.map(|o| registry.counter(&ATTEMPTS, &[class, zone, outcome_label(o)])).to_vec()
+                })
                 .collect(),
-            seconds: histogram(&ATTEMPT_SECONDS, &[zone]),
-            out: registry.gauge(&ATTEMPTS_OUT, &[zone]),
+            attempt_seconds: histogram(&ATTEMPT_SECONDS, &[zone]),
+            in_flight: registry.gauge(&ATTEMPTS_IN_FLIGHT, &[zone]),
         });
         let zones = zones.collect();
-        let part = f64::from(settings.balancers.max(1));
-        let tenants = about.tenants.iter().zip(&settings.tenants).map(|(name, tenant)| {
-            registry.gauge(&TENANT_ALLOWANCE, &[name]).set(tenant.allowance_per_s / part);
+        let instances = f64::from(settings.balancers.max(1));
+        let tenants = info.tenants.iter().zip(&settings.tenants).map(|(name, tenant)| {
+            registry.gauge(&TENANT_ALLOWANCE, &[name]).set(tenant.allowance_per_s / instances);
             registry.counter(&TENANT_REQUESTS, &[name])
         });
         let tenants = tenants.collect();
-        registry.gauge(&BUILD, &[about.version]).set(1.0);
-        registry.gauge(&START, &[]).set(about.started);
-        registry.gauge(&FLEET, &[]).set(part);
+        registry.gauge(&BUILD, &[info.version]).set(1.0);
+        registry.gauge(&START_TIME, &[]).set(info.started);
+        registry.gauge(&FLEET, &[]).set(instances);
         registry.gauge(&GENERATION, &[]).set(1.0);
         registry.counter(&RELOADS_REFUSED, &[]);
         Instance {
             observer: RefCell::new(Observer::new(RuleParameters::from(settings))),
             classes,
-            class_names: about.classes.to_vec(),
+            class_names: info.classes.to_vec(),
             tenants,
             zone_names,
             zones,
             routes: RefCell::default(),
             servers: RefCell::default(),
-            server_names: about.server_names,
-            bad: registry.counter(&BAD, &[]),
-            probes: OUTCOMES.map(|o| registry.counter(&PROBES, &[word(o)])).to_vec(),
-            list_ok: registry.counter(&LIST_CALLS, &["ok"]),
-            list_failed: registry.counter(&LIST_CALLS, &["failed"]),
-            silent_watches: registry.counter(&SILENT_WATCHES, &[]),
-            listed_at: Cell::new(None),
-            begun: Cell::new(None),
+            server_names: info.server_names,
+            bad_requests: registry.counter(&BAD_REQUESTS, &[]),
+            health_checks: OUTCOMES.map(|o| registry.counter(&HEALTH_CHECKS, &[outcome_label(o)])).to_vec(),
+            list_calls_ok: registry.counter(&LIST_CALLS, &["ok"]),
+            list_calls_failed: registry.counter(&LIST_CALLS, &["failed"]),
+            watch_timeouts: registry.counter(&WATCH_TIMEOUTS, &[]),
+            last_list_at: Cell::new(None),
+            observed_since: Cell::new(None),
             breaches: Rule::ALL.map(|rule| registry.counter(&BREACHES, &[rule.label()])),
-            near: Rule::ALL.map(|rule| registry.counter(&NEAR, &[rule.label()])),
+            near_misses: Rule::ALL.map(|rule| registry.counter(&NEAR_MISSES, &[rule.label()])),
             registry,
         }
     }
 
-    /// How the rules have been kept so far.
+    /// The observer of the rules.
     pub fn observer(&self) -> std::cell::Ref<'_, Observer> {
         self.observer.borrow()
     }
 
-    /// What the routes' requests may spend. A route that was there and is no more keeps its counts and loses its gauge.
+    /// Publishes the budgets of all routes. The gauges of a removed route are removed; its counters stay.
     pub fn set_route_budgets(&self, budgets: &[RouteBudget]) {
         for route in self.routes.borrow().keys() {
             for kind in ["retry", "second_copy"] {
-                self.registry.remove(&BUDGET, &[kind, route]);
+                self.registry.remove(&RETRY_AND_HEDGE_BUDGET, &[kind, route]);
             }
         }
         for budget in budgets {
-            self.route(budget.route, |_| {});
-            self.registry.gauge(&BUDGET, &["retry", budget.route]).set(budget.retry_ratio);
-            if let Some(copies) = budget.hedge_ratio {
-                self.registry.gauge(&BUDGET, &["second_copy", budget.route]).set(copies);
+            self.with_route(budget.route, |_| {});
+            self.registry.gauge(&RETRY_AND_HEDGE_BUDGET, &["retry", budget.route]).set(budget.retry_ratio);
+            if let Some(hedges) = budget.hedge_ratio {
+                self.registry.gauge(&RETRY_AND_HEDGE_BUDGET, &["second_copy", budget.route]).set(hedges);
             }
         }
     }
 
-    fn route<T>(&self, route: &str, of: impl FnOnce(&RouteSeries) -> T) -> T {
+    fn with_route<T>(&self, route: &str, update: impl FnOnce(&RouteSeries) -> T) -> T {
         if let Some(series) = self.routes.borrow().get(route) {
-            return of(series);
+            return update(series);
         }
         let series = RouteSeries {
             requests: self.registry.counter(&ROUTE_REQUESTS, &[route]),
-            retries: self.registry.counter(&FURTHER, &["retry", route]),
-            copies: self.registry.counter(&FURTHER, &["second_copy", route]),
+            retries: self.registry.counter(&RETRIES_AND_HEDGES, &["retry", route]),
+            hedges: self.registry.counter(&RETRIES_AND_HEDGES, &["second_copy", route]),
         };
-        let result = of(&series);
+        let result = update(&series);
         self.routes.borrow_mut().insert(route.to_owned(), series);
         result
     }
 
-    /// The zone's series, those of all others past the settings' own.
+    /// The series of a zone; those of the unknown zone if it is not in the settings.
     fn zone(&self, zone: u32) -> &ZoneSeries {
         &self.zones[(zone as usize).min(self.zones.len() - 1)]
     }
@@ -295,7 +298,7 @@
         self.servers.borrow().get(&server).map_or(u32::MAX, |s| s.zone)
     }
 
-    /// A request has come whole; its client waits until `deadline`.
+    /// A complete request was received. Its client waits until `deadline`.
     pub fn request_received(
         &self,
         id: u64,
@@ -308,26 +311,27 @@
         if let Some(tenant) = tenant.and_then(|tenant| self.tenants.get(tenant)) {
             tenant.inc();
         }
-        self.route(route, |series| series.requests.inc());
+        self.with_route(route, |series| series.requests.inc());
         self.observer.borrow_mut().request_received(id, class, deadline);
     }
 
-    /// An attempt has been decided on: the request's first, a later one, or one while another was out.
-    pub fn attempt_started(&self, server: u32, route: &str, number: u32, another_out: bool) {
-        self.zone(self.zone_of(server)).out.inc();
-        match (number, another_out) {
+    /// An attempt was decided on. `number` is 0 for the first one of a request; a later one is a hedged request if another
+    /// attempt is in flight, or else a retry.
+    pub fn attempt_started(&self, server: u32, route: &str, number: u32, is_another_in_flight: bool) {
+        self.zone(self.zone_of(server)).in_flight.inc();
+        match (number, is_another_in_flight) {
             (0, _) => {}
-            (_, true) => self.route(route, |series| series.copies.inc()),
-            (_, false) => self.route(route, |series| series.retries.inc()),
+            (_, true) => self.with_route(route, |series| series.hedges.inc()),
+            (_, false) => self.with_route(route, |series| series.retries.inc()),
         }
     }
 
-    /// An attempt's first byte has left.
+    /// The first byte of an attempt was sent.
     pub fn first_byte(&self, now: Time, id: u64, attempt: u32, server: u32) {
         self.observer.borrow_mut().first_byte(now, id, attempt, server);
     }
 
-    /// An attempt is over.
+    /// An attempt has finished.
     pub fn attempt_finished(
         &self,
         (id, attempt): (u64, u32),
@@ -337,14 +341,15 @@
         elapsed: Micros,
     ) {
         let zone = self.zone(self.zone_of(server));
-        zone.out.dec();
-        zone.attempts[class][place(outcome)].inc();
+        zone.in_flight.dec();
+        zone.attempts[class][outcome_index(outcome)].inc();
         let seconds = elapsed.ms() / 1e3;
         if outcome == Outcome::Success {
-            zone.seconds.observe(seconds);
+            zone.attempt_seconds.observe(seconds);
         }
-        if let Some((outcomes, time)) = self.servers.borrow().get(&server).and_then(|s| s.named.as_ref()) {
-            outcomes[place(outcome)].inc();
+        if let Some((outcomes, time)) = self.servers.borrow().get(&server).and_then(|s| s.by_server.as_ref())
+        {
+            outcomes[outcome_index(outcome)].inc();
             if outcome == Outcome::Success {
                 time.inc_by(seconds);
             }
@@ -352,62 +357,68 @@
         self.observer.borrow_mut().attempt_finished(id, attempt, outcome.never_ran());
     }
 
-    /// A request is over; but for one whose client had left, its answer's last byte has gone out.
-    pub fn request_finished(&self, now: Time, id: u64, class: usize, over: FinalOutcome, took: Micros) {
+    /// A request has finished: the last byte of its response was sent, or its client disconnected.
+    pub fn request_finished(&self, now: Time, id: u64, class: usize, outcome: FinalOutcome, elapsed: Micros) {
         let series = &self.classes[class];
         series.in_flight.dec();
-        series.over[over as usize].inc();
+        series.outcomes[outcome as usize].inc();
         let mut observer = self.observer.borrow_mut();
-        if over == FinalOutcome::ClientLeft {
+        if outcome == FinalOutcome::ClientLeft {
             return observer.client_left(id);
         }
-        series.answer.observe(took.ms() / 1e3);
-        if over == FinalOutcome::Served && took <= series.aim {
-            series.in_wanted.inc();
+        series.response_seconds.observe(elapsed.ms() / 1e3);
+        if outcome == FinalOutcome::Served && elapsed <= series.objective {
+            series.within_objective.inc();
         }
-        observer.response_sent(now, id, over == FinalOutcome::Shed);
+        observer.response_sent(now, id, outcome == FinalOutcome::Shed);
     }
 
-    /// A request was wrong.
+    /// An invalid request was received.
     pub fn bad_request(&self) {
-        self.bad.inc();
+        self.bad_requests.inc();
     }
 
-    /// A probe is over.
+    /// A health check has finished.
     pub fn health_check_finished(&self, outcome: Outcome) {
-        self.probes[place(outcome)].inc();
+        self.health_checks[outcome_index(outcome)].inc();
     }
 
-    /// Discovery has answered a call.
+    /// A call to discovery succeeded.
     pub fn list_call_succeeded(&self, now: Time) {
-        self.list_ok.inc();
-        self.listed_at.set(Some(now));
+        self.list_calls_ok.inc();
+        self.last_list_at.set(Some(now));
     }
 
-    /// A call to discovery has failed, for this cause.
+    /// A call to discovery failed for this cause.
     pub fn list_call_failed(&self, cause: &str) {
-        self.list_failed.inc();
+        self.list_calls_failed.inc();
         self.registry.counter(&LIST_FAILURES, &[cause]).inc();
     }
 
-    /// A watch of discovery has not answered in time.
+    /// A watch of discovery got no response in time.
     pub fn watch_timed_out(&self) {
-        self.silent_watches.inc();
+        self.watch_timeouts.inc();
     }
 
-    /// The list says this of a server.
+    /// Applies a server's entry in the endpoint list.
     pub fn endpoint_listed(&self, now: Time, entry: EndpointEntry) {
-        let at = (entry.zone, entry.dedup_group);
-        self.observer.borrow_mut().endpoint_listed(now, entry.server, at, entry.is_serving, entry.started);
+        let location = (entry.zone, entry.dedup_group);
+        self.observer.borrow_mut().endpoint_listed(
+            now,
+            entry.server,
+            location,
+            entry.is_serving,
+            entry.started,
+        );
         let mut servers = self.servers.borrow_mut();
-        let own_name = servers.values().filter(|s| s.own_name).count() < self.server_names;
-        let label = if own_name { entry.name } else { OTHER };
+        let has_own_name = servers.values().filter(|s| s.has_own_name).count() < self.server_names;
+        let label = if has_own_name { entry.name } else { OTHER };
         let series = servers.entry(entry.server).or_insert_with(|| ServerSeries {
             name: entry.name.to_owned(),
             zone: entry.zone,
             state: "up",
-            named: (self.server_names > 0).then(|| self.named(label)),
-            own_name,
+            by_server: (self.server_names > 0).then(|| self.server_series(label)),
+            has_own_name,
         });
         series.zone = entry.zone;
         series.state = match (entry.is_serving, entry.is_listed) {
@@ -417,7 +428,7 @@
         };
     }
 
-    /// A whole list no longer names a server.
+    /// A snapshot of the endpoint list no longer contains a server.
     pub fn endpoint_removed(&self, now: Time, server: u32) {
         if let Some(series) = self.servers.borrow_mut().get_mut(&server) {
             series.state = "gone";
@@ -425,103 +436,104 @@
         self.observer.borrow_mut().endpoint_removed(now, server);
     }
 
-    fn named(&self, name: &str) -> (Vec<Counter>, Counter) {
-        let outcomes = OUTCOMES.map(|o| self.registry.counter(&SERVER_ATTEMPTS, &[word(o), name]));
+    /// Creates the series by server under a name.
+    fn server_series(&self, name: &str) -> (Vec<Counter>, Counter) {
+        let outcomes = OUTCOMES.map(|o| self.registry.counter(&SERVER_ATTEMPTS, &[outcome_label(o), name]));
         (outcomes.to_vec(), self.registry.counter(&SERVER_SECONDS, &[name]))
     }
 
-    /// A server left long ago: its series end, and another may have its place.
+    /// Forgets a server that was removed long ago: its series are removed, so that another server may have its own.
     pub fn forget(&self, server: u32) {
         self.observer.borrow_mut().forget(server);
         let Some(series) = self.servers.borrow_mut().remove(&server) else { return };
-        // Those past the bound share a series that goes on.
-        if series.own_name {
+        // The series of servers without their own name is shared, so it stays.
+        if series.has_own_name {
             for outcome in OUTCOMES {
-                self.registry.remove(&SERVER_ATTEMPTS, &[word(outcome), &series.name]);
+                self.registry.remove(&SERVER_ATTEMPTS, &[outcome_label(outcome), &series.name]);
             }
             self.registry.remove(&SERVER_SECONDS, &[&series.name]);
         }
     }
 
-    /// Time passes: answers that are overdue are seen.
+    /// Lets the observer count overdue responses. To be called regularly.
     pub fn check_overdue(&self, now: Time) {
-        if self.begun.get().is_none() {
-            self.begun.set(Some(now));
+        if self.observed_since.get().is_none() {
+            self.observed_since.set(Some(now));
         }
         self.observer.borrow_mut().check_overdue(now);
     }
 
-    /// The total of one kind of violation; it is counted by the guard.
+    /// Sets the total of one kind of violation, which the guard counts.
     pub fn rule_violations(&self, rule: &str, total: u64) {
-        raise(&self.registry.counter(&VIOLATIONS, &[rule]), total);
+        raise_to(&self.registry.counter(&VIOLATIONS, &[rule]), total);
     }
 
-    /// What remote write has done; its counts are the sender's own.
+    /// Sets the metrics of remote write, which the sender counts.
     pub fn set_remote_write(
         &self,
         counts: &sender::Counts,
-        queue: usize,
+        queue_bytes: usize,
         oldest: Duration,
         clock_steps: u64,
     ) {
-        let words = [
+        let totals = [
             ("sent", counts.sent),
             ("retried", counts.retried),
             ("dropped_full", counts.dropped_full),
             ("dropped_refused", counts.dropped_refused),
             ("unwritten", counts.unwritten),
         ];
-        for (word, count) in words {
-            raise(&self.registry.counter(&REMOTE_SAMPLES, &[word]), count);
+        for (label, total) in totals {
+            raise_to(&self.registry.counter(&REMOTE_SAMPLES, &[label]), total);
         }
-        self.registry.gauge(&REMOTE_QUEUE, &[]).set(queue as f64);
-        self.registry.gauge(&REMOTE_OLDEST, &[]).set(oldest.as_secs_f64());
-        raise(&self.registry.counter(&CLOCK_STEPS, &[]), clock_steps);
+        self.registry.gauge(&REMOTE_QUEUE, &[]).set(queue_bytes as f64);
+        self.registry.gauge(&REMOTE_QUEUE_AGE, &[]).set(oldest.as_secs_f64());
+        raise_to(&self.registry.counter(&CLOCK_STEPS, &[]), clock_steps);
     }
 
-    /// The value of every series now.
+    /// The current values of all series.
     pub fn gather(&self, now: Time) -> Vec<Sample> {
         self.check_overdue(now);
         let mut observer = self.observer.borrow_mut();
         for rule in Rule::ALL {
             let margin = observer.margin(rule);
-            raise(&self.breaches[rule as usize], margin.breaches);
-            raise(&self.near[rule as usize], margin.near_misses);
+            raise_to(&self.breaches[rule as usize], margin.breaches);
+            raise_to(&self.near_misses[rule as usize], margin.near_misses);
             let (family, labels): (&Family, &[&str]) = match rule {
-                Rule::SlowStart => (&COLD_LEFT, &[]),
+                Rule::SlowStart => (&SLOW_START_MARGIN, &[]),
                 _ => (&MARGIN, &[rule.label()]),
             };
             match observer.take_recent_min(rule) {
-                Some(left) => self.registry.gauge(family, labels).set(left),
+                Some(margin) => self.registry.gauge(family, labels).set(margin),
                 None => self.registry.remove(family, labels),
             }
         }
         drop(observer);
         let servers = self.servers.borrow();
-        for (place, zone) in self.zone_names.iter().enumerate() {
-            let of = |s: &&ServerSeries| self.zone_name(s.zone) == zone;
-            // Nobody stands in the zone that is not known, but for a list that names others than the settings.
-            let known = place + 1 < self.zone_names.len() || servers.values().any(|s| of(&s));
+        for (index, zone) in self.zone_names.iter().enumerate() {
+            let is_in_zone = |s: &&ServerSeries| self.zone_name(s.zone) == zone;
+            // The unknown zone has a series only if the endpoint list contains zones that are not in the settings.
+            let has_series = index + 1 < self.zone_names.len() || servers.values().any(|s| is_in_zone(&s));
             for state in ["up", "draining", "gone"] {
-                let count = servers.values().filter(of).filter(|s| s.state == state).count();
-                if known {
+                let count = servers.values().filter(is_in_zone).filter(|s| s.state == state).count();
+                if has_series {
                     self.registry.gauge(&SERVERS, &[state, zone]).set(count as f64);
                 }
             }
         }
         drop(servers);
-        let since = self.listed_at.get().or(self.begun.get());
+        let since = self.last_list_at.get().or(self.observed_since.get());
         self.registry.gauge(&LIST_AGE, &[]).set(since.map_or(0.0, |at| now.since(at).ms() / 1e3));
         self.registry.gather()
     }
 
-    /// The classes' names, by their numbers.
+    /// Names of the classes, by their numbers.
     pub fn classes(&self) -> &[String] {
         &self.class_names
     }
 }
 
-/// Brings a counter to a count that is kept elsewhere.
-fn raise(counter: &Counter, count: u64) {
+/// Raises a counter to a total that is counted elsewhere.
+fn raise_to(counter: &Counter, count: u64) {
     counter.inc_by((count as f64 - counter.get()).max(0.0));
 }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,12 +1,12 @@
-//! What an agent counts, and how that reaches a Prometheus remote-write receiver.
+//! Metrics of an agent, and their delivery to a Prometheus remote-write receiver.
 //!
-//! - [`Registry`]: the one owner of all series, counted by the `prometheus` library; [`Counter`], [`Gauge`] and
-//!   [`Histogram`] are handles by which the way of a request counts, without a lock and without an allocation.
-//! - [`Instance`]: the series of one instance, by [`families`], and the observer beside them.
-//! - [`Observer`]: knows the four rules and nothing of the decisions; is told what left and came back on sockets.
-//! - [`Sender`]: what is sent when, what is tried again, what is dropped; [`encode`] words it in version 1.0 or 2.0.
-//! - [`Timeline`]: timestamps that never go back, whatever the wall clock does.
-//! - [`Remote`]: the thin shell around these, with a [`Connection`]; the only part that does I/O.
+//! - [`Registry`]: owns all series, which the `prometheus` library stores; [`Counter`], [`Gauge`] and [`Histogram`] are
+//!   handles that the request path updates without a lock and without an allocation.
+//! - [`Instance`]: the series of one instance, as defined in [`families`], and its [`Observer`].
+//! - [`Observer`]: checks the four rules on what is sent and received on sockets, independently of the balancer's decisions.
+//! - [`Sender`]: decides when samples are sent, retried or dropped; [`encode`] writes them in version 1.0 or 2.0.
+//! - [`Timeline`]: timestamps that never go back, even if the wall clock does.
+//! - [`Remote`]: the task that connects these with a [`Connection`]; only these two do I/O.
 
 mod connection;
 pub mod families;
--- a/crates/telemetry/src/observer.rs
+++ b/crates/telemetry/src/observer.rs
@@ -1,38 +1,38 @@
-//! Watches the four rules in service, by what left and came back on sockets.
+//! Checks the four rules at run time, by what is sent and received on sockets.
 //!
-//! It knows the rules and the platform's settings, and nothing of how decisions are made: a module that errs is seen
-//! here and not in its own counts. Each rule has a count of breaches and the smallest margin by which it was kept.
+//! The observer knows the rules and the platform's settings, but not how decisions are made, so that it also detects
+//! breaches that a faulty balancer does not count itself. For each rule it counts breaches and holds the smallest margin.
 
 use bellcroft_balancer::{Class, DedupScope, Micros, RetrySafety, Settings, Time};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// What sockets and clocks may add to each limit; the platform's own measure (50 ms).
-const SLACK: Micros = Micros(50_000);
-/// Requests that are over are kept for their late bytes, this many at most.
-const OVER_MOST: usize = 2_000;
-/// Sends to a cold server that chance explains, in requests.
-const COLD_CHANCE: f64 = 5.0;
-/// Less of the budget left than this share is a near miss.
-const COLD_NEAR: f64 = 0.1;
+/// Tolerance of each limit for delays of sockets and clocks, the same as the platform's (50 ms).
+const TOLERANCE: Micros = Micros(50_000);
+/// Finished requests that are kept at most, to detect bytes that are sent for them later.
+const MAX_FINISHED: usize = 2_000;
+/// Requests that a server in slow start may get beyond its share by chance.
+const SLOW_START_ALLOWANCE: f64 = 5.0;
+/// A smaller remaining share of the slow-start budget is a near miss.
+const SLOW_START_NEAR_MISS: f64 = 0.1;
 
-/// A rule.
+/// A rule that the observer checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// One final answer in time to each request, and nothing goes out for it afterwards.
+    /// Each request gets one final response in time, and nothing is sent for it afterwards.
     Response,
-    /// No effect twice, and no refusal of what may have run.
+    /// No request takes effect twice, and none is shed that may have run.
     RetrySafety,
-    /// Nothing new to a draining or gone server after the grace.
+    /// No new attempt is sent to a draining or removed server after the drain grace period.
     Draining,
-    /// A cold server is not pushed over.
+    /// No server in slow start is overloaded.
     SlowStart,
 }
 
 impl Rule {
-    /// All of them, in their order.
+    /// All rules, in the order of their declaration.
     pub const ALL: [Rule; 4] = [Rule::Response, Rule::RetrySafety, Rule::Draining, Rule::SlowStart];
 
-    /// One word for it, as a label.
+    /// The value of the label `rule`.
     pub fn label(self) -> &'static str {
         match self {
             Rule::Response => "answer",
@@ -43,33 +43,33 @@
     }
 }
 
-/// How a rule has been kept.
+/// Compliance with a rule.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Margin {
-    /// Breaches.
+    /// Number of breaches.
     pub breaches: u64,
-    /// Kept, but only within what is allowed for sockets and clocks, or with less than a tenth of the budget left.
+    /// Number of cases within the tolerance for sockets and clocks, or with less than a tenth of the budget left.
     pub near_misses: u64,
-    /// The smallest time that was left to the limit, in seconds; for cold servers, the smallest share of the budget.
+    /// Smallest time that was left to the limit, in seconds; for [`Rule::SlowStart`], smallest remaining share of the budget.
     pub min: Option<f64>,
-    /// The same since [`Observer::take_recent_min`] was last asked.
+    /// The same since the last call of [`Observer::take_recent_min`].
     pub recent_min: Option<f64>,
 }
 
-/// What the observer must know beside the settings.
+/// The settings that the rules depend on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RuleParameters {
-    /// The classes.
+    /// Classes of requests.
     pub classes: Vec<Class>,
-    /// The grace of a drain.
-    pub drain_grace: Micros,
-    /// The share of its capacity that a cold server starts with.
+    /// Drain grace period.
+    pub drain_grace_period: Micros,
+    /// Share of its capacity with which a server begins its slow start.
     pub initial_capacity: f64,
-    /// When it is warm.
+    /// Duration of the slow start.
     pub slow_start_window: Micros,
-    /// The multiple of its capacity that pushes a cold server over ...
+    /// Multiple of its capacity that overloads a server if it persists for `fall_after`.
     pub overload_factor: f64,
-    /// ... within this time.
+    /// Time after which an overloaded server fails.
     pub fall_after: Micros,
 }
 
@@ -77,7 +77,7 @@
     fn from(s: &Settings) -> Self {
         RuleParameters {
             classes: s.classes.clone(),
-            drain_grace: s.drain_grace_period,
+            drain_grace_period: s.drain_grace_period,
             initial_capacity: s.initial_capacity,
             slow_start_window: s.slow_start_window,
             overload_factor: s.overload_factor,
@@ -86,12 +86,13 @@
     }
 }
 
+/// An attempt whose first byte was sent.
 #[derive(Debug)]
 struct Sent {
     at: Time,
     zone: u32,
-    cell: u32,
-    /// Known not to have run.
+    dedup_group: u32,
+    /// The attempt is known not to have run.
     never_ran: bool,
 }
 
@@ -99,53 +100,55 @@
 struct Request {
     class: usize,
     deadline: Time,
+    /// Sent attempts by their number.
     sent: BTreeMap<u32, Sent>,
-    over: bool,
+    is_finished: bool,
 }
 
 #[derive(Debug, Clone)]
 struct Server {
     zone: u32,
-    cell: u32,
-    /// When it was told to drain or to have gone.
+    dedup_group: u32,
+    /// When the endpoint list first said that the server is draining or gone.
     leaving: Option<Time>,
     started: Option<Time>,
 }
 
-/// Watches the four rules.
+/// Checks the four rules.
 #[derive(Debug)]
 pub struct Observer {
     parameters: RuleParameters,
     requests: HashMap<u64, Request>,
-    /// Those that are owed an answer, by the time that it is due.
-    due: BTreeSet<(Time, u64)>,
-    over: VecDeque<u64>,
+    /// Pending requests by their deadline.
+    pending: BTreeSet<(Time, u64)>,
+    /// Finished requests, the oldest first.
+    finished: VecDeque<u64>,
     servers: HashMap<u32, Server>,
-    /// First bytes of the last window.
+    /// Times and servers of the first bytes that were sent within the last `fall_after`.
     recent: VecDeque<(Time, u32)>,
     margins: [Margin; 4],
 }
 
 impl Observer {
-    /// An observer that has seen nothing.
+    /// An observer without servers and requests.
     pub fn new(parameters: RuleParameters) -> Self {
         Observer {
             parameters,
             requests: HashMap::new(),
-            due: BTreeSet::new(),
-            over: VecDeque::new(),
+            pending: BTreeSet::new(),
+            finished: VecDeque::new(),
             servers: HashMap::new(),
             recent: VecDeque::new(),
             margins: [Margin::default(); 4],
         }
     }
 
-    /// How a rule has been kept so far.
+    /// Compliance with a rule so far.
     pub fn margin(&self, rule: Rule) -> Margin {
         self.margins[rule as usize]
     }
 
-    /// Requests that it keeps at present.
+    /// Number of requests in memory.
     pub fn tracked_requests(&self) -> usize {
         self.requests.len()
     }
@@ -154,15 +157,16 @@
         self.margins[rule as usize].breaches += 1;
     }
 
-    /// So much of a limit was left, in seconds; past the slack it is a breach, and within it a near miss.
+    /// Records how many seconds were left to a limit. Below zero it is a near miss, and beyond the tolerance a breach.
     fn record_time_left(&mut self, rule: Rule, left: f64) {
-        self.record_margin(rule, left, -SLACK.ms() / 1e3, 0.0);
+        self.record_margin(rule, left, -TOLERANCE.ms() / 1e3, 0.0);
     }
 
+    /// Records a margin: a value below `breach` is a breach, and one below `near` a near miss.
     fn record_margin(&mut self, rule: Rule, left: f64, breach: f64, near: f64) {
         let margin = &mut self.margins[rule as usize];
-        let least = |known: Option<f64>| Some(known.map_or(left, |least| least.min(left)));
-        (margin.min, margin.recent_min) = (least(margin.min), least(margin.recent_min));
+        let min = |previous: Option<f64>| Some(previous.map_or(left, |previous| previous.min(left)));
+        (margin.min, margin.recent_min) = (min(margin.min), min(margin.recent_min));
         if left < breach {
             margin.breaches += 1;
         } else if left < near {
@@ -170,183 +174,189 @@
         }
     }
 
-    /// The smallest margin since this was last asked, if there was any.
+    /// Returns the smallest margin since the last call, if there was any.
     pub fn take_recent_min(&mut self, rule: Rule) -> Option<f64> {
         self.margins[rule as usize].recent_min.take()
     }
 
-    /// Seconds from `now` to `limit`, below zero past it.
+    /// Seconds from `now` to `limit`, negative after it.
     fn seconds_left(now: Time, limit: Time) -> f64 {
         limit.since(now).ms() / 1e3 - now.since(limit).ms() / 1e3
     }
 
-    /// The list says this of a server.
+    /// Applies a server's entry in the endpoint list.
     pub fn endpoint_listed(
         &mut self,
         now: Time,
         server: u32,
-        (zone, cell): (u32, u32),
-        up: bool,
+        (zone, dedup_group): (u32, u32),
+        is_serving: bool,
         started: Option<Time>,
     ) {
-        let known = self.servers.entry(server).or_insert(Server { zone, cell, leaving: None, started });
+        let known =
+            self.servers.entry(server).or_insert(Server { zone, dedup_group, leaving: None, started });
         if known.started != started {
-            // A new process: what its predecessor was sent weighs nothing on it.
+            // The server's process is new, so attempts to its predecessor do not count against it.
             self.recent.retain(|(_, other)| *other != server);
         }
-        let leaving = if up { None } else { known.leaving.or(Some(now)) };
-        *known = Server { zone, cell, leaving, started };
+        let leaving = if is_serving { None } else { known.leaving.or(Some(now)) };
+        *known = Server { zone, dedup_group, leaving, started };
     }
 
-    /// A whole list no longer names a server.
+    /// A snapshot of the endpoint list no longer contains a server.
     pub fn endpoint_removed(&mut self, now: Time, server: u32) {
         if let Some(known) = self.servers.get_mut(&server) {
             known.leaving.get_or_insert(now);
         }
     }
 
-    /// A server that left long ago is not known any more: whatever goes to it now goes to nobody that was ever named.
+    /// Forgets a server that was removed long ago. Attempts to it count as attempts to an unlisted server from now on.
     pub fn forget(&mut self, server: u32) {
         self.servers.remove(&server);
     }
 
-    /// A request has come whole; its client waits until then.
+    /// A complete request was received. Its client waits until `deadline`.
     pub fn request_received(&mut self, id: u64, class: usize, deadline: Time) {
-        let request = Request { class, deadline, sent: BTreeMap::new(), over: false };
-        self.due.insert((deadline, id));
-        if let Some(before) = self.requests.insert(id, request) {
-            self.due.retain(|due| *due != (before.deadline, id) || before.deadline == deadline);
-            // Two of one name can't be told apart: whoever lets them in can't answer both.
+        let request = Request { class, deadline, sent: BTreeMap::new(), is_finished: false };
+        self.pending.insert((deadline, id));
+        if let Some(previous) = self.requests.insert(id, request) {
+            self.pending.retain(|entry| *entry != (previous.deadline, id) || previous.deadline == deadline);
+            // Two requests with one id can't be told apart, so not both can get their response.
             self.breach(Rule::Response);
         }
     }
 
-    /// The first byte of an attempt has left for a server.
+    /// The first byte of an attempt was sent to a server.
     pub fn first_byte(&mut self, now: Time, id: u64, attempt: u32, server: u32) {
-        let grace = self.parameters.drain_grace;
+        let grace = self.parameters.drain_grace_period;
         let known = self.servers.get(&server).cloned();
         match known.as_ref().map(|s| s.leaving) {
-            // Nobody ever named it.
+            // The server was never listed.
             None => self.breach(Rule::Draining),
             Some(None) => {}
-            Some(Some(told)) => self.record_time_left(Rule::Draining, Self::seconds_left(now, told + grace)),
+            Some(Some(leaving)) => {
+                self.record_time_left(Rule::Draining, Self::seconds_left(now, leaving + grace));
+            }
         }
-        let (zone, cell) = known.map_or((u32::MAX, u32::MAX), |s| (s.zone, s.cell));
+        let (zone, dedup_group) = known.map_or((u32::MAX, u32::MAX), |s| (s.zone, s.dedup_group));
         self.check_slow_start(now, server);
         let Some(request) = self.requests.get_mut(&id) else { return self.breach(Rule::Response) };
-        let over = request.over;
+        let is_finished = request.is_finished;
         let first = request.sent.values().filter(|s| !s.never_ran).min_by_key(|s| s.at);
-        let first = first.map(|s| (s.at, s.zone, s.cell));
-        let effect = self.parameters.classes[request.class].retry_safety;
-        request.sent.insert(attempt, Sent { at: now, zone, cell, never_ran: false });
-        if over {
+        let first = first.map(|s| (s.at, s.zone, s.dedup_group));
+        let retry_safety = self.parameters.classes[request.class].retry_safety;
+        request.sent.insert(attempt, Sent { at: now, zone, dedup_group, never_ran: false });
+        if is_finished {
             self.breach(Rule::Response);
         }
-        let Some((at, first_zone, first_cell)) = first else { return };
-        match effect {
+        let Some((at, first_zone, first_group)) = first else { return };
+        match retry_safety {
             RetrySafety::Idempotent => {}
             RetrySafety::AtMostOnce => self.breach(Rule::RetrySafety),
-            RetrySafety::Deduplicated { scope: group, window } => {
+            RetrySafety::Deduplicated { scope, window } => {
                 self.record_time_left(Rule::RetrySafety, Self::seconds_left(now, at + window));
-                let within = match group {
+                let is_same_group = match scope {
                     DedupScope::All => true,
                     DedupScope::Zone => zone == first_zone,
-                    DedupScope::Group => cell == first_cell,
+                    DedupScope::Group => dedup_group == first_group,
                 };
-                if !within {
+                if !is_same_group {
                     self.breach(Rule::RetrySafety);
                 }
             }
         }
     }
 
-    /// An attempt is over; `never_ran` if its server said so, or no byte of it had left.
+    /// An attempt has finished. `never_ran` is set if its server rejected it, or no byte of it was sent.
     pub fn attempt_finished(&mut self, id: u64, attempt: u32, never_ran: bool) {
         if let Some(sent) = self.requests.get_mut(&id).and_then(|r| r.sent.get_mut(&attempt)) {
             sent.never_ran = never_ran;
         }
     }
 
-    /// A final answer's last byte has left for the client; `refused` for a 429 or 503.
-    pub fn response_sent(&mut self, now: Time, id: u64, refused: bool) {
+    /// The last byte of a final response was sent to the client; `shed` for a 429 or 503.
+    pub fn response_sent(&mut self, now: Time, id: u64, shed: bool) {
         let Some(request) = self.requests.get_mut(&id) else { return self.breach(Rule::Response) };
-        let (twice, deadline) = (std::mem::replace(&mut request.over, true), request.deadline);
+        let (is_second, deadline) = (std::mem::replace(&mut request.is_finished, true), request.deadline);
         let ran = request.sent.values().any(|s| !s.never_ran);
-        let harmless = match self.parameters.classes[request.class].retry_safety {
+        let is_retry_harmless = match self.parameters.classes[request.class].retry_safety {
             RetrySafety::Idempotent => true,
             RetrySafety::Deduplicated { scope: DedupScope::All, .. } => true,
             RetrySafety::AtMostOnce | RetrySafety::Deduplicated { .. } => !ran,
         };
-        if twice {
+        if is_second {
             return self.breach(Rule::Response);
         }
         self.record_time_left(Rule::Response, Self::seconds_left(now, deadline));
-        if refused && !harmless {
+        if shed && !is_retry_harmless {
             self.breach(Rule::RetrySafety);
         }
         self.mark_finished(id);
     }
 
-    /// The client has left, or its connection broke by its doing: nothing is owed, and nothing new may go out.
+    /// The client closed or reset its connection. It needs no response, and nothing more may be sent for its request.
     pub fn client_left(&mut self, id: u64) {
         if let Some(request) = self.requests.get_mut(&id) {
-            if !std::mem::replace(&mut request.over, true) {
+            if !std::mem::replace(&mut request.is_finished, true) {
                 self.mark_finished(id);
             }
         }
     }
 
+    /// Removes a request from the pending ones, and keeps it until [`MAX_FINISHED`] later ones have finished.
     fn mark_finished(&mut self, id: u64) {
         if let Some(request) = self.requests.get(&id) {
-            self.due.remove(&(request.deadline, id));
+            self.pending.remove(&(request.deadline, id));
         }
-        self.over.push_back(id);
-        while self.over.len() > OVER_MOST {
-            if let Some(old) = self.over.pop_front() {
+        self.finished.push_back(id);
+        while self.finished.len() > MAX_FINISHED {
+            if let Some(old) = self.finished.pop_front() {
                 self.requests.remove(&old);
             }
         }
     }
 
-    /// Looks for requests whose answer is overdue; each is one breach, and then it is over.
+    /// Counts a breach for each request whose response is overdue, and marks the request as finished.
     pub fn check_overdue(&mut self, now: Time) {
-        while let Some(&(_, id)) = self.due.first().filter(|(due, _)| now > *due + SLACK) {
+        while let Some(&(_, id)) = self.pending.first().filter(|(deadline, _)| now > *deadline + TOLERANCE) {
             self.breach(Rule::Response);
             if let Some(request) = self.requests.get_mut(&id) {
-                request.over = true;
+                request.is_finished = true;
             }
             self.mark_finished(id);
         }
     }
 
+    /// Share of its capacity that a server has reached in its slow start; 1 for a warm server.
     fn capacity_share(&self, server: &Server, now: Time) -> f64 {
         server.started.map_or(1.0, |started| {
-            let grown = (now.since(started).ms() / self.parameters.slow_start_window.ms().max(1.0)).min(1.0);
-            self.parameters.initial_capacity + (1.0 - self.parameters.initial_capacity) * grown
+            let progress =
+                (now.since(started).ms() / self.parameters.slow_start_window.ms().max(1.0)).min(1.0);
+            self.parameters.initial_capacity + (1.0 - self.parameters.initial_capacity) * progress
         })
     }
 
-    /// Holds what a cold server was sent within a window against its share of what warm ones were: this process's part
-    /// of the budget, since it sees no other's.
+    /// Compares the attempts that a server in slow start got within `fall_after` with a budget derived from the attempts to
+    /// warm servers. The budget is this process's share, because it sees no other process's attempts.
     fn check_slow_start(&mut self, now: Time, server: u32) {
         self.recent.push_back((now, server));
         while self.recent.front().is_some_and(|(at, _)| *at + self.parameters.fall_after < now) {
             self.recent.pop_front();
         }
-        let Some(own) = self.servers.get(&server) else { return };
-        let own = self.capacity_share(own, now);
-        if own >= 1.0 {
+        let Some(entry) = self.servers.get(&server) else { return };
+        let share = self.capacity_share(entry, now);
+        if share >= 1.0 {
             return;
         }
-        let warm = |s: &Server| s.leaving.is_none() && self.capacity_share(s, now) >= 1.0;
-        let warm_servers = self.servers.values().filter(|s| warm(s)).count();
+        let is_warm = |s: &Server| s.leaving.is_none() && self.capacity_share(s, now) >= 1.0;
+        let warm_servers = self.servers.values().filter(|s| is_warm(s)).count();
         if warm_servers == 0 {
             return;
         }
-        let to_warm = self.recent.iter().filter(|(_, s)| self.servers.get(s).is_some_and(warm)).count();
-        let to_cold = self.recent.iter().filter(|(_, s)| *s == server).count();
-        let fair = to_warm as f64 / warm_servers as f64;
-        let budget = COLD_CHANCE + self.parameters.overload_factor * own * fair;
-        self.record_margin(Rule::SlowStart, 1.0 - to_cold as f64 / budget, 0.0, COLD_NEAR);
+        let to_warm = self.recent.iter().filter(|(_, s)| self.servers.get(s).is_some_and(is_warm)).count();
+        let to_server = self.recent.iter().filter(|(_, s)| *s == server).count();
+        let warm_mean = to_warm as f64 / warm_servers as f64;
+        let budget = SLOW_START_ALLOWANCE + self.parameters.overload_factor * share * warm_mean;
+        self.record_margin(Rule::SlowStart, 1.0 - to_server as f64 / budget, 0.0, SLOW_START_NEAR_MISS);
     }
 }
--- a/crates/telemetry/src/registry.rs
+++ b/crates/telemetry/src/registry.rs
@@ -1,7 +1,7 @@
-//! All series of a process: counted by the `prometheus` library, with bounds on labels of our own.
+//! All series of a process, stored by the `prometheus` library, with additional limits on labels and on numbers of series.
 //!
-//! A handle ([`Counter`], [`Gauge`], [`Histogram`]) is the library's: made once, when its labels become known, and an
-//! atomic addition from then on. [`Registry::gather`] is the one place where series become samples.
+//! The handles [`Counter`], [`Gauge`] and [`Histogram`] are those of the library. A handle is made once, when its labels
+//! are known; an update is then an atomic addition. [`Registry::gather`] converts series to samples.
 
 use prometheus::core::Collector;
 use prometheus::proto::{LabelPair, MetricFamily, MetricType};
@@ -10,162 +10,168 @@
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The longest value of a label, in bytes; a longer one is cut at a character.
+/// Longest value of a label, in bytes; a longer one is truncated at a character boundary.
 pub const MAX_LABEL_BYTES: usize = 128;
-/// What stands in a label that has had its share of values.
+/// Value of the last label of all series beyond the limit of their family.
 pub(crate) const OTHER: &str = "other";
 
-/// What a series counts.
+/// The type of a metric.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// Only grows, from 0 at the process's start.
+    /// Only increases, from 0 when the process starts.
     Counter,
-    /// Goes up and down.
+    /// Increases and decreases.
     Gauge,
-    /// Counts by upper bounds, with a sum.
+    /// Counts observations in buckets, and holds their sum.
     Histogram,
 }
 
-/// A family of series: one name, one meaning, one set of labels.
+/// A metric family: series with one name, one help text and the same label names.
 #[derive(Debug, Clone)]
 pub struct Family {
-    /// Its name, by the conventions: base units, `_total` for counters.
+    /// Name by the conventions of Prometheus: base units, `_total` for counters.
     pub name: &'static str,
-    /// What it means.
+    /// Help text.
     pub help: &'static str,
-    /// What it counts.
+    /// Type of its series.
     pub kind: Kind,
-    /// Its labels' names.
+    /// Names of the labels.
     pub labels: &'static [&'static str],
-    /// Series at the most. Past that the last label of a new one is `other`.
+    /// Limit of the number of series. Beyond it the last label of a new series is `other`.
     pub max_series: usize,
-    /// Upper bounds of a histogram's buckets, ascending, without the infinite one.
+    /// Upper bounds of a histogram's buckets, in ascending order, without the infinite one.
     pub bounds: Vec<f64>,
 }
 
-enum Vector {
+enum MetricVec {
     Counters(CounterVec),
     Gauges(GaugeVec),
     Histograms(HistogramVec),
 }
 
-impl Vector {
-    /// What the library makes of a family. It refuses names and labels that are none, which here are the program's own.
+impl MetricVec {
+    /// # Panics
+    ///
+    /// If the name or a label's name is invalid. Both are constants of the program.
     fn new(family: &Family) -> Self {
         let opts = Opts::new(family.name, family.help);
         match family.kind {
-            Kind::Counter => CounterVec::new(opts, family.labels).map(Vector::Counters),
-            Kind::Gauge => GaugeVec::new(opts, family.labels).map(Vector::Gauges),
+            Kind::Counter => CounterVec::new(opts, family.labels).map(MetricVec::Counters),
+            Kind::Gauge => GaugeVec::new(opts, family.labels).map(MetricVec::Gauges),
             Kind::Histogram => {
                 let opts = HistogramOpts::from(opts).buckets(family.bounds.clone());
-                HistogramVec::new(opts, family.labels).map(Vector::Histograms)
+                HistogramVec::new(opts, family.labels).map(MetricVec::Histograms)
             }
         }
         .unwrap_or_else(|e| panic!("{}: {e}", family.name))
     }
 
     fn remove(&self, values: &[&str]) {
-        // One that is not there has been removed already.
+        // An error means that the series is not there any more.
         let _ = match self {
-            Vector::Counters(vector) => vector.remove_label_values(values),
-            Vector::Gauges(vector) => vector.remove_label_values(values),
-            Vector::Histograms(vector) => vector.remove_label_values(values),
+            MetricVec::Counters(vector) => vector.remove_label_values(values),
+            MetricVec::Gauges(vector) => vector.remove_label_values(values),
+            MetricVec::Histograms(vector) => vector.remove_label_values(values),
         };
     }
 
     fn collect(&self) -> Vec<MetricFamily> {
         match self {
-            Vector::Counters(vector) => vector.collect(),
-            Vector::Gauges(vector) => vector.collect(),
-            Vector::Histograms(vector) => vector.collect(),
+            MetricVec::Counters(vector) => vector.collect(),
+            MetricVec::Gauges(vector) => vector.collect(),
+            MetricVec::Histograms(vector) => vector.collect(),
         }
     }
 }
 
-struct Known {
+struct RegisteredFamily {
     family: Family,
-    vector: Vector,
-    /// The label values that are taken; what the bound is held against.
+    vector: MetricVec,
+    /// Label values of the existing series, counted against the family's limit.
     series: BTreeSet<Vec<String>>,
 }
 
-/// A value at one moment. Labels are sorted by name, `__name__` among them, as receivers want them.
+/// The value of a series at one time.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Sample {
-    /// The series.
+    /// Labels of the series, including `__name__`, sorted by name as remote write requires.
     pub labels: Vec<(String, String)>,
-    /// Its value.
+    /// Value of the series.
     pub value: f64,
-    /// What the family counts.
+    /// Type of the family.
     pub kind: Kind,
-    /// The family's name.
+    /// Name of the family.
     pub family: &'static str,
-    /// The family's help.
+    /// Help text of the family.
     pub help: &'static str,
 }
 
-/// The one owner of all series of a process.
+/// All series of a process.
 pub struct Registry {
-    families: RefCell<BTreeMap<&'static str, Known>>,
+    families: RefCell<BTreeMap<&'static str, RegisteredFamily>>,
     external: RefCell<Vec<(String, String)>>,
 }
 
 impl Registry {
-    /// An empty registry; every series carries these labels too, but where it has one of that name itself.
+    /// An empty registry. The `external` labels are added to every series that has no label of the same name.
     pub fn new(external: &[(String, String)]) -> Self {
         Registry { families: RefCell::default(), external: RefCell::new(external.to_vec()) }
     }
 
-    /// From now on every series carries these labels, and no longer those it had.
-    pub fn relabel(&self, external: &[(String, String)]) {
+    /// Replaces the external labels of all series.
+    pub fn set_external_labels(&self, external: &[(String, String)]) {
         *self.external.borrow_mut() = external.to_vec();
     }
 
-    /// A counter of a family, which is new or the one that it was.
+    /// Returns the counter of a family with these label values, which is created if it does not exist.
+    ///
+    /// # Panics
+    ///
+    /// If the family is of another type.
     pub fn counter(&self, family: &Family, values: &[&str]) -> Counter {
         match self.handle(family, values, |vector, values| match vector {
-            Vector::Counters(vector) => Some(vector.with_label_values(values)),
+            MetricVec::Counters(vector) => Some(vector.with_label_values(values)),
             _ => None,
         }) {
             Some(counter) => counter,
-            None => panic!("{} is no counter", family.name),
+            None => panic!("{} is not a counter", family.name),
         }
     }
 
-    /// A gauge of a family.
+    /// Returns a gauge, as [`counter`](Self::counter) does.
     pub fn gauge(&self, family: &Family, values: &[&str]) -> Gauge {
         match self.handle(family, values, |vector, values| match vector {
-            Vector::Gauges(vector) => Some(vector.with_label_values(values)),
+            MetricVec::Gauges(vector) => Some(vector.with_label_values(values)),
             _ => None,
         }) {
             Some(gauge) => gauge,
-            None => panic!("{} is no gauge", family.name),
+            None => panic!("{} is not a gauge", family.name),
         }
     }
 
-    /// A histogram of a family.
+    /// Returns a histogram, as [`counter`](Self::counter) does.
     pub fn histogram(&self, family: &Family, values: &[&str]) -> Histogram {
         match self.handle(family, values, |vector, values| match vector {
-            Vector::Histograms(vector) => Some(vector.with_label_values(values)),
+            MetricVec::Histograms(vector) => Some(vector.with_label_values(values)),
             _ => None,
         }) {
             Some(histogram) => histogram,
-            None => panic!("{} is no histogram", family.name),
+            None => panic!("{} is not a histogram", family.name),
         }
     }
 
-    /// The handle of the series with these values of the family's labels; past the family's bound, of the one whose
-    /// last label is `other`.
+    /// Returns the handle of the series with these label values. Beyond the family's limit, a new series is replaced by
+    /// the one whose last label is `other`.
     fn handle<T>(
         &self,
         family: &Family,
         values: &[&str],
-        of: impl FnOnce(&Vector, &[&str]) -> Option<T>,
+        select: impl FnOnce(&MetricVec, &[&str]) -> Option<T>,
     ) -> Option<T> {
-        assert_eq!(values.len(), family.labels.len(), "{}: a value for each label", family.name);
+        assert_eq!(values.len(), family.labels.len(), "{}: wrong number of label values", family.name);
         let mut families = self.families.borrow_mut();
-        let known = families.entry(family.name).or_insert_with(|| Known {
-            vector: Vector::new(family),
+        let known = families.entry(family.name).or_insert_with(|| RegisteredFamily {
+            vector: MetricVec::new(family),
             family: family.clone(),
             series: BTreeSet::new(),
         });
@@ -175,13 +181,13 @@
                 *last = OTHER.to_owned();
             }
         }
-        let handle = of(&known.vector, &key.iter().map(String::as_str).collect::<Vec<_>>());
+        let handle = select(&known.vector, &key.iter().map(String::as_str).collect::<Vec<_>>());
         known.series.insert(key);
         handle
     }
 
-    /// Ends the series of a family with these values, which frees their place under its bound. Handles that are left
-    /// count for nobody.
+    /// Removes the series with these label values, which no longer counts against the family's limit. Updates of its
+    /// remaining handles have no effect on samples.
     pub fn remove(&self, family: &Family, values: &[&str]) {
         if let Some(known) = self.families.borrow_mut().get_mut(family.name) {
             let key: Vec<String> = values.iter().map(|value| label_value(value.as_bytes())).collect();
@@ -190,23 +196,23 @@
         }
     }
 
-    /// How many series there are, a histogram's buckets among them.
+    /// Number of series, where each bucket of a histogram counts as one.
     pub fn len(&self) -> usize {
         let families = self.families.borrow();
-        let of = |known: &Known| match known.family.kind {
+        let series_of = |known: &RegisteredFamily| match known.family.kind {
             Kind::Counter | Kind::Gauge => known.series.len(),
-            // Each bound, the infinite one, the sum and the count.
+            // The bounds, the infinite bound, the sum and the count.
             Kind::Histogram => known.series.len() * (known.family.bounds.len() + 3),
         };
-        families.values().map(of).sum()
+        families.values().map(series_of).sum()
     }
 
-    /// There is none.
+    /// Whether there are no series.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// The value of every series now, always in the same order.
+    /// The current values of all series, always in the same order.
     pub fn gather(&self) -> Vec<Sample> {
         let families = self.families.borrow();
         let external = self.external.borrow();
@@ -214,7 +220,7 @@
         for known in families.values() {
             for mut collected in known.vector.collect() {
                 let mut metrics = collected.take_metric();
-                // The library keeps them in a hash map, in no order at all.
+                // The library stores them in a hash map, without an order.
                 metrics.sort_by(|a, b| {
                     let values = |m: &prometheus::proto::Metric| -> Vec<String> {
                         m.get_label().iter().map(|l| l.value().to_owned()).collect()
@@ -222,8 +228,15 @@
                     values(a).cmp(&values(b))
                 });
                 for metric in &metrics {
-                    let mut add = |end: &str, bound: Option<f64>, value: f64| {
-                        samples.push(sample(&known.family, &external, end, metric.get_label(), bound, value));
+                    let mut add = |suffix: &str, bound: Option<f64>, value: f64| {
+                        samples.push(sample(
+                            &known.family,
+                            &external,
+                            suffix,
+                            metric.get_label(),
+                            bound,
+                            value,
+                        ));
                     };
                     match collected.get_field_type() {
                         MetricType::HISTOGRAM => {
@@ -249,7 +262,7 @@
 fn sample(
     family: &Family,
     external: &[(String, String)],
-    end: &str,
+    suffix: &str,
     own: &[LabelPair],
     bound: Option<f64>,
     value: f64,
@@ -258,16 +271,16 @@
     let mut labels: BTreeMap<&str, String> =
         external.iter().map(|(name, value)| (name.as_str(), value.clone())).collect();
     labels.extend(own.iter().map(|label| (label.name(), label.value().to_owned())));
-    labels.extend(bound.map(|bound| ("le", le(bound))));
-    labels.insert("__name__", format!("{name}{end}"));
-    // An empty label is the same as none, and receivers refuse it.
+    labels.extend(bound.map(|bound| ("le", le_value(bound))));
+    labels.insert("__name__", format!("{name}{suffix}"));
+    // An empty label means the same as a missing one, and receivers refuse it.
     let labels = labels.into_iter().filter(|(_, value)| !value.is_empty());
     let labels = labels.map(|(name, value)| (name.to_owned(), value)).collect();
     Sample { labels, value, kind, family: name, help }
 }
 
-/// A bound as Prometheus words it.
-fn le(bound: f64) -> String {
+/// The value of the label `le` for a bucket's upper bound.
+fn le_value(bound: f64) -> String {
     if bound.is_infinite() {
         "+Inf".to_owned()
     } else {
@@ -275,9 +288,9 @@
     }
 }
 
-/// Any bytes as a label's value: UTF-8, and not longer than [`MAX_LABEL_BYTES`].
+/// Converts any bytes to a label's value: valid UTF-8, and not longer than [`MAX_LABEL_BYTES`].
 pub fn label_value(bytes: &[u8]) -> String {
-    // A prefix is enough: what is cut off is not decoded.
+    // A prefix is enough, which saves decoding the rest.
     let head = &bytes[..bytes.len().min(MAX_LABEL_BYTES + 4)];
     let mut text = String::from_utf8_lossy(head).into_owned();
     let mut end = text.len().min(MAX_LABEL_BYTES);
@@ -302,7 +315,7 @@
     }
 
     #[test]
-    fn handles_of_one_series_count_together() {
+    fn handles_of_one_series_share_count() {
         let registry = Registry::new(&[]);
         let family = family(Kind::Counter, 10);
         let (a, b) = (registry.counter(&family, &["read", "s"]), registry.counter(&family, &["read", "s"]));
@@ -313,7 +326,7 @@
     }
 
     #[test]
-    fn ten_thousand_names_stay_under_the_cap_and_none_of_their_counts_is_lost() {
+    fn series_beyond_limit_are_counted_as_other() {
         let registry = Registry::new(&[]);
         let family = family(Kind::Counter, 50);
         for n in 0..10_000 {
@@ -322,12 +335,13 @@
         assert_eq!(registry.len(), 51);
         let samples = registry.gather();
         assert_eq!(samples.iter().map(|s| s.value).sum::<f64>(), 10_000.0);
-        let other = samples.iter().find(|s| label(s, "server") == Some("other")).expect("there is one");
+        let other =
+            samples.iter().find(|s| label(s, "server") == Some("other")).expect("a series for other names");
         assert_eq!(other.value, 9_950.0);
     }
 
     #[test]
-    fn a_series_that_is_removed_frees_its_place_and_begins_anew() {
+    fn removed_series_frees_its_place_and_restarts_at_zero() {
         let registry = Registry::new(&[]);
         let family = family(Kind::Counter, 2);
         for round in 0..100 {
@@ -342,14 +356,14 @@
     }
 
     #[test]
-    fn a_histogram_adds_up_and_a_value_on_its_bound_is_within() {
+    fn histogram_buckets_are_cumulative_and_include_their_bound() {
         let registry = Registry::new(&[]);
         let histogram = registry.histogram(&family(Kind::Histogram, 10), &["read", "s"]);
         for value in [0.1, 0.25, 0.3, 1.5, 9.0] {
             histogram.observe(value);
         }
         let samples = registry.gather();
-        let found: Vec<(String, f64)> = samples
+        let actual: Vec<(String, f64)> = samples
             .iter()
             .map(|s| {
                 (format!("{} {}", label(s, "__name__").unwrap_or(""), label(s, "le").unwrap_or("")), s.value)
@@ -362,15 +376,15 @@
             ("bellcroft_x_sum ", 11.15),
             ("bellcroft_x_count ", 5.0),
         ];
-        for ((name, value), (own, wanted)) in found.iter().zip(expected) {
-            assert_eq!(name, own);
-            assert!((value - wanted).abs() < 1e-9, "{name}: {value}");
+        for ((name, value), (expected_name, expected_value)) in actual.iter().zip(expected) {
+            assert_eq!(name, expected_name);
+            assert!((value - expected_value).abs() < 1e-9, "{name}: {value}");
         }
         assert_eq!(registry.len(), samples.len());
     }
 
     #[test]
-    fn labels_are_sorted_the_series_own_win_and_empty_ones_are_left_out() {
+    fn labels_are_sorted_and_external_ones_do_not_override() {
         let external = [("zone", "north"), ("class", "theirs"), ("__name__", "theirs"), ("empty", "")];
         let external: Vec<_> = external.iter().map(|(n, v)| ((*n).to_owned(), (*v).to_owned())).collect();
         let registry = Registry::new(&external);
@@ -382,7 +396,7 @@
     }
 
     #[test]
-    fn any_bytes_make_a_label_value() {
+    fn arbitrary_bytes_become_valid_label_values() {
         assert_eq!(label_value(b"a\"b\nc\\"), "a\"b\nc\\");
         assert_eq!(label_value(b"a\xffb"), "a\u{fffd}b");
         assert_eq!(label_value(&vec![b'x'; 10_000]).len(), MAX_LABEL_BYTES);
--- a/crates/telemetry/src/remote.rs
+++ b/crates/telemetry/src/remote.rs
@@ -1,5 +1,6 @@
-//! The task that samples an instance and keeps its receiver supplied. It shares a thread with the requests and waits
-//! for nobody on their way: what it does at a time is one walk of the series and one body.
+//! The task that samples an instance and sends the samples to its receiver.
+//!
+//! It shares a thread with the requests and does not block it: each step gathers all series or encodes one body.
 
 use crate::connection::{Connection, Url};
 use crate::instance::Instance;
@@ -13,29 +14,29 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// Overdue answers are looked for this often, whatever the interval of samples.
-const LOOK: Duration = Duration::from_secs(1);
+/// Interval of the checks for overdue responses, independent of the interval of samples.
+const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What an operator says of remote write.
+/// Configuration of remote write.
 #[derive(Clone, PartialEq)]
 pub struct Config {
-    /// The receiver.
+    /// URL of the receiver.
     pub url: Url,
-    /// Sent as a bearer token.
+    /// Bearer token.
     pub token: Option<String>,
-    /// From a sample to the next.
+    /// Interval of samples.
     pub interval: Duration,
-    /// One exchange with the receiver.
+    /// Limit of one exchange with the receiver.
     pub timeout: Duration,
-    /// The queue and its tries.
+    /// Settings of the queue and of retries.
     pub policy: Policy,
-    /// Labels of every series.
+    /// Labels that are added to every series.
     pub labels: Vec<(String, String)>,
 }
 
 impl std::fmt::Debug for Config {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        // Without the token.
+        // The token must not appear in logs.
         f.debug_struct("Config")
             .field("url", &self.url)
             .field("interval", &self.interval)
@@ -48,44 +49,45 @@
     Stop(oneshot::Sender<Counts>),
 }
 
-/// A running task; dropping it ends it with what it holds.
+/// A running task. Dropping it ends the task and discards its queue.
 pub struct Remote {
     commands: mpsc::UnboundedSender<Command>,
 }
 
-/// What the task needs of its environment.
+/// What the task needs from its caller.
 pub struct Environment {
-    /// What is sampled.
+    /// The series to sample.
     pub instance: Rc<Instance>,
-    /// The decisions' clock.
+    /// The balancer's clock.
     pub now: Box<dyn Fn() -> Time>,
-    /// Called before each sample, for gauges that their owners keep.
+    /// Called before each sample, to set gauges that are not updated by events.
     pub refresh: Box<dyn Fn()>,
-    /// The log.
+    /// Writes a message to the log.
     pub log: Box<dyn Fn(&str)>,
-    /// Seed of pauses.
+    /// Seed of the random delays.
     pub seed: u64,
 }
 
 impl Remote {
-    /// Starts the task on the present [`tokio::task::LocalSet`].
+    /// Starts the task on the current [`tokio::task::LocalSet`].
     pub fn start(config: Config, environment: Environment) -> Self {
         let (commands, receiver) = mpsc::unbounded_channel();
         tokio::task::spawn_local(run(config, environment, receiver));
         Remote { commands }
     }
 
-    /// Goes by another configuration from now on. Samples that wait keep the labels that they were made with.
+    /// Replaces the configuration. Samples in the queue keep their labels.
     pub fn change(&self, config: Config) {
-        // A task that has ended has no use for it.
+        // Fails only if the task has ended.
         let _ = self.commands.send(Command::Change(Box::new(config)));
     }
 
-    /// Takes a last sample, ends the series, and flushes for as long as the policy gives; tells what became of all.
+    /// Takes a last sample, marks the series as ended, and flushes the queue within the policy's timeout. Returns the final
+    /// counts.
     pub async fn stop(self) -> Counts {
-        let (tell, told) = oneshot::channel();
-        let _ = self.commands.send(Command::Stop(tell));
-        told.await.unwrap_or_default()
+        let (reply_to, reply) = oneshot::channel();
+        let _ = self.commands.send(Command::Stop(reply_to));
+        reply.await.unwrap_or_default()
     }
 }
 
@@ -95,39 +97,41 @@
 
 type Exchange = Pin<Box<dyn std::future::Future<Output = (Connection, Event)>>>;
 
-struct Shell {
+/// The state of the task.
+struct Task {
     config: Config,
     environment: Environment,
     sender: Sender,
     timeline: Timeline,
     origin: Instant,
-    /// Idle, or lent to the exchange that is out.
+    /// The idle connection; none before the first exchange and during one.
     connection: Option<Connection>,
     exchange: Option<Exchange>,
-    finished: bool,
+    is_finished: bool,
 }
 
-impl Shell {
+impl Task {
     fn now(&self) -> sender::Time {
         self.origin.elapsed()
     }
 
-    fn tell(&mut self, event: Event) {
+    /// Passes an event to the sender and executes its actions.
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.sender.handle(self.now(), event, &mut actions);
         for action in actions {
             match action {
                 Action::Log(text) => (self.environment.log)(&text),
-                Action::Finished => self.finished = true,
+                Action::Finished => self.is_finished = true,
                 Action::Post(post) => {
-                    let connection = self.connection.take().unwrap_or_else(|| self.fresh());
+                    let connection = self.connection.take().unwrap_or_else(|| self.new_connection());
                     self.exchange = Some(Box::pin(exchange(connection, post)));
                 }
             }
         }
     }
 
-    fn fresh(&self) -> Connection {
+    fn new_connection(&self) -> Connection {
         Connection::new(self.config.url.clone(), self.config.token.clone(), self.config.timeout)
     }
 
@@ -142,32 +146,32 @@
         );
         (self.environment.refresh)();
         let samples = self.environment.instance.gather((self.environment.now)());
-        let at = self.timeline.stamp(wall_ms(), now);
-        self.tell(Event::Samples(samples, at));
+        let at = self.timeline.next_timestamp(wall_ms(), now);
+        self.handle(Event::Samples(samples, at));
     }
 
     fn change(&mut self, config: Config) {
         let receiver_changed = config.url != self.config.url;
         if receiver_changed || config.token != self.config.token || config.timeout != self.config.timeout {
-            // An exchange that is out with the same receiver ends by itself, and its connection with it.
+            // A current exchange with the same receiver may finish; its connection is closed afterwards.
             self.connection = None;
             if receiver_changed {
                 self.exchange = None;
             }
         }
-        self.environment.instance.registry.relabel(&config.labels);
+        self.environment.instance.registry.set_external_labels(&config.labels);
         let policy = config.policy.clone();
         self.config = config;
-        self.tell(Event::PolicyChanged { policy, receiver_changed });
+        self.handle(Event::PolicyChanged { policy, receiver_changed });
     }
 }
 
 async fn exchange(mut connection: Connection, post: sender::Post) -> (Connection, Event) {
     let event = match connection.post(post).await {
-        Ok(answer) => Event::Response {
-            status: answer.status,
-            retry_after: answer.retry_after,
-            written: answer.written,
+        Ok(response) => Event::Response {
+            status: response.status,
+            retry_after: response.retry_after,
+            written: response.written,
         },
         Err(why) => Event::Failed(why),
     };
@@ -179,9 +183,9 @@
     let timeline = Timeline::new(wall_ms(), Duration::ZERO);
     let sender = Sender::new(config.policy.clone(), environment.seed, wall_ms());
     let mut next_sample = origin;
-    let mut next_look = origin;
+    let mut next_overdue_check = origin;
     let mut stopping = None;
-    let mut shell = Shell {
+    let mut task = Task {
         config,
         environment,
         sender,
@@ -189,65 +193,66 @@
         origin,
         connection: None,
         exchange: None,
-        finished: false,
+        is_finished: false,
     };
-    // Each instance of a fleet samples at its own phase, or a receiver would have all of them at once.
-    let mut phase = fastrand::Rng::with_seed(shell.environment.seed);
-    while !shell.finished {
+    // The second sample comes after a random part of the interval, so that a receiver does not get the samples of all
+    // instances of a fleet at the same time.
+    let mut phase = fastrand::Rng::with_seed(task.environment.seed);
+    while !task.is_finished {
         let now = Instant::now();
-        if now >= next_look {
-            shell.environment.instance.check_overdue((shell.environment.now)());
-            next_look = now + LOOK;
+        if now >= next_overdue_check {
+            task.environment.instance.check_overdue((task.environment.now)());
+            next_overdue_check = now + OVERDUE_CHECK_INTERVAL;
         }
         if stopping.is_none() && now >= next_sample {
-            shell.sample();
-            let interval = shell.config.interval;
+            task.sample();
+            let interval = task.config.interval;
             next_sample = if next_sample == origin {
                 now + interval.mul_f64(0.5 + 0.5 * phase.f64())
             } else {
-                // After a pause of the whole process the missed ones are not made up for.
+                // Samples that were missed while the process was paused are not taken later.
                 (next_sample + interval).max(now)
             };
         }
-        let retry = shell.sender.next_wake().map(|at| origin + at);
-        let sample = stopping.is_none().then_some(next_sample.min(next_look));
-        let wake = retry.into_iter().chain(sample).min();
-        // A configuration that comes now may not throw away a request that has just been answered.
+        let sender_wake = task.sender.next_wake().map(|at| origin + at);
+        let sample = stopping.is_none().then_some(next_sample.min(next_overdue_check));
+        let wake = sender_wake.into_iter().chain(sample).min();
+        // Biased, so that a new configuration does not discard a response that has already arrived.
         tokio::select! {
             biased;
-            (connection, event) = async { match &mut shell.exchange { Some(e) => e.await, None => pending().await } } => {
-                shell.exchange = None;
-                let stale = connection.differs(&shell.config);
-                shell.connection = (!stale).then_some(connection);
-                shell.tell(event);
+            (connection, event) = async { match &mut task.exchange { Some(e) => e.await, None => pending().await } } => {
+                task.exchange = None;
+                let is_outdated = connection.differs(&task.config);
+                task.connection = (!is_outdated).then_some(connection);
+                task.handle(event);
             }
             command = commands.recv() => match command {
                 Some(Command::Change(config)) => {
-                    shell.change(*config);
-                    next_sample = next_sample.min(Instant::now() + shell.config.interval);
+                    task.change(*config);
+                    next_sample = next_sample.min(Instant::now() + task.config.interval);
                 }
-                Some(Command::Stop(tell)) => {
-                    shell.sample();
-                    stopping = Some(tell);
-                    let at = shell.timeline.stamp(wall_ms(), shell.now());
-                    shell.tell(Event::Stop(at));
+                Some(Command::Stop(reply_to)) => {
+                    task.sample();
+                    stopping = Some(reply_to);
+                    let at = task.timeline.next_timestamp(wall_ms(), task.now());
+                    task.handle(Event::Stop(at));
                 }
-                // Its environment has gone without a word, and the process with it.
+                // The handle was dropped without a stop: the process exits.
                 None => return,
             },
             () = async { match wake { Some(at) => tokio::time::sleep_until(at).await, None => pending().await } } => {
-                shell.tell(Event::Tick);
+                task.handle(Event::Tick);
             }
         }
     }
-    if let Some(tell) = stopping {
-        let _ = tell.send(shell.sender.counts());
+    if let Some(reply_to) = stopping {
+        let _ = reply_to.send(task.sender.counts());
     }
 }
 
 impl Connection {
-    /// It was made for another receiver, token or time-out than these.
+    /// Whether the connection was made for another receiver, token or timeout.
     fn differs(&self, config: &Config) -> bool {
-        !self.is_for(&config.url, config.token.as_deref(), config.timeout)
+        !self.matches(&config.url, config.token.as_deref(), config.timeout)
     }
 }
