--- a/crates/telemetry/tests/golden.rs
+++ b/crates/telemetry/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The bodies of remote write in both versions, before compression and as they are sent.
+//! Golden test of the remote-write bodies in both versions, before and after compression.
 
 use bellcroft_telemetry::{encode, Family, Kind, Registry, Version};
 use expect_test::expect_file;
@@ -11,13 +11,13 @@
     let registry = Registry::new(&[("instance".into(), "desk-1".into()), ("job".into(), "bellcroft".into())]);
     let family =
         |name, kind, labels, bounds| Family { name, help: "Help.", kind, labels, max_series: 100, bounds };
-    let counted = family("bellcroft_requests_total", Kind::Counter, &["class", "outcome"][..], Vec::new());
-    registry.counter(&counted, &["read", "served"]).inc_by(3.0);
-    registry.counter(&counted, &["read", "refused"]).inc();
-    let known = family("bellcroft_servers", Kind::Gauge, &["state"][..], Vec::new());
-    registry.gauge(&known, &["up"]).set(12.5);
-    let times = family("bellcroft_answer_seconds", Kind::Histogram, &["class"][..], vec![0.25, 1.5]);
-    registry.histogram(&times, &["read"]).observe(0.3);
+    let requests = family("bellcroft_requests_total", Kind::Counter, &["class", "outcome"][..], Vec::new());
+    registry.counter(&requests, &["read", "served"]).inc_by(3.0);
+    registry.counter(&requests, &["read", "refused"]).inc();
+    let servers = family("bellcroft_servers", Kind::Gauge, &["state"][..], Vec::new());
+    registry.gauge(&servers, &["up"]).set(12.5);
+    let response_times = family("bellcroft_answer_seconds", Kind::Histogram, &["class"][..], vec![0.25, 1.5]);
+    registry.histogram(&response_times, &["read"]).observe(0.3);
     registry
 }
 
--- a/crates/telemetry/tests/instance.rs
+++ b/crates/telemetry/tests/instance.rs
@@ -1,4 +1,4 @@
-//! An instance's series over a long day and under odd names.
+//! The series of an instance: their number under churn of servers, unusual label values, margins and budgets.
 
 use bellcroft_balancer::{Micros, Outcome, Settings, Time};
 use bellcroft_telemetry::*;
@@ -27,28 +27,30 @@
     })
 }
 
-fn line(server: u32, name: &str, is_serving: bool) -> EndpointEntry<'_> {
+fn endpoint(server: u32, name: &str, is_serving: bool) -> EndpointEntry<'_> {
     EndpointEntry { server, name, zone: 0, dedup_group: 0, is_serving, is_listed: is_serving, started: None }
 }
 
 fn value(samples: &[Sample], name: &str, labels: &[(&str, &str)]) -> Option<f64> {
-    let has =
+    let has_label =
         |sample: &Sample, name: &str, value: &str| sample.labels.iter().any(|(n, v)| n == name && v == value);
-    let own = samples.iter().find(|s| has(s, "__name__", name) && labels.iter().all(|(n, v)| has(s, n, v)));
-    own.map(|sample| sample.value)
+    let sample = samples
+        .iter()
+        .find(|s| has_label(s, "__name__", name) && labels.iter().all(|(n, v)| has_label(s, n, v)));
+    sample.map(|sample| sample.value)
 }
 
 #[test]
-fn ten_thousand_servers_over_a_day_leave_the_series_under_their_cap_and_no_count_is_lost() {
+fn server_churn_keeps_series_bounded_and_counts_complete() {
     let classes = ["read".to_owned()];
     let instance = instance(&classes, &[], 5);
     let mut most = 0;
     for n in 0..10_000_u32 {
         let now = at(u64::from(n) * 8640);
         let name = format!("server-{n}");
-        instance.endpoint_listed(now, line(n, &name, true));
+        instance.endpoint_listed(now, endpoint(n, &name, true));
         instance.attempt_finished((u64::from(n), 0), 0, n, Outcome::Success, Micros(1000));
-        // Eight stand at a time: five have names, three share one.
+        // Eight servers are listed at a time: five have their own names, three share `other`.
         if n >= 8 {
             instance.endpoint_removed(now, n - 8);
             instance.forget(n - 8);
@@ -58,7 +60,7 @@
         }
     }
     let samples = instance.gather(at(86_400_000));
-    // By server eight outcomes and a time, for five names and `other`; besides these a small instance has its own few.
+    // Five names and `other` have eight outcomes and a time each. The rest are the series that do not depend on servers.
     let by_server = samples.iter().filter(|s| s.labels.iter().any(|(n, _)| n == "server")).count();
     assert!(by_server <= 6 * 9 && most < 200, "{by_server} {most}");
     assert_eq!(value(&samples, "bellcroft_attempts_total", &[("outcome", "served")]), Some(10_000.0));
@@ -69,39 +71,42 @@
 }
 
 #[test]
-fn a_name_that_a_departing_server_held_goes_to_the_next_and_begins_at_zero() {
+fn forgotten_server_frees_its_name_for_next_server() {
     let classes = ["read".to_owned()];
     let instance = instance(&classes, &[], 1);
     for (server, name) in [(0, "a"), (1, "b"), (2, "c")] {
-        instance.endpoint_listed(at(1), line(server, name, true));
+        instance.endpoint_listed(at(1), endpoint(server, name, true));
         instance.attempt_finished((u64::from(server), 0), 0, server, Outcome::Success, Micros(1000));
     }
-    let of = |name: &str| {
+    let value_of = |name: &str| {
         value(
             &instance.gather(at(2)),
             "bellcroft_server_attempts_total",
             &[("server", name), ("outcome", "served")],
         )
     };
-    assert_eq!((of("a"), of("b"), of("c"), of("other")), (Some(1.0), None, None, Some(2.0)));
-    // One that happens to be called so, too.
-    instance.endpoint_listed(at(2), line(4, "other", true));
+    assert_eq!(
+        (value_of("a"), value_of("b"), value_of("c"), value_of("other")),
+        (Some(1.0), None, None, Some(2.0))
+    );
+    // A server whose own name is `other` shares that series as well.
+    instance.endpoint_listed(at(2), endpoint(4, "other", true));
     instance.forget(4);
     instance.forget(1);
-    assert_eq!(of("other"), Some(2.0), "what one of many counted stays");
+    assert_eq!(value_of("other"), Some(2.0), "the shared series must stay");
     instance.forget(0);
-    instance.endpoint_listed(at(3), line(3, "d", true));
+    instance.endpoint_listed(at(3), endpoint(3, "d", true));
     instance.attempt_finished((3, 0), 0, 3, Outcome::Success, Micros(1000));
-    assert_eq!((of("a"), of("d")), (None, Some(1.0)));
+    assert_eq!((value_of("a"), value_of("d")), (None, Some(1.0)));
 }
 
 #[test]
-fn any_names_arrive_at_a_strict_receiver_in_both_versions() {
+fn strict_receiver_accepts_arbitrary_names_in_both_versions() {
     let classes =
         ["quote\"s".to_owned(), "new\nline".to_owned(), "x".repeat(10_000), "back\\slash".to_owned()];
     let tenants = [String::from_utf8_lossy(b"not \xff UTF-8").into_owned(), "\u{1f600}".repeat(3000)];
     let instance = instance(&classes, &tenants, 3);
-    instance.endpoint_listed(at(1), line(0, &"y".repeat(10_000), true));
+    instance.endpoint_listed(at(1), endpoint(0, &"y".repeat(10_000), true));
     instance.request_received(1, 2, Some(1), "no \"route\"\n", at(500));
     instance.request_finished(at(10), 1, 2, FinalOutcome::Served, Micros(9000));
     let samples = instance.gather(at(20));
@@ -119,51 +124,51 @@
 }
 
 #[test]
-fn margins_are_those_since_the_last_sample_and_near_misses_are_no_breaches() {
+fn margins_are_reset_by_sample_and_near_misses_are_not_breaches() {
     let classes = ["read".to_owned()];
     let instance = instance(&classes, &[], 0);
-    let answer = |id: u64, deadline: u64, now: u64| {
+    let respond = |id: u64, deadline: u64, now: u64| {
         instance.request_received(id, 0, None, "none", at(deadline));
         instance.request_finished(at(now), id, 0, FinalOutcome::Served, Micros(1000));
     };
     let margin = |samples: &[Sample]| value(samples, "bellcroft_rule_margin_seconds", &[("rule", "answer")]);
-    answer(1, 1000, 400);
-    answer(2, 1000, 900);
-    let near = |value: Option<f64>, expected: f64| value.is_some_and(|v| (v - expected).abs() < 1e-6);
-    assert!(near(margin(&instance.gather(at(1000))), 0.1));
-    answer(3, 2000, 1500);
-    assert!(near(margin(&instance.gather(at(2000))), 0.5));
-    assert_eq!(margin(&instance.gather(at(2100))), None, "nothing was answered since");
-    answer(4, 3000, 3020);
+    respond(1, 1000, 400);
+    respond(2, 1000, 900);
+    let is_near = |value: Option<f64>, expected: f64| value.is_some_and(|v| (v - expected).abs() < 1e-6);
+    assert!(is_near(margin(&instance.gather(at(1000))), 0.1));
+    respond(3, 2000, 1500);
+    assert!(is_near(margin(&instance.gather(at(2000))), 0.5));
+    assert_eq!(margin(&instance.gather(at(2100))), None, "no response since the last sample");
+    respond(4, 3000, 3020);
     let samples = instance.gather(at(3100));
-    let of = |name: &str| value(&samples, name, &[("rule", "answer")]);
+    let value_of = |name: &str| value(&samples, name, &[("rule", "answer")]);
     assert_eq!(
-        (of("bellcroft_rule_near_misses_total"), of("bellcroft_rule_breaches_total")),
+        (value_of("bellcroft_rule_near_misses_total"), value_of("bellcroft_rule_breaches_total")),
         (Some(1.0), Some(0.0))
     );
-    answer(5, 4000, 4060);
+    respond(5, 4000, 4060);
     let samples = instance.gather(at(4100));
-    let of = |name: &str| value(&samples, name, &[("rule", "answer")]);
+    let value_of = |name: &str| value(&samples, name, &[("rule", "answer")]);
     assert_eq!(
-        (of("bellcroft_rule_near_misses_total"), of("bellcroft_rule_breaches_total")),
+        (value_of("bellcroft_rule_near_misses_total"), value_of("bellcroft_rule_breaches_total")),
         (Some(1.0), Some(1.0))
     );
     assert_eq!(instance.observer().margin(Rule::Response).breaches, 1);
 }
 
 #[test]
-fn budgets_of_routes_that_are_gone_lose_their_gauge_and_keep_their_counts() {
+fn removed_routes_lose_budget_gauges_and_keep_counters() {
     let classes = ["read".to_owned()];
     let instance = instance(&classes, &[], 0);
     let route_budget = |route, retry_ratio, hedge_ratio| RouteBudget { route, retry_ratio, hedge_ratio };
     instance.set_route_budgets(&[route_budget("none", 0.1, None), route_budget("read", 0.2, Some(0.05))]);
     instance.attempt_started(0, "read", 1, false);
     instance.attempt_started(0, "read", 2, true);
-    let of =
+    let value_of =
         |name: &str, kind: &str| value(&instance.gather(at(1)), name, &[("route", "read"), ("kind", kind)]);
-    let (budget, further) = ("bellcroft_further_attempts_allowed_ratio", "bellcroft_further_attempts_total");
-    assert_eq!((of(budget, "retry"), of(budget, "second_copy")), (Some(0.2), Some(0.05)));
+    let (budget, attempts) = ("bellcroft_further_attempts_allowed_ratio", "bellcroft_further_attempts_total");
+    assert_eq!((value_of(budget, "retry"), value_of(budget, "second_copy")), (Some(0.2), Some(0.05)));
     instance.set_route_budgets(&[route_budget("none", 0.1, None)]);
-    assert_eq!((of(budget, "retry"), of(budget, "second_copy")), (None, None));
-    assert_eq!((of(further, "retry"), of(further, "second_copy")), (Some(1.0), Some(1.0)));
+    assert_eq!((value_of(budget, "retry"), value_of(budget, "second_copy")), (None, None));
+    assert_eq!((value_of(attempts, "retry"), value_of(attempts, "second_copy")), (Some(1.0), Some(1.0)));
 }
--- a/crates/telemetry/tests/observer.rs
+++ b/crates/telemetry/tests/observer.rs
@@ -1,22 +1,22 @@
-//! The observer beside modules that cheat, and beside the real one.
+//! The observer on event sequences that keep or break a rule, on the balancer itself, and on faulty variants of it.
 
 use bellcroft_balancer::*;
 use bellcroft_telemetry::{Observer, Rule, RuleParameters};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn settings() -> Settings {
-    let class = |effect| Class {
-        retry_safety: effect,
+    let class = |retry_safety| Class {
+        retry_safety,
         latency_objective: Micros::from_ms(200.0),
         deadline: Micros::from_ms(800.0),
         ..Class::default()
     };
-    let keyed = |group| RetrySafety::Deduplicated { scope: group, window: Micros::from_ms(300.0) };
+    let deduplicated = |scope| RetrySafety::Deduplicated { scope, window: Micros::from_ms(300.0) };
     Settings {
         classes: vec![
             class(RetrySafety::Idempotent),
-            class(keyed(DedupScope::All)),
-            class(keyed(DedupScope::Zone)),
+            class(deduplicated(DedupScope::All)),
+            class(deduplicated(DedupScope::Zone)),
             class(RetrySafety::AtMostOnce),
         ],
         initial_capacity: 0.2,
@@ -29,7 +29,7 @@
     Time(10_000_000 + ms * 1000)
 }
 
-/// Four warm servers, two in each zone.
+/// An observer with four warm servers, two in each of two zones.
 fn observer() -> Observer {
     let mut observer = Observer::new(RuleParameters::from(&settings()));
     for server in 0..4 {
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_honest_request_breaks_nothing_and_leaves_its_margin() {
+fn compliant_request_records_margins_without_breach() {
     let mut o = observer();
     o.request_received(1, 1, at(800));
     o.first_byte(at(10), 1, 0, 0);
@@ -52,65 +52,65 @@
     o.response_sent(at(200), 1, false);
     o.check_overdue(at(5000));
     assert_eq!(breaches(&o), [0; 4]);
-    let near = |rule, seconds: f64| (o.margin(rule).min.expect("a margin") - seconds).abs() < 1e-6;
-    assert!(near(Rule::Response, 0.6) && near(Rule::RetrySafety, 0.2), "{o:?}");
+    let is_near = |rule, seconds: f64| (o.margin(rule).min.expect("a margin") - seconds).abs() < 1e-6;
+    assert!(is_near(Rule::Response, 0.6) && is_near(Rule::RetrySafety, 0.2), "{o:?}");
 }
 
 #[test]
-fn requests_without_an_answer_with_two_or_with_a_late_one() {
+fn missing_duplicate_and_late_responses_are_breaches() {
     let mut o = observer();
     o.request_received(1, 0, at(800));
     o.check_overdue(at(849));
-    assert_eq!(breaches(&o), [0; 4], "not yet");
+    assert_eq!(breaches(&o), [0; 4], "within the tolerance");
     o.check_overdue(at(851));
     o.check_overdue(at(900));
-    assert_eq!(breaches(&o), [1, 0, 0, 0], "lost, and once");
+    assert_eq!(breaches(&o), [1, 0, 0, 0], "a missing response, counted once");
     o.request_received(2, 0, at(2000));
     o.response_sent(at(1900), 2, false);
     o.response_sent(at(1910), 2, false);
-    assert_eq!(breaches(&o), [2, 0, 0, 0], "answered twice");
+    assert_eq!(breaches(&o), [2, 0, 0, 0], "a second response");
     o.request_received(3, 0, at(3000));
     o.response_sent(at(3051), 3, false);
-    assert_eq!(breaches(&o), [3, 0, 0, 0], "too late");
+    assert_eq!(breaches(&o), [3, 0, 0, 0], "a late response");
     o.response_sent(at(3051), 99, false);
-    assert_eq!(breaches(&o), [4, 0, 0, 0], "nobody asked");
+    assert_eq!(breaches(&o), [4, 0, 0, 0], "a response without a request");
     o.request_received(4, 0, at(5000));
     o.client_left(4);
     o.check_overdue(at(9000));
-    assert_eq!(breaches(&o), [4, 0, 0, 0], "nothing is owed to who has left");
+    assert_eq!(breaches(&o), [4, 0, 0, 0], "no response is due after the client has left");
     o.first_byte(at(4100), 4, 0, 0);
-    assert_eq!(breaches(&o), [5, 0, 0, 0], "something goes out for it afterwards");
+    assert_eq!(breaches(&o), [5, 0, 0, 0], "an attempt after the client has left");
 }
 
 #[test]
-fn repeats_outside_window_and_group_and_refusals_of_what_may_have_run() {
+fn unsafe_retries_and_unsafe_shedding_are_breaches() {
     let mut o = observer();
     o.request_received(1, 1, at(800));
     o.first_byte(at(0), 1, 0, 0);
     o.first_byte(at(351), 1, 1, 1);
-    assert_eq!(breaches(&o), [0, 1, 0, 0], "after the window");
+    assert_eq!(breaches(&o), [0, 1, 0, 0], "a retry after the dedup window");
     o.request_received(2, 2, at(800));
     o.first_byte(at(0), 2, 0, 0);
     o.first_byte(at(100), 2, 1, 2);
-    assert_eq!(breaches(&o), [0, 1, 0, 0], "the same zone");
+    assert_eq!(breaches(&o), [0, 1, 0, 0], "a retry in the same zone");
     o.first_byte(at(110), 2, 2, 1);
-    assert_eq!(breaches(&o), [0, 2, 0, 0], "another zone");
+    assert_eq!(breaches(&o), [0, 2, 0, 0], "a retry in another zone");
     o.request_received(3, 3, at(800));
     o.first_byte(at(0), 3, 0, 0);
     o.attempt_finished(3, 0, true);
     o.first_byte(at(10), 3, 1, 1);
-    assert_eq!(breaches(&o), [0, 2, 0, 0], "turned away unseen");
+    assert_eq!(breaches(&o), [0, 2, 0, 0], "a retry after a rejection");
     o.attempt_finished(3, 1, false);
     o.first_byte(at(20), 3, 2, 2);
-    assert_eq!(breaches(&o), [0, 3, 0, 0], "may have run");
+    assert_eq!(breaches(&o), [0, 3, 0, 0], "a retry of an attempt that may have run");
     o.response_sent(at(30), 3, true);
-    assert_eq!(breaches(&o), [0, 4, 0, 0], "refused though it may have run");
+    assert_eq!(breaches(&o), [0, 4, 0, 0], "shed although it may have run");
     o.response_sent(at(30), 1, true);
-    assert_eq!(breaches(&o), [0, 4, 0, 0], "all servers drop repeats: trying again is harmless");
+    assert_eq!(breaches(&o), [0, 4, 0, 0], "all servers deduplicate, so a client's retry is harmless");
 }
 
 #[test]
-fn bytes_to_servers_that_drain_or_that_nobody_named() {
+fn attempts_to_draining_or_unlisted_servers_are_breaches() {
     let mut o = observer();
     let grace = settings().drain_grace_period.ms() as u64;
     o.endpoint_listed(at(0), 1, (1, 1), false, None);
@@ -119,7 +119,7 @@
         o.first_byte(at(ms), n, 0, 1);
         assert_eq!(breaches(&o)[2], u64::from(ms > grace + 50), "{ms}");
     }
-    // Being told again is no new beginning; coming back is.
+    // A repeated entry does not restart the grace period; an entry as serving ends the drain.
     o.endpoint_listed(at(3000), 1, (1, 1), false, None);
     o.request_received(4, 0, at(60_000));
     o.first_byte(at(3001), 4, 0, 1);
@@ -129,11 +129,11 @@
     o.first_byte(at(4001), 5, 0, 1);
     o.request_received(6, 0, at(60_000));
     o.first_byte(at(4001), 6, 0, 77);
-    assert_eq!(breaches(&o)[2], 3, "one that no list names");
+    assert_eq!(breaches(&o)[2], 3, "a server that was never listed");
 }
 
 #[test]
-fn a_cold_server_that_is_sent_more_than_its_budget() {
+fn too_many_attempts_to_server_in_slow_start_are_breaches() {
     let mut o = observer();
     o.endpoint_listed(at(0), 4, (0, 4), true, Some(at(0)));
     let mut id = 0;
@@ -149,16 +149,16 @@
             send(&mut o, ms, 4);
         }
     }
-    assert_eq!(breaches(&o), [0; 4], "its share");
+    assert_eq!(breaches(&o), [0; 4], "within its share");
     for _ in 0..200 {
         send(&mut o, 500, 4);
     }
     assert!(breaches(&o)[3] > 0);
-    assert!(o.margin(Rule::SlowStart).min.is_some_and(|least| least < 0.0));
+    assert!(o.margin(Rule::SlowStart).min.is_some_and(|min| min < 0.0));
 }
 
 #[test]
-fn a_long_day_leaves_little_behind() {
+fn memory_is_bounded_over_many_requests() {
     let mut o = observer();
     for id in 0..100_000 {
         o.request_received(id, 0, at(id + 800));
@@ -170,27 +170,27 @@
     assert_eq!(breaches(&o), [0; 4]);
 }
 
-/// What a cheat does with the decisions of the real module.
+/// A fault in the execution of the balancer's decisions.
 #[derive(Clone, Copy, PartialEq)]
-enum Cheat {
+enum Fault {
     None,
-    /// Sends everything once more.
-    Repeats,
-    /// Answers nothing of class 0.
-    Forgets,
-    /// Answers each request a second time.
-    AnswersTwice,
+    /// Sends each attempt a second time, to another server.
+    DuplicatesAttempts,
+    /// Sends no response when a request of class 0 is shed or fails.
+    OmitsResponses,
+    /// Sends a second response when a request is shed or fails.
+    DuplicatesResponses,
 }
 
-/// The real decisions on a machine that carries them out, or cheats.
-fn walk(seed: u64, cheat: Cheat) -> [u64; 4] {
+/// Runs the balancer on simulated servers, with or without a fault, and returns the breaches by rule.
+fn run_balancer(seed: u64, fault: Fault) -> [u64; 4] {
     let mut random = fastrand::Rng::with_seed(seed);
-    let mut balancer = Balancer::new(settings(), seed).expect("settings");
+    let mut balancer = Balancer::new(settings(), seed).expect("valid settings");
     let mut observer = Observer::new(RuleParameters::from(&settings()));
     let mut now = at(0);
     let mut actions = Vec::new();
     balancer.start(now, &mut actions);
-    let lines: Vec<Endpoint> = (0..6)
+    let endpoints: Vec<Endpoint> = (0..6)
         .map(|i| Endpoint {
             zone: ZoneId(i % 2),
             dedup_group: DedupGroupId(i),
@@ -198,14 +198,20 @@
         })
         .collect();
     let mut timers = BTreeSet::new();
-    let mut out: BTreeMap<(u64, u32), (Time, Time)> = BTreeMap::new();
+    let mut in_flight: BTreeMap<(u64, u32), (Time, Time)> = BTreeMap::new();
     let mut attempts: BTreeMap<u64, u32> = BTreeMap::new();
     let mut classes: BTreeMap<u64, usize> = BTreeMap::new();
-    let mut over = BTreeSet::new();
-    for line in &lines {
-        observer.endpoint_listed(now, line.server.0, (line.zone.0, line.dedup_group.0), true, None);
+    let mut finished = BTreeSet::new();
+    for endpoint in &endpoints {
+        observer.endpoint_listed(
+            now,
+            endpoint.server.0,
+            (endpoint.zone.0, endpoint.dedup_group.0),
+            true,
+            None,
+        );
     }
-    let mut events = vec![Event::Endpoints(EndpointUpdate::Snapshot(lines.clone()))];
+    let mut events = vec![Event::Endpoints(EndpointUpdate::Snapshot(endpoints.clone()))];
     for step in 0..4000_u64 {
         now = now + Micros(1000);
         if step % 6 == 0 && step < 3000 {
@@ -222,18 +228,21 @@
             timers.remove(&(time, timer));
             events.push(Event::Timer(timer));
         }
-        let ended: Vec<_> =
-            out.iter().filter(|(_, (ends, until))| now >= *ends.min(until)).map(|(k, _)| *k).collect();
-        for key in ended {
-            let (ends, until) = out.remove(&key).expect("it was there");
+        let due: Vec<_> = in_flight
+            .iter()
+            .filter(|(_, (finish_at, timeout_at))| now >= *finish_at.min(timeout_at))
+            .map(|(k, _)| *k)
+            .collect();
+        for key in due {
+            let (finish_at, timeout_at) = in_flight.remove(&key).expect("attempt is in flight");
             let outcome = match random.u8(0..6) {
-                _ if until <= ends => Outcome::TimedOut,
+                _ if timeout_at <= finish_at => Outcome::TimedOut,
                 0 => Outcome::ServerError,
                 1 => Outcome::Rejected,
                 _ => Outcome::Success,
             };
             observer.attempt_finished(key.0, key.1, outcome == Outcome::Rejected);
-            if outcome == Outcome::Success && over.insert(key.0) {
+            if outcome == Outcome::Success && finished.insert(key.0) {
                 observer.response_sent(now, key.0, false);
             }
             events.push(Event::Outcome {
@@ -242,7 +251,7 @@
                 outcome,
                 elapsed: Micros(1000),
                 report: None,
-                closed: over.contains(&key.0),
+                closed: finished.contains(&key.0),
             });
         }
         for event in events.drain(..) {
@@ -252,26 +261,26 @@
                     Action::Send { request, server, timeout_at, .. } => {
                         let n = attempts.entry(request.0).or_insert(0);
                         observer.first_byte(now, request.0, *n, server.0);
-                        if cheat == Cheat::Repeats {
+                        if fault == Fault::DuplicatesAttempts {
                             observer.first_byte(now + Micros(1), request.0, *n + 100, (server.0 + 1) % 6);
                         }
-                        let work = Micros(random.u64(1000..150_000));
-                        out.insert((request.0, *n), (now + work, timeout_at));
+                        let service_time = Micros(random.u64(1000..150_000));
+                        in_flight.insert((request.0, *n), (now + service_time, timeout_at));
                         *n += 1;
                     }
                     Action::Cancel { request, attempt } => {
-                        if let Some((ends, _)) = out.get_mut(&(request.0, attempt.0)) {
-                            *ends = now;
+                        if let Some((finish_at, _)) = in_flight.get_mut(&(request.0, attempt.0)) {
+                            *finish_at = now;
                         }
                     }
                     Action::SetTimer { at, timer } => drop(timers.insert((at, timer))),
-                    Action::Shed { request, .. } | Action::Fail { request } if over.insert(request.0) => {
-                        let refused = matches!(action, Action::Shed { .. });
-                        if cheat != Cheat::Forgets || classes[&request.0] != 0 {
-                            observer.response_sent(now, request.0, refused);
+                    Action::Shed { request, .. } | Action::Fail { request } if finished.insert(request.0) => {
+                        let is_shed = matches!(action, Action::Shed { .. });
+                        if fault != Fault::OmitsResponses || classes[&request.0] != 0 {
+                            observer.response_sent(now, request.0, is_shed);
                         }
-                        if cheat == Cheat::AnswersTwice {
-                            observer.response_sent(now, request.0, refused);
+                        if fault == Fault::DuplicatesResponses {
+                            observer.response_sent(now, request.0, is_shed);
                         }
                     }
                     _ => {}
@@ -284,13 +293,13 @@
 }
 
 #[test]
-fn the_real_module_breaks_nothing_and_each_cheat_is_seen() {
-    let mut seen = [0_u64; 3];
+fn balancer_breaks_no_rule_and_each_fault_is_detected() {
+    let mut detected = [0_u64; 3];
     for seed in 0..15 {
-        assert_eq!(walk(seed, Cheat::None), [0; 4], "seed {seed}");
-        seen[0] += walk(seed, Cheat::Repeats)[1];
-        seen[1] += walk(seed, Cheat::Forgets)[0];
-        seen[2] += walk(seed, Cheat::AnswersTwice)[0];
+        assert_eq!(run_balancer(seed, Fault::None), [0; 4], "seed {seed}");
+        detected[0] += run_balancer(seed, Fault::DuplicatesAttempts)[1];
+        detected[1] += run_balancer(seed, Fault::OmitsResponses)[0];
+        detected[2] += run_balancer(seed, Fault::DuplicatesResponses)[0];
     }
-    assert!(seen.iter().all(|n| *n > 0), "{seen:?}");
+    assert!(detected.iter().all(|n| *n > 0), "{detected:?}");
 }
--- a/crates/telemetry/tests/sender.rs
+++ b/crates/telemetry/tests/sender.rs
@@ -1,4 +1,4 @@
-//! The sender against a receiver that the test plays, which reads bodies by a code path of its own.
+//! The sender against a simulated receiver, which decodes bodies with code of its own.
 
 use bellcroft_telemetry::*;
 use std::time::Duration;
@@ -7,8 +7,8 @@
 const MS: Duration = Duration::from_millis(1);
 const CREATED: i64 = 1_700_000_000_000;
 
-/// What a strict receiver makes of a request.
-fn take(store: &mut Store, post: &Post) -> u64 {
+/// Stores a request at a strict receiver, and returns the number of samples that it accepts.
+fn receive(store: &mut Store, post: &Post) -> u64 {
     store.take(post.version == Version::V2, &post.body).expect("a body") as u64
 }
 
@@ -40,8 +40,8 @@
     (registry, counter)
 }
 
-/// A sender, the time, and what it wants done.
-struct Rig {
+/// A sender with a simulated clock, and its actions so far.
+struct Harness {
     sender: Sender,
     now: Duration,
     posts: Vec<Post>,
@@ -49,13 +49,13 @@
     finished: bool,
 }
 
-impl Rig {
+impl Harness {
     fn new(policy: Policy) -> Self {
         let sender = Sender::new(policy, 3, CREATED);
-        Rig { sender, now: Duration::ZERO, posts: Vec::new(), logs: Vec::new(), finished: false }
+        Harness { sender, now: Duration::ZERO, posts: Vec::new(), logs: Vec::new(), finished: false }
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.sender.handle(self.now, event, &mut actions);
         for action in actions {
@@ -70,18 +70,18 @@
         }
     }
 
-    fn samples(&mut self, registry: &Registry) {
+    fn sample(&mut self, registry: &Registry) {
         let at = CREATED + self.now.as_millis() as i64;
-        self.tell(Event::Samples(samples(registry), at));
+        self.handle(Event::Samples(samples(registry), at));
     }
 
-    fn answer(&mut self, status: u16, written: Option<u64>) {
-        self.tell(Event::Response { status, retry_after: None, written });
+    fn respond(&mut self, status: u16, written: Option<u64>) {
+        self.handle(Event::Response { status, retry_after: None, written });
     }
 
-    fn wait(&mut self, span: Duration) {
-        self.now += span;
-        self.tell(Event::Tick);
+    fn advance(&mut self, duration: Duration) {
+        self.now += duration;
+        self.handle(Event::Tick);
     }
 }
 
@@ -90,36 +90,36 @@
 }
 
 #[test]
-fn both_versions_bring_the_same_series() {
+fn both_versions_deliver_the_same_series() {
     let (registry, counter) = registry();
-    let mut found = Vec::new();
+    let mut series = Vec::new();
     for version in [Version::V1, Version::V2] {
-        let mut rig = Rig::new(Policy { version, ..Policy::default() });
+        let mut harness = Harness::new(Policy { version, ..Policy::default() });
         let mut receiver = Store::default();
         counter.inc();
-        rig.samples(&registry);
-        let post = rig.posts.pop().expect("a request");
+        harness.sample(&registry);
+        let post = harness.posts.pop().expect("a request");
         assert_eq!(post.version, version);
-        let taken = take(&mut receiver, &post);
-        assert_eq!(taken as usize, registry.len());
-        rig.answer(200, Some(taken));
-        assert_eq!(rig.sender.counts().sent, taken);
+        let accepted = receive(&mut receiver, &post);
+        assert_eq!(accepted as usize, registry.len());
+        harness.respond(200, Some(accepted));
+        assert_eq!(harness.sender.counts().sent, accepted);
         assert_eq!(receiver.wrong, Vec::<String>::new());
         if version == Version::V2 {
             assert!(!receiver.created.is_empty() && receiver.created.iter().all(|at| *at == CREATED));
         }
-        found.push(receiver.series.into_keys().collect::<Vec<_>>());
+        series.push(receiver.series.into_keys().collect::<Vec<_>>());
     }
-    assert_eq!(found[0], found[1]);
+    assert_eq!(series[0], series[1]);
     assert!(
-        found[0].iter().any(|labels| labels.values().any(|v| v == "log\"\n")),
-        "quotes and newlines arrive"
+        series[0].iter().any(|labels| labels.values().any(|v| v == "log\"\n")),
+        "quotes and newlines must be preserved"
     );
 }
 
-/// The request of the specification's form, by hand: one series with one sample.
+/// Encodes one series with one sample by hand, as the specification defines it.
 #[test]
-fn a_body_written_by_hand_decodes_and_encodes_to_the_same() {
+fn hand_encoded_body_round_trips() {
     use prost::Message;
     let label = |name: &str, value: &str| {
         let mut bytes = vec![0x0a, name.len() as u8];
@@ -140,55 +140,55 @@
     series.extend(&sample);
     let mut body = vec![0x0a, series.len() as u8];
     body.extend(&series);
-    let read = wire::v1::WriteRequest::decode(body.as_slice()).expect("it decodes");
+    let read = wire::v1::WriteRequest::decode(body.as_slice()).expect("a valid message");
     assert_eq!(read.timeseries[0].samples[0], wire::v1::Sample { value: 1.0, timestamp: 1000 });
     assert_eq!(read.encode_to_vec(), body);
 }
 
 #[test]
-fn a_failing_receiver_gets_everything_in_order_once_it_is_back() {
+fn recovered_receiver_gets_all_samples_in_order() {
     let (registry, counter) = registry();
-    let mut rig = Rig::new(v1());
+    let mut harness = Harness::new(v1());
     let mut receiver = Store::default();
     let mut random = fastrand::Rng::with_seed(5);
-    let (mut made, mut pauses) = (0, Vec::new());
+    let (mut sampled, mut failed_at) = (0, Vec::new());
     for second in 0..180_u64 {
         counter.inc();
         if second % 5 == 0 {
-            rig.samples(&registry);
-            made += registry.len() as u64;
+            harness.sample(&registry);
+            sampled += registry.len() as u64;
         }
-        // Down for a minute, in every way that there is.
-        let down = (30..90).contains(&second);
+        // The receiver fails for a minute, with each kind of failure that is retried.
+        let is_failing = (30..90).contains(&second);
         for _ in 0..10 {
-            rig.wait(MS * 100);
-            while let Some(post) = rig.posts.pop() {
-                if down {
-                    pauses.push(rig.now);
+            harness.advance(MS * 100);
+            while let Some(post) = harness.posts.pop() {
+                if is_failing {
+                    failed_at.push(harness.now);
                     match random.u8(0..4) {
-                        0 => rig.answer(500, None),
-                        1 => rig.answer(503, None),
-                        2 => rig.tell(Event::Failed("reset".into())),
-                        _ => rig.answer(429, None),
+                        0 => harness.respond(500, None),
+                        1 => harness.respond(503, None),
+                        2 => harness.handle(Event::Failed("reset".into())),
+                        _ => harness.respond(429, None),
                     }
                 } else {
-                    take(&mut receiver, &post);
-                    rig.answer(204, None);
+                    receive(&mut receiver, &post);
+                    harness.respond(204, None);
                 }
             }
         }
     }
     assert_eq!(receiver.wrong, Vec::<String>::new());
-    let counts = rig.sender.counts();
-    assert_eq!((counts.sent, counts.dropped_full), (made, 0));
-    assert!(counts.retried > 0 && rig.sender.queued_bytes() == 0);
-    assert!(pauses.len() < 30, "{} requests in a minute of failures", pauses.len());
-    // What the receiver holds is the counter's own course: it grows and is whole.
+    let counts = harness.sender.counts();
+    assert_eq!((counts.sent, counts.dropped_full), (sampled, 0));
+    assert!(counts.retried > 0 && harness.sender.queued_bytes() == 0);
+    assert!(failed_at.len() < 30, "{} requests in a minute of failures", failed_at.len());
+    // The receiver has every value of the counter, which grows by 5 from sample to sample.
     let own = receiver
         .series
         .iter()
         .find(|(labels, _)| labels.values().any(|v| v == "served"))
-        .expect("it is there")
+        .expect("the series is stored")
         .1;
     let values: Vec<f64> = own.iter().map(|(_, value)| *value).collect();
     assert_eq!(values.len(), 36);
@@ -196,147 +196,158 @@
 }
 
 #[test]
-fn a_receiver_that_is_down_for_good_costs_bounded_memory_and_what_is_dropped_is_counted() {
+fn queue_is_bounded_while_receiver_is_down_and_drops_are_counted() {
     let (registry, _) = registry();
     let policy = Policy { queue_bytes: 20_000, ..v1() };
-    let mut rig = Rig::new(policy);
-    let mut made = 0;
+    let mut harness = Harness::new(policy);
+    let mut sampled = 0;
     for _ in 0..1000 {
-        rig.samples(&registry);
-        made += registry.len() as u64;
-        assert!(rig.sender.queued_bytes() <= 20_000);
-        rig.wait(MS * 500);
-        if rig.posts.pop().is_some() {
-            rig.tell(Event::Failed("refused".into()));
+        harness.sample(&registry);
+        sampled += registry.len() as u64;
+        assert!(harness.sender.queued_bytes() <= 20_000);
+        harness.advance(MS * 500);
+        if harness.posts.pop().is_some() {
+            harness.handle(Event::Failed("refused".into()));
         }
     }
-    assert!(rig.sender.oldest(rig.now) < Duration::from_secs(60), "the oldest go first");
-    rig.tell(Event::Stop(CREATED + 1_000_000));
-    rig.wait(Duration::from_secs(3));
-    assert!(rig.finished);
-    let counts = rig.sender.counts();
-    // The stop adds one end to each series.
+    assert!(
+        harness.sender.oldest(harness.now) < Duration::from_secs(60),
+        "the oldest samples must be dropped first"
+    );
+    harness.handle(Event::Stop(CREATED + 1_000_000));
+    harness.advance(Duration::from_secs(3));
+    assert!(harness.finished);
+    let counts = harness.sender.counts();
+    // The stop adds a stale marker for each series.
     assert_eq!(counts.sent, 0);
-    assert_eq!(counts.dropped_full + counts.dropped_at_shutdown, made + registry.len() as u64);
-    assert_eq!(rig.logs.len(), 1, "told once: {:?}", rig.logs);
+    assert_eq!(counts.dropped_full + counts.dropped_at_shutdown, sampled + registry.len() as u64);
+    assert_eq!(harness.logs.len(), 1, "must be logged once: {:?}", harness.logs);
 }
 
 #[test]
-fn other_errors_are_final_told_once_and_counted() {
+fn other_errors_are_final_logged_once_and_counted() {
     let (registry, _) = registry();
     for status in [400, 401, 404, 409, 413, 307, 100] {
-        let mut rig = Rig::new(v1());
+        let mut harness = Harness::new(v1());
         for n in 1..=3 {
-            rig.samples(&registry);
-            assert_eq!(rig.posts.drain(..).count(), 1);
-            rig.answer(status, None);
-            assert_eq!(rig.sender.counts().dropped_refused, n * registry.len() as u64, "{status}");
-            rig.wait(Duration::from_secs(1));
+            harness.sample(&registry);
+            assert_eq!(harness.posts.drain(..).count(), 1);
+            harness.respond(status, None);
+            assert_eq!(harness.sender.counts().dropped_refused, n * registry.len() as u64, "{status}");
+            harness.advance(Duration::from_secs(1));
         }
-        assert_eq!((rig.logs.len(), rig.sender.counts().retried), (1, 0), "{status}");
+        assert_eq!((harness.logs.len(), harness.sender.counts().retried), (1, 0), "{status}");
     }
 }
 
 #[test]
-fn retry_after_is_heeded_and_bounded() {
+fn retry_after_is_respected_up_to_limit() {
     let (registry, _) = registry();
-    for (asked, waits) in [(7, 7), (100_000, 300)] {
-        let mut rig = Rig::new(v1());
-        rig.samples(&registry);
-        rig.posts.clear();
-        let retry_after = Some(Duration::from_secs(asked));
-        rig.tell(Event::Response { status: 429, retry_after, written: None });
-        rig.wait(Duration::from_secs(waits) - MS);
-        assert!(rig.posts.is_empty(), "too soon");
-        rig.wait(MS);
-        assert_eq!(rig.posts.len(), 1);
+    for (requested, expected) in [(7, 7), (100_000, 300)] {
+        let mut harness = Harness::new(v1());
+        harness.sample(&registry);
+        harness.posts.clear();
+        let retry_after = Some(Duration::from_secs(requested));
+        harness.handle(Event::Response { status: 429, retry_after, written: None });
+        harness.advance(Duration::from_secs(expected) - MS);
+        assert!(harness.posts.is_empty(), "sent before the delay has passed");
+        harness.advance(MS);
+        assert_eq!(harness.posts.len(), 1);
     }
 }
 
 #[test]
-fn a_receiver_of_1_0_is_found_out_and_remembered() {
+fn receiver_of_1_0_is_detected_and_remembered() {
     let (registry, _) = registry();
-    // By its status, or by an answer that does not say what was written.
+    // Detected by its status, or by a response that does not say what was written.
     for status in [415, 200] {
-        let mut rig = Rig::new(Policy::default());
-        rig.samples(&registry);
-        assert_eq!(rig.posts.pop().map(|p| p.version), Some(Version::V2));
-        rig.answer(status, None);
-        let again = rig.posts.pop().expect("at once, in the other form");
-        assert_eq!(again.version, Version::V1);
-        assert_eq!(rig.sender.counts().sent, 0);
-        assert_eq!(take(&mut Store::default(), &again) as usize, registry.len(), "the same samples");
-        rig.answer(200, None);
-        rig.wait(Duration::from_secs(1));
-        rig.samples(&registry);
-        assert_eq!(rig.posts.pop().map(|p| p.version), Some(Version::V1), "remembered");
-        // To 1.0 a 415 is as any other refusal.
-        rig.answer(415, None);
-        assert_eq!(rig.sender.counts().dropped_refused, registry.len() as u64);
+        let mut harness = Harness::new(Policy::default());
+        harness.sample(&registry);
+        assert_eq!(harness.posts.pop().map(|p| p.version), Some(Version::V2));
+        harness.respond(status, None);
+        let resent = harness.posts.pop().expect("an immediate request in the other version");
+        assert_eq!(resent.version, Version::V1);
+        assert_eq!(harness.sender.counts().sent, 0);
+        assert_eq!(
+            receive(&mut Store::default(), &resent) as usize,
+            registry.len(),
+            "the same samples must be sent again"
+        );
+        harness.respond(200, None);
+        harness.advance(Duration::from_secs(1));
+        harness.sample(&registry);
+        assert_eq!(
+            harness.posts.pop().map(|p| p.version),
+            Some(Version::V1),
+            "the version must be remembered"
+        );
+        // In version 1.0 a 415 is handled like any other refusal.
+        harness.respond(415, None);
+        assert_eq!(harness.sender.counts().dropped_refused, registry.len() as u64);
     }
 }
 
 #[test]
-fn fewer_samples_written_than_sent_are_counted() {
+fn unwritten_samples_are_counted_and_logged_once() {
     let (registry, _) = registry();
-    let mut rig = Rig::new(Policy::default());
+    let mut harness = Harness::new(Policy::default());
     let all = registry.len() as u64;
     for _ in 0..3 {
-        rig.samples(&registry);
-        rig.posts.clear();
-        rig.answer(200, Some(all - 2));
-        rig.wait(Duration::from_secs(1));
+        harness.sample(&registry);
+        harness.posts.clear();
+        harness.respond(200, Some(all - 2));
+        harness.advance(Duration::from_secs(1));
     }
-    let counts = rig.sender.counts();
-    assert_eq!((counts.sent, counts.unwritten, rig.logs.len()), (3 * all, 6, 1));
+    let counts = harness.sender.counts();
+    assert_eq!((counts.sent, counts.unwritten, harness.logs.len()), (3 * all, 6, 1));
 }
 
 #[test]
-fn a_clean_stop_ends_every_series_and_a_full_queue_is_flushed_for_so_long_only() {
+fn stop_ends_every_series_and_limits_flush() {
     let (registry, _) = registry();
-    let mut rig = Rig::new(v1());
+    let mut harness = Harness::new(v1());
     let mut receiver = Store::default();
-    rig.samples(&registry);
-    rig.wait(MS * 10);
-    rig.tell(Event::Stop(CREATED + 10));
-    assert!(!rig.finished);
+    harness.sample(&registry);
+    harness.advance(MS * 10);
+    harness.handle(Event::Stop(CREATED + 10));
+    assert!(!harness.finished);
     for _ in 0..2 {
-        let post = rig.posts.pop().expect("the samples, then the ends");
-        take(&mut receiver, &post);
-        rig.answer(200, None);
+        let post = harness.posts.pop().expect("the samples, then the stale markers");
+        receive(&mut receiver, &post);
+        harness.respond(200, None);
     }
-    assert!(rig.finished);
+    assert!(harness.finished);
     assert_eq!(receiver.wrong, Vec::<String>::new());
     for (labels, own) in &receiver.series {
         assert_eq!(own.last().map(|(_, value)| value.to_bits()), Some(STALE_MARKER_BITS), "{labels:?}");
     }
-    // Samples that come after the end are nobody's.
-    rig.samples(&registry);
-    assert!(rig.posts.is_empty());
-    // A receiver that says nothing.
-    let mut rig = Rig::new(v1());
-    rig.samples(&registry);
-    rig.tell(Event::Stop(CREATED + 10));
-    rig.wait(Policy::default().flush_timeout - MS);
-    assert!(!rig.finished);
-    rig.wait(MS);
-    assert!(rig.finished);
-    assert_eq!(rig.sender.counts().dropped_at_shutdown, 2 * registry.len() as u64);
+    // Samples after the stop are ignored.
+    harness.sample(&registry);
+    assert!(harness.posts.is_empty());
+    // The receiver does not respond, so the flush times out.
+    let mut harness = Harness::new(v1());
+    harness.sample(&registry);
+    harness.handle(Event::Stop(CREATED + 10));
+    harness.advance(Policy::default().flush_timeout - MS);
+    assert!(!harness.finished);
+    harness.advance(MS);
+    assert!(harness.finished);
+    assert_eq!(harness.sender.counts().dropped_at_shutdown, 2 * registry.len() as u64);
 }
 
 #[test]
-fn one_request_is_out_at_a_time() {
+fn only_one_request_is_in_flight() {
     let (registry, _) = registry();
-    let mut rig = Rig::new(v1());
+    let mut harness = Harness::new(v1());
     for _ in 0..5 {
-        rig.samples(&registry);
-        rig.wait(Duration::from_secs(60));
+        harness.sample(&registry);
+        harness.advance(Duration::from_secs(60));
     }
-    assert_eq!(rig.posts.len(), 1);
+    assert_eq!(harness.posts.len(), 1);
 }
 
 #[test]
-fn a_series_that_is_no_more_is_ended_once_and_may_come_back() {
+fn removed_series_gets_one_stale_marker_and_may_return() {
     let (registry, _) = registry();
     let family = Family {
         name: "bellcroft_server_attempts_total",
@@ -347,7 +358,7 @@
         bounds: Vec::new(),
     };
     registry.counter(&family, &["s1"]).inc();
-    let mut rig = Rig::new(v1());
+    let mut harness = Harness::new(v1());
     let mut receiver = Store::default();
     for round in 0..4 {
         match round {
@@ -355,63 +366,71 @@
             3 => registry.counter(&family, &["s1"]).inc(),
             _ => {}
         }
-        rig.samples(&registry);
-        take(&mut receiver, &rig.posts.pop().expect("a request"));
-        rig.answer(200, None);
-        rig.wait(Duration::from_secs(1));
+        harness.sample(&registry);
+        receive(&mut receiver, &harness.posts.pop().expect("a request"));
+        harness.respond(200, None);
+        harness.advance(Duration::from_secs(1));
     }
-    let own =
-        receiver.series.iter().find(|(labels, _)| labels.values().any(|v| v == "s1")).expect("it is there").1;
+    let own = receiver
+        .series
+        .iter()
+        .find(|(labels, _)| labels.values().any(|v| v == "s1"))
+        .expect("the series is stored")
+        .1;
     let bits: Vec<u64> = own.iter().map(|(_, value)| value.to_bits()).collect();
     assert_eq!(bits, [1.0_f64.to_bits(), STALE_MARKER_BITS, 1.0_f64.to_bits()]);
     assert_eq!(receiver.wrong, Vec::<String>::new());
 }
 
 #[test]
-fn another_receiver_gets_what_waits_at_once_and_in_its_own_form() {
+fn new_receiver_gets_queue_at_once_in_configured_version() {
     let (registry, _) = registry();
-    let mut rig = Rig::new(Policy::default());
-    rig.samples(&registry);
-    rig.answer(415, None);
-    rig.posts.clear();
-    rig.tell(Event::Failed("reset".into()));
-    rig.wait(MS * 10);
-    rig.samples(&registry);
-    assert!(rig.posts.is_empty(), "it waits for its pause");
-    rig.tell(Event::PolicyChanged { policy: Policy::default(), receiver_changed: true });
+    let mut harness = Harness::new(Policy::default());
+    harness.sample(&registry);
+    harness.respond(415, None);
+    harness.posts.clear();
+    harness.handle(Event::Failed("reset".into()));
+    harness.advance(MS * 10);
+    harness.sample(&registry);
+    assert!(harness.posts.is_empty(), "sent before the delay has passed");
+    harness.handle(Event::PolicyChanged { policy: Policy::default(), receiver_changed: true });
     let mut receiver = Store::default();
     for _ in 0..2 {
-        let post = rig.posts.pop().expect("at once");
-        assert_eq!(post.version, Version::V2, "what the old one did not know says nothing of the new one");
-        let written = take(&mut receiver, &post);
-        rig.answer(200, Some(written));
+        let post = harness.posts.pop().expect("an immediate request");
+        assert_eq!(
+            post.version,
+            Version::V2,
+            "the version of the old receiver must not apply to the new one"
+        );
+        let written = receive(&mut receiver, &post);
+        harness.respond(200, Some(written));
     }
-    assert_eq!((rig.sender.counts().sent, rig.sender.queued_bytes()), (2 * registry.len() as u64, 0));
+    assert_eq!((harness.sender.counts().sent, harness.sender.queued_bytes()), (2 * registry.len() as u64, 0));
     assert_eq!(receiver.wrong, Vec::<String>::new());
-    // The same receiver under other words keeps its pause.
-    rig.samples(&registry);
-    rig.posts.clear();
-    rig.tell(Event::Failed("reset".into()));
-    rig.tell(Event::PolicyChanged {
+    // A new policy for the same receiver does not shorten the delay.
+    harness.sample(&registry);
+    harness.posts.clear();
+    harness.handle(Event::Failed("reset".into()));
+    harness.handle(Event::PolicyChanged {
         policy: Policy { queue_bytes: 1 << 20, ..Policy::default() },
         receiver_changed: false,
     });
-    assert!(rig.posts.is_empty());
+    assert!(harness.posts.is_empty());
 }
 
 #[test]
-fn samples_that_are_larger_than_the_queue_are_sent_all_the_same() {
+fn batch_larger_than_queue_limit_is_sent() {
     let (registry, _) = registry();
-    let mut rig = Rig::new(Policy { queue_bytes: 10, ..v1() });
-    rig.samples(&registry);
-    assert_eq!(rig.posts.len(), 1);
-    rig.tell(Event::Failed("reset".into()));
+    let mut harness = Harness::new(Policy { queue_bytes: 10, ..v1() });
+    harness.sample(&registry);
+    assert_eq!(harness.posts.len(), 1);
+    harness.handle(Event::Failed("reset".into()));
     for _ in 0..5 {
-        rig.samples(&registry);
+        harness.sample(&registry);
     }
-    rig.wait(Duration::from_secs(1));
-    assert_eq!(rig.posts.len(), 2);
-    rig.answer(200, None);
-    let counts = rig.sender.counts();
+    harness.advance(Duration::from_secs(1));
+    assert_eq!(harness.posts.len(), 2);
+    harness.respond(200, None);
+    let counts = harness.sender.counts();
     assert_eq!((counts.sent, counts.dropped_full), (registry.len() as u64, 5 * registry.len() as u64));
 }
