--- a/crates/attempt-log/src/history.rs
+++ b/crates/attempt-log/src/history.rs
@@ -1,69 +1,70 @@
-//! The history of a request, and of all requests with its idempotency key, from recovered records.
+//! Histories of requests, and of all requests with one idempotency key, built from recovered records.
 
 use crate::record::{FinalResponse, Incarnation, Outcome, Record};
 use crate::recovery::Recovery;
 use std::collections::BTreeMap;
 
-/// An attempt, as far as it is known.
+/// What the records say about an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AttemptHistory {
-    /// Its number within the request.
+    /// Number within the request.
     pub attempt: u32,
-    /// The server's name.
+    /// Name of the server.
     pub server: String,
-    /// The server's address.
+    /// Address of the server.
     pub address: String,
-    /// When it was about to be sent, in microseconds since the process started.
+    /// Time of the decision to send it, in microseconds since the process started.
     pub at_us: u64,
-    /// For how long servers then still dropped a repeat.
+    /// Rest of the dedup window at that time; none if servers do not deduplicate.
     pub remaining_window_us: Option<u64>,
-    /// It was sent before its record was written: a missing record proves nothing about it.
+    /// The attempt was sent before its intent was written, so a missing intent would not have proved that it was not sent.
     pub written_late: bool,
-    /// How it ended; none if that was not recorded.
+    /// Outcome; none if it was not recorded.
     pub outcome: Option<Outcome>,
 }
 
-/// What is known of a request.
+/// The state of a request, as far as the records prove it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
     /// A server's response arrived.
     Answered,
-    /// It was shed: no attempt ran, or a retry is harmless.
+    /// The request was shed: no attempt ran, or a retry is harmless.
     Rejected,
-    /// It failed, and may have run.
+    /// The request failed, and may have run.
     Failed,
-    /// It was sent, and its outcome was not recorded: it may have run.
+    /// The request was sent, but its outcome was not recorded: it may have run.
     Unknown,
-    /// Nothing of it was sent: every intent is recorded before its first byte.
+    /// No attempt was sent: an intent is recorded before the first byte of each attempt.
     NeverSent,
 }
 
-/// A request with all that is known of it.
+/// What the records say about a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RequestHistory {
-    /// The process that received it.
+    /// Incarnation of the process that received the request.
     pub incarnation: Incarnation,
-    /// When that process started, in Unix milliseconds.
+    /// Start of that process, in Unix milliseconds.
     pub started_ms: u64,
-    /// Its `X-Request-ID`; empty if its first record is missing.
+    /// Value of `X-Request-ID`; empty if the first record is missing.
     pub id: Vec<u8>,
-    /// Its `Idempotency-Key`; empty for none.
+    /// Value of `Idempotency-Key`; empty for none.
     pub key: Vec<u8>,
-    /// Its class.
+    /// Name of the class.
     pub class: String,
-    /// Its tenant.
+    /// Name of the tenant; empty for none.
     pub tenant: String,
-    /// When it was received, by the wall clock in Unix milliseconds.
+    /// Wall-clock time at which the request was received, in Unix milliseconds.
     pub wall_ms: u64,
-    /// When it was received, in microseconds since the process started.
+    /// Time at which the request was received, in microseconds since the process started.
     pub at_us: u64,
-    /// Its attempts.
+    /// Attempts of the request.
     pub attempts: Vec<AttemptHistory>,
-    /// Its final response.
+    /// Final response; none if it was not recorded.
     pub response: Option<FinalResponse>,
-    /// Its client disconnected.
+    /// The client disconnected before it got a response.
     pub client_disconnected: bool,
-    /// Records of its incarnation were lost after it was received, or are corrupt: that an intent is missing proves nothing.
+    /// Records of the incarnation were lost after the request was received, or are corrupt. A missing intent does not prove
+    /// then that an attempt was not sent.
     pub incomplete: bool,
 }
 
@@ -85,7 +86,8 @@
         }
     }
 
-    /// Its state. The attempt that is known least decides.
+    /// The state of the request. A recorded response of a server decides it, and otherwise the attempt about which the least
+    /// is known.
     pub fn state(&self) -> State {
         if self.attempts.iter().any(|a| a.outcome == Some(Outcome::Answered)) {
             return State::Answered;
@@ -102,12 +104,13 @@
         }
     }
 
-    /// The attempts that may have run.
+    /// Attempts that may have run.
     pub fn may_have_run(&self) -> impl Iterator<Item = &AttemptHistory> {
         self.attempts.iter().filter(|a| a.outcome.is_none_or(|outcome| !outcome.never_ran()))
     }
 
-    /// Until when every server that may have run it drops a repeat, in Unix milliseconds; none if one of them never does.
+    /// Time until which a retry is deduplicated for every attempt that may have run, in Unix milliseconds. None if one of
+    /// them is not deduplicated, or no attempt may have run.
     pub fn retry_safe_until_ms(&self) -> Option<u64> {
         let until = |a: &AttemptHistory| Some(self.started_ms + (a.at_us + a.remaining_window_us?) / 1000);
         self.may_have_run().map(until).min().flatten()
@@ -116,7 +119,7 @@
     fn on_outcome(&mut self, attempt: u32, outcome: Outcome, at_us: u64) {
         match self.attempts.iter_mut().find(|a| a.attempt == attempt) {
             Some(known) => known.outcome = Some(outcome),
-            // The record of its intent is lost; that there was one is known.
+            // The intent is lost, but the outcome proves that the attempt was made.
             None => self.attempts.push(AttemptHistory {
                 attempt,
                 server: String::new(),
@@ -130,21 +133,22 @@
     }
 }
 
-/// All requests of all incarnations.
+/// The histories of all requests of all incarnations.
 #[derive(Debug, Clone, Default)]
 pub struct HistoryIndex {
     requests: BTreeMap<(Incarnation, u64), RequestHistory>,
-    /// Records that are lost, by the gaps that were written.
+    /// Number of lost records according to the recorded gaps.
     pub lost_records: u64,
-    /// Places where an unknown number of records may be missing. If there are any, [`State::NeverSent`] is no proof.
+    /// Number of places where an unknown number of records may be missing. If it is not 0, [`State::NeverSent`] is not
+    /// reliable.
     pub unknown_gaps: usize,
 }
 
 impl HistoryIndex {
-    /// The index of what was recovered. Records of one request may stand in any segments of its incarnation.
+    /// Builds the index. The records of a request may be in different segments of its incarnation.
     pub fn new(recovery: &Recovery) -> Self {
         let mut index = HistoryIndex { unknown_gaps: recovery.unknown_gaps(), ..HistoryIndex::default() };
-        // Up to when an incarnation's records may be missing.
+        // For each incarnation, the time until which records may be missing.
         let mut gaps_until: BTreeMap<Incarnation, u64> = BTreeMap::new();
         for segment in &recovery.segments {
             let incarnation = segment.header.incarnation;
@@ -211,19 +215,20 @@
         }
     }
 
-    /// Every request, by incarnation and number.
+    /// All requests, ordered by incarnation and number.
     pub fn iter(&self) -> impl Iterator<Item = &RequestHistory> {
         self.requests.values()
     }
 
-    /// All requests with an idempotency key, the first first: a client's retry has a new id and the same key.
+    /// All requests with an idempotency key, ordered by time. A client's retry has a new id and the same key.
     pub fn with_key(&self, key: &[u8]) -> Vec<&RequestHistory> {
-        let mut found: Vec<&RequestHistory> = self.iter().filter(|request| request.key == key).collect();
-        found.sort_by_key(|request| request.wall_ms);
-        found
+        let mut requests: Vec<&RequestHistory> = self.iter().filter(|request| request.key == key).collect();
+        requests.sort_by_key(|request| request.wall_ms);
+        requests
     }
 
-    /// The state of a key. One answered request is enough; then a request that may have run outweighs one that never did.
+    /// The combined state of all requests with a key. A request with a response takes precedence, then one that may have
+    /// run, then one that did not run.
     pub fn state_of_key(&self, key: &[u8]) -> Option<State> {
         self.with_key(key).iter().map(|request| request.state()).min_by_key(|state| match state {
             State::Answered => 0,
--- a/crates/attempt-log/src/lib.rs
+++ b/crates/attempt-log/src/lib.rs
@@ -1,15 +1,15 @@
-//! A write-ahead log of attempts whose request must not run twice: what was sent where, and whether a response came back,
-//! after any crash.
+//! A write-ahead log of attempts whose requests must not run twice. After a crash it shows which attempts were sent to
+//! which servers, and which of them got a response.
 //!
-//! - [`Record`]: one event of a request or attempt. Times are microseconds since the process started, wall times Unix
-//!   milliseconds; no body and no other header is stored.
-//! - [`segment`]: append-only files whose every frame carries a checksum, so that a truncated or corrupt place costs the
-//!   frames that it covers and nothing else.
-//! - [`LogWriter`]: writes segments through a [`Storage`], which may fail at any call.
-//! - [`recover`]: reads the segments of earlier processes back and quarantines a corrupt tail.
+//! - [`Record`]: one event of a request or attempt. Times are in microseconds since the process started, wall-clock times
+//!   in Unix milliseconds. Of a request's headers only the id and the idempotency key are stored, and no body.
+//! - [`segment`]: append-only files of frames with a checksum each, so that a truncation or corruption loses only the
+//!   frames that it covers.
+//! - [`LogWriter`]: writes segments to a [`Storage`], whose calls may fail.
+//! - [`recover`]: reads the segments of earlier processes, and quarantines corrupt tails.
 //! - [`HistoryIndex`]: the history and state of each request, and of all requests with one idempotency key.
 //!
-//! No rule rests on the log: if a write fails, the writer counts the records as lost and the caller goes on.
+//! Requests do not depend on the log: if a write fails, the writer counts the records as lost, and the caller continues.
 
 mod history;
 mod record;
--- a/crates/attempt-log/src/record.rs
+++ b/crates/attempt-log/src/record.rs
@@ -1,28 +1,29 @@
-//! The records of the log.
+//! Records of the log.
 //!
-//! They are stored in postcard's form, which has no names: the order of variants and fields is the stored form.
+//! They are stored in postcard's encoding, which contains no names. The order of variants and fields is therefore part of
+//! the stored format and must not change.
 
 use serde::{Deserialize, Serialize};
 
-/// The longest id, key and name that is stored, in bytes; a longer one is cut there.
+/// Limit of stored ids, keys and names, in bytes; longer ones are truncated.
 pub const MAX_NAME_BYTES: usize = 256;
 
-/// One run of a process. Request numbers count within it.
+/// Identifier of one run of a process. Request numbers are unique within it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation(pub u64);
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The complete response arrived.
+    /// The complete response was received.
     Answered,
     /// The server rejected it before it ran.
     Rejected,
-    /// Not all of it was written, so it did not run.
+    /// The request was not written completely, so it did not run.
     NotSent,
-    /// The connection broke, or the attempt was cancelled, after all of it was written: it may have run.
+    /// The connection failed, or the attempt was cancelled, after the request was written completely: it may have run.
     Unknown,
-    /// The server answered with an error: it may have run.
+    /// The server responded with an error: the request may have run.
     ServerError,
 }
 
@@ -33,10 +34,10 @@
     }
 }
 
-/// The one final response to a request.
+/// The final response to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum FinalResponse {
-    /// A server's response.
+    /// The response of a server.
     Served,
     /// The request was shed: a retry is harmless.
     Rejected,
@@ -49,74 +50,76 @@
 pub enum Record {
     /// A request was received.
     Received {
-        /// Its number within the incarnation.
+        /// Number of the request within the incarnation.
         request: u64,
-        /// Its `X-Request-ID`.
+        /// Value of `X-Request-ID`.
         #[serde(with = "serde_bytes")]
         id: Vec<u8>,
-        /// Its `Idempotency-Key`; empty for none.
+        /// Value of `Idempotency-Key`; empty for none.
         #[serde(with = "serde_bytes")]
         key: Vec<u8>,
-        /// Its class.
+        /// Name of the class.
         class: String,
-        /// Its tenant; empty for none.
+        /// Name of the tenant; empty for none.
         tenant: String,
-        /// When it was received, by the wall clock in Unix milliseconds.
+        /// Wall-clock time at which the request was received, in Unix milliseconds.
         wall_ms: u64,
-        /// When it was received.
+        /// Time at which the request was received.
         at_us: u64,
-        /// Its deadline.
+        /// Deadline of the request.
         deadline_us: u64,
     },
-    /// An attempt is about to be sent; this record is passed to the operating system before the attempt's first byte.
+    /// An attempt is about to be sent. The record is passed to the operating system before the attempt's first byte, unless
+    /// `written_late` is set.
     Intent {
         /// The request.
         request: u64,
         /// The attempt's number within the request.
         attempt: u32,
-        /// The server's name.
+        /// Name of the server.
         server: String,
-        /// The server's address.
+        /// Address of the server.
         address: String,
-        /// When the attempt was about to be sent.
+        /// Time of the decision to send the attempt.
         at_us: u64,
-        /// For how long servers still drop a repeat; none where they never do.
+        /// Rest of the dedup window; none if servers do not deduplicate.
         remaining_window_us: Option<u64>,
-        /// The attempt was sent before this record was written, as the disk was slow: for that time the log proves nothing.
+        /// The attempt was sent before this record was written, because the disk was slow. Until the record was written,
+        /// the log did not show the attempt.
         written_late: bool,
     },
-    /// An attempt ended.
+    /// An attempt has finished.
     Outcome {
         /// The request.
         request: u64,
         /// The attempt's number within the request.
         attempt: u32,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: Outcome,
-        /// When it ended.
+        /// Time at which the attempt finished.
         at_us: u64,
     },
     /// The request has its final response.
     Completed {
         /// The request.
         request: u64,
-        /// Which response.
+        /// Kind of the response.
         response: FinalResponse,
-        /// When it was decided.
+        /// Time of the decision on the response.
         at_us: u64,
     },
     /// The client disconnected before it had a response.
     ClientDisconnected {
         /// The request.
         request: u64,
-        /// When.
+        /// Time of the disconnect.
         at_us: u64,
     },
-    /// Records could not be written: that one is missing between these two moments proves nothing.
+    /// Records could not be written. A record that is missing between these two times proves nothing.
     Gap {
-        /// The number of records.
+        /// Number of lost records.
         lost_records: u64,
-        /// Begin of the gap.
+        /// Start of the gap.
         from_us: u64,
         /// End of the gap.
         to_us: u64,
@@ -124,7 +127,7 @@
 }
 
 impl Record {
-    /// Cuts names to [`MAX_NAME_BYTES`], so that no client's header makes a record that can't be read back.
+    /// Truncates names to [`MAX_NAME_BYTES`], so that no client's header makes a record that is too long to be read back.
     #[must_use]
     pub fn truncated(mut self) -> Self {
         match &mut self {
@@ -145,7 +148,7 @@
     }
 }
 
-/// Cuts a text at the last character that ends within the bound.
+/// Truncates a text to [`MAX_NAME_BYTES`] at a character boundary.
 fn truncate_text(text: &mut String) {
     if text.len() > MAX_NAME_BYTES {
         let end = (0..=MAX_NAME_BYTES).rev().find(|at| text.is_char_boundary(*at)).unwrap_or(0);
--- a/crates/attempt-log/src/recovery.rs
+++ b/crates/attempt-log/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Reading back what earlier processes wrote.
+//! Recovery of the segments that earlier processes wrote.
 
 use crate::record::Record;
 use crate::segment::{self, Header, Item, ReadError};
@@ -6,63 +6,63 @@
 use crate::writer::is_segment;
 use std::io;
 
-/// A corrupt tail is kept under its segment's name and this.
+/// Suffix of the file that keeps a segment's corrupt tail, after the segment's name.
 const QUARANTINE_SUFFIX: &str = ".spoilt";
 
 /// A segment that was read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RecoveredSegment {
-    /// Its file.
+    /// File name.
     pub name: String,
-    /// Its length without the quarantined tail.
+    /// Length in bytes without the quarantined tail.
     pub bytes: usize,
-    /// Which process wrote it.
+    /// Header, which identifies the process that wrote the segment.
     pub header: Header,
-    /// Its records.
+    /// Valid records.
     pub records: Vec<Record>,
-    /// Bytes that are corrupt: which records they were is not known.
+    /// Number of corrupt bytes, whose records are unknown.
     pub corrupt_bytes: usize,
 }
 
 /// A tail that was moved out of its segment.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct QuarantinedTail {
-    /// The segment's file.
+    /// File name of the segment.
     pub segment: String,
-    /// The tail's length.
+    /// Length of the tail.
     pub bytes: usize,
 }
 
-/// A file that can't be read; it stays as it is.
+/// A file that can't be read. It is left unchanged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnreadableFile {
-    /// Its name.
+    /// File name.
     pub name: String,
-    /// Why.
+    /// Reason.
     pub error: ReadError,
 }
 
-/// What a process finds of those before it.
+/// What a new process finds of earlier ones.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Recovery {
-    /// The segments, by their processes' start and their sequence.
+    /// Segments, ordered by the start of their process and by their sequence number.
     pub segments: Vec<RecoveredSegment>,
-    /// Tails that were quarantined.
+    /// Tails that were quarantined by this recovery.
     pub quarantined: Vec<QuarantinedTail>,
     /// Files that can't be read.
     pub unreadable: Vec<UnreadableFile>,
 }
 
 impl Recovery {
-    /// The number of places where an unknown number of records may be missing.
+    /// Number of places where an unknown number of records may be missing.
     pub fn unknown_gaps(&self) -> usize {
         let corrupt = self.segments.iter().filter(|segment| segment.corrupt_bytes > 0).count();
         corrupt + self.quarantined.len() + self.unreadable.len()
     }
 }
 
-/// Reads all segments of a folder and quarantines corrupt tails. It is idempotent: done twice, or stopped anywhere and done
-/// again, it finds the same records.
+/// Reads all segments of a folder and quarantines corrupt tails. Recovery is idempotent: if it is repeated, also after a
+/// crash at any point, it finds the same records.
 ///
 /// # Errors
 ///
@@ -109,7 +109,7 @@
     if tail.is_empty() {
         return Ok((segment, None));
     }
-    // First the copy, then the cut: a crash between them leaves the tail in the segment, to be found again.
+    // The tail is copied before it is truncated, so that after a crash in between it is still found in the segment.
     let copied = storage.append(&format!("{name}{QUARANTINE_SUFFIX}"), tail);
     if copied.and_then(|()| storage.truncate(name, tail_at)).is_ok() {
         segment.bytes = tail_at;
--- a/crates/attempt-log/src/segment.rs
+++ b/crates/attempt-log/src/segment.rs
@@ -1,34 +1,34 @@
-//! Segments: the bytes of a file, and how they are read back after a crash or a corruption.
+//! The format of segments, and reading them after a crash or a corruption.
 //!
 //! A segment begins with a magic number, a version and a [`Header`]; frames follow. A frame is a marker, a length, a CRC-32C
-//! (Castagnoli; RFC 3720, section 12.1) of length and payload, and the payload. After a corrupt place reading resumes at the
-//! next marker whose frame is valid: a wrong length can hide no more than its own frame.
+//! (Castagnoli; RFC 3720, section 12.1) of length and payload, and the payload. After corrupt bytes, reading resumes at the
+//! next marker whose frame is valid, so a corrupt length loses only its own frame.
 
 use crate::record::{Incarnation, Record};
 use serde::{Deserialize, Serialize};
 
-/// The first bytes of every segment.
+/// Magic number at the start of every segment.
 pub const MAGIC: [u8; 8] = *b"bcledger";
-/// The version that is written; older ones are read, newer ones refused.
+/// Format version that is written. Older versions are read, newer ones refused.
 pub const VERSION: u16 = 1;
-/// The longest payload: a record with all its names at their longest is well below.
+/// Limit of a payload. A record with names of the maximum length is far below it.
 pub const MAX_PAYLOAD_BYTES: usize = 4 << 10;
-/// The first bytes of every frame.
+/// Marker at the start of every frame.
 const MARKER: [u8; 2] = [0xb1, 0x6c];
 const LENGTH_BYTES: usize = 4;
 const CHECKSUM_BYTES: usize = 4;
 const FRAME_HEADER_BYTES: usize = MARKER.len() + LENGTH_BYTES + CHECKSUM_BYTES;
 
-/// The first frame of a segment: which process wrote it.
+/// The first frame of a segment, which identifies the process that wrote it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// The process's incarnation.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
-    /// The segment's place among those of the incarnation, counted from 0.
+    /// Sequence number of the segment within the incarnation, from 0.
     pub sequence: u64,
-    /// The instance's name.
+    /// Name of the instance.
     pub instance: String,
-    /// When the process started, in Unix milliseconds: the origin of every `at_us`.
+    /// Start of the process in Unix milliseconds, the origin of every `at_us`.
     pub started_ms: u64,
 }
 
@@ -36,13 +36,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ReadError {
     /// The magic number is missing.
-    #[error("it is no segment of a ledger")]
+    #[error("not a segment of an attempt log")]
     NotASegment,
     /// The segment was written by a newer program.
-    #[error("it is of form {0}; this program reads up to {VERSION}")]
+    #[error("format version {0} is not supported; this program reads versions up to {VERSION}")]
     UnsupportedVersion(u16),
     /// The header is truncated or corrupt.
-    #[error("its header is cut off or spoilt")]
+    #[error("the header is truncated or corrupt")]
     CorruptHeader,
 }
 
@@ -59,7 +59,7 @@
     out.extend(payload);
 }
 
-/// A segment's first bytes.
+/// Encodes the start of a segment: magic number, version and header.
 ///
 /// # Errors
 ///
@@ -71,7 +71,7 @@
     Ok(bytes)
 }
 
-/// Appends a record's frame.
+/// Appends the frame of a record.
 ///
 /// # Errors
 ///
@@ -82,7 +82,7 @@
     Ok(())
 }
 
-/// The payload of the frame at the start of these bytes, if a complete and valid one is there.
+/// Returns the payload of the frame at the start of these bytes, if the frame is complete and valid.
 fn frame_payload(bytes: &[u8]) -> Option<&[u8]> {
     let header = bytes.get(..FRAME_HEADER_BYTES)?;
     let (marker, rest) = header.split_at(MARKER.len());
@@ -100,18 +100,18 @@
     (actual == expected).then_some(payload)
 }
 
-/// What stands in a segment, place by place.
+/// A part of a segment.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Item {
-    /// A record, and the offset of its frame's end.
+    /// A record, and the offset of the end of its frame.
     Record(Record, usize),
-    /// Bytes that are no valid frame, before a valid one.
+    /// Corrupt bytes before a valid frame.
     Corrupt(std::ops::Range<usize>),
-    /// The offset from which on no valid frame follows: the segment was truncated there, or is corrupt up to its end.
+    /// Offset after which there is no valid frame, because the segment is truncated or corrupt up to its end.
     Tail(usize),
 }
 
-/// Reads a segment's header.
+/// Reads a segment's header, and returns an iterator over the rest.
 ///
 /// # Errors
 ///
@@ -132,7 +132,7 @@
     Ok((header, Items { bytes, offset: frames_at + FRAME_HEADER_BYTES + payload.len() }))
 }
 
-/// The items of a segment, in their order.
+/// Iterator over the items of a segment.
 #[derive(Debug, Clone)]
 pub struct Items<'a> {
     bytes: &'a [u8],
@@ -140,7 +140,7 @@
 }
 
 impl Items<'_> {
-    /// The record whose frame begins at this offset, and the frame's length. A payload with bytes behind its record is
+    /// Returns the record whose frame begins at this offset, and the length of the frame. A payload with trailing bytes is
     /// corrupt.
     fn record_at(&self, offset: usize) -> Option<(Record, usize)> {
         let payload = frame_payload(&self.bytes[offset..])?;
--- a/crates/attempt-log/src/storage.rs
+++ b/crates/attempt-log/src/storage.rs
@@ -1,16 +1,16 @@
-//! The file layer of the log, so that a test can fail any call of it.
+//! The file system of the log, as a trait, so that tests can make any call fail.
 
 use std::io;
 
-/// A folder of files. Any call may fail, and a failed append may have written a part.
+/// A folder of files. Any call may fail, and a failed append may have written a part of its bytes.
 pub trait Storage {
-    /// The names of the files, in no order.
+    /// The names of the files, in any order.
     ///
     /// # Errors
     ///
     /// The file system's.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// A file's bytes.
+    /// The content of a file.
     ///
     /// # Errors
     ///
@@ -20,15 +20,15 @@
     ///
     /// # Errors
     ///
-    /// The file system's; a part may have been written.
+    /// The file system's; a part of the bytes may have been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Makes what has been appended survive a loss of power.
+    /// Flushes a file, so that the appended bytes survive a power failure.
     ///
     /// # Errors
     ///
-    /// The file system's; what was appended may be lost then.
+    /// The file system's; the appended bytes may be lost then.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Cuts a file to a length.
+    /// Truncates a file to a length.
     ///
     /// # Errors
     ///
--- a/crates/attempt-log/src/writer.rs
+++ b/crates/attempt-log/src/writer.rs
@@ -1,4 +1,4 @@
-//! Writing segments.
+//! The writer of segments: rotation, gaps of lost records, and removal of old segments.
 
 use crate::record::{Incarnation, Record};
 use crate::recovery::Recovery;
@@ -6,30 +6,30 @@
 use crate::storage::Storage;
 use std::io;
 
-/// A segment's file name is this prefix, the incarnation, the sequence number and [`SUFFIX`].
+/// Prefix of the file names of segments, followed by the incarnation, the sequence number and [`SUFFIX`].
 const PREFIX: &str = "ledger-";
 const SUFFIX: &str = ".log";
 
-/// What a loss of power may cost. A killed process loses nothing under any policy: what was written is the operating
-/// system's.
+/// When written records are flushed to disk, which determines what a power failure may lose. If only the process is killed,
+/// nothing is lost under any policy, because written bytes belong to the operating system.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SyncPolicy {
-    /// All that the operating system has not flushed by itself.
+    /// Never: a power failure loses everything that the operating system has not flushed by itself.
     Never,
-    /// What was written since the last [`LogWriter::sync`].
+    /// At intervals: a power failure loses what was written since the last [`LogWriter::sync`].
     Interval,
-    /// Nothing that [`LogWriter::write`] returned `Ok` for.
+    /// At every write: a power failure loses nothing for which [`LogWriter::write`] returned `Ok`.
     EveryWrite,
 }
 
-/// When segments are synced, rotated and removed.
+/// Settings of flushing, rotation and removal of segments.
 #[derive(Debug, Clone, Copy)]
 pub struct LogPolicy {
-    /// What a loss of power may cost.
+    /// When written records are flushed.
     pub sync: SyncPolicy,
-    /// A segment that has reached this length is full.
+    /// Length at which a segment is full.
     pub max_segment_bytes: usize,
-    /// The oldest segments are removed until all of them together are within this.
+    /// Limit of all segments together; the oldest ones are removed beyond it.
     pub max_total_bytes: usize,
 }
 
@@ -39,29 +39,31 @@
     }
 }
 
-/// Records that could not be written, and since when.
+/// Records that could not be written.
 #[derive(Debug, Clone, Copy)]
 struct LostRecords {
     count: u64,
+    /// Time of the first failed write.
     from_us: u64,
 }
 
-/// A segment that is written no more.
+/// A segment to which nothing more is appended.
 #[derive(Debug)]
 struct FullSegment {
     name: String,
     bytes: usize,
 }
 
-/// The log of one incarnation.
+/// Writes the log of one incarnation.
 #[derive(Debug)]
 pub struct LogWriter {
     header: Header,
     policy: LogPolicy,
-    /// Complete bytes of the current segment; none before its first record.
+    /// Length of the current segment without incomplete writes; none before its first record.
     current_bytes: Option<usize>,
-    /// The oldest first.
+    /// Full segments, the oldest first.
     full: Vec<FullSegment>,
+    /// Lost records whose gap has not been written yet.
     lost: Option<LostRecords>,
 }
 
@@ -69,14 +71,14 @@
     format!("{PREFIX}{:016x}-{sequence:08}{SUFFIX}", incarnation.0)
 }
 
-/// Whether a file name is a segment's.
+/// Whether a file name is that of a segment.
 pub(crate) fn is_segment(name: &str) -> bool {
     name.starts_with(PREFIX) && name.ends_with(SUFFIX)
 }
 
 impl LogWriter {
-    /// The log of an incarnation that began at `started_ms` (Unix milliseconds), beside the segments that
-    /// [`recover`](crate::recover) found. Nothing is written before the first record.
+    /// A writer for an incarnation that started at `started_ms` (Unix milliseconds). The segments that
+    /// [`recover`](crate::recover) found count towards the total size. Nothing is written before the first record.
     pub fn new(
         incarnation: Incarnation,
         instance: &str,
@@ -91,18 +93,18 @@
         LogWriter { header, policy, current_bytes: None, full, lost: None }
     }
 
-    /// Passes records to the operating system in one append. After `Ok` they survive this process, and with
-    /// [`SyncPolicy::EveryWrite`] a loss of power.
+    /// Passes records to the operating system in one append. After `Ok` they survive a crash of this process, and with
+    /// [`SyncPolicy::EveryWrite`] also a power failure.
     ///
     /// # Errors
     ///
-    /// The storage's. The records are counted as lost, and a gap is written before the next record that can be.
+    /// The storage's. The records are counted as lost, and a gap is written before the next record that can be written.
     pub fn write(&mut self, storage: &mut impl Storage, now_us: u64, records: &[Record]) -> io::Result<()> {
         let written = self.try_write(storage, now_us, records);
         if written.is_err() {
             let lost = self.lost.get_or_insert(LostRecords { count: 0, from_us: now_us });
             lost.count += records.len() as u64;
-            // The segment may end in half a frame now. The next record goes into a new segment, whose frames are all known.
+            // The segment may end in an incomplete frame now, so the next record goes into a new segment.
             self.rotate();
         }
         written
@@ -124,7 +126,7 @@
         Ok(())
     }
 
-    /// The bytes of one append: the header of a new segment, the gap of lost records, the records.
+    /// Encodes the bytes of one append: the header of a new segment, the gap of lost records, and the records.
     fn encode(&self, now_us: u64, records: &[Record]) -> Result<Vec<u8>, EncodeError> {
         let mut bytes = match self.current_bytes {
             Some(_) => Vec::new(),
@@ -150,7 +152,7 @@
         self.header.sequence += 1;
     }
 
-    /// Removes the oldest segments until the rest is within its bound. A removal that fails is tried again later.
+    /// Removes the oldest segments until the rest is within the limit. A failed removal is retried after the next write.
     fn remove_oldest(&mut self, storage: &mut impl Storage) {
         let full_bytes: usize = self.full.iter().map(|segment| segment.bytes).sum();
         let mut total = self.current_bytes.unwrap_or(0) + full_bytes;
@@ -162,7 +164,7 @@
         }
     }
 
-    /// With [`SyncPolicy::Interval`]: after `Ok` all that was written so far survives a loss of power.
+    /// Flushes the current segment, for [`SyncPolicy::Interval`]. After `Ok` its records survive a power failure.
     ///
     /// # Errors
     ///
@@ -174,7 +176,7 @@
         }
     }
 
-    /// Records that were lost and whose gap is not written yet.
+    /// Number of lost records whose gap has not been written yet.
     pub fn unreported_losses(&self) -> u64 {
         self.lost.map_or(0, |lost| lost.count)
     }
--- a/crates/attempt-log/tests/golden.rs
+++ b/crates/attempt-log/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The stored form of a segment: the bytes that are written, and that a file written earlier is read.
+//! Golden test of the segment format: the bytes that are written, and reading a file that was written earlier.
 
 use bellcroft_attempt_log::segment::{self, Header, Item};
 use bellcroft_attempt_log::{FinalResponse, Incarnation, Outcome, Record};
@@ -14,7 +14,7 @@
     }
 }
 
-/// Two requests that were received, and two attempts of the first.
+/// Records of two received requests, and of two attempts of the first one.
 fn sent_records() -> Vec<Record> {
     vec![
         Record::Received {
@@ -65,8 +65,8 @@
     for (attempt, outcome) in (0..).zip(outcomes) {
         records.push(Record::Outcome { request: 1, attempt, outcome, at_us: 130_000 });
     }
-    for answer in [FinalResponse::Served, FinalResponse::Rejected, FinalResponse::Failed] {
-        records.push(Record::Completed { request: 1, response: answer, at_us: 140_000 });
+    for response in [FinalResponse::Served, FinalResponse::Rejected, FinalResponse::Failed] {
+        records.push(Record::Completed { request: 1, response, at_us: 140_000 });
     }
     records.push(Record::ClientDisconnected { request: 300, at_us: 150_000 });
     records.push(Record::Gap { lost_records: 12, from_us: 160_000, to_us: 170_000 });
@@ -93,9 +93,9 @@
 
 #[test]
 fn segment_bytes_match_golden_file() {
-    let mut bytes = segment::encode_header(&header()).expect("it is plain data");
+    let mut bytes = segment::encode_header(&header()).expect("header is encodable");
     for record in records() {
-        segment::append_record(&record, &mut bytes).expect("it is plain data");
+        segment::append_record(&record, &mut bytes).expect("record is encodable");
     }
     expect_file!["golden/segment.hex"].assert_eq(&hex(&bytes));
 }
@@ -103,12 +103,12 @@
 #[test]
 fn segment_written_earlier_is_read_completely() {
     let bytes = unhex(include_str!("golden/segment.hex"));
-    let (found, items) = segment::open(&bytes).expect("a segment");
-    assert_eq!(found, header());
+    let (actual_header, items) = segment::open(&bytes).expect("a segment");
+    assert_eq!(actual_header, header());
     let read: Vec<Record> = items
         .map(|item| match item {
             Item::Record(record, _) => record,
-            other => panic!("no record: {other:?}"),
+            other => panic!("expected a record, got {other:?}"),
         })
         .collect();
     assert_eq!(read, records());
