--- a/crates/agent/src/daemon/instance.rs
+++ b/crates/agent/src/daemon/instance.rs
@@ -209,8 +209,8 @@
         let (server_connections, max_server_connections) = self.driver.connections();
         set(&families::CONNECTIONS, &["client"], self.server.connections());
         set(&families::CONNECTIONS, &["server"], server_connections);
-        set(&families::CONNECTIONS_MOST, &["client"], self.connection_limits.clients);
-        set(&families::CONNECTIONS_MOST, &["server"], max_server_connections);
+        set(&families::MAX_CONNECTIONS, &["client"], self.connection_limits.clients);
+        set(&families::MAX_CONNECTIONS, &["server"], max_server_connections);
         set(&families::READY, &[], usize::from(self.phase() == Phase::Ready));
         set(&families::GENERATION, &[], self.reloads.borrow().generation() as usize);
         for (violation, total) in self.driver.guard.borrow().violations() {
--- a/crates/agent/src/telemetry.rs
+++ b/crates/agent/src/telemetry.rs
@@ -106,12 +106,12 @@
         for (state, count) in STATES.iter().zip(states) {
             self.gauge(&families::MEMBERS, &[state.as_str()], count as f64);
         }
-        self.gauge(&families::MEMBERS_HERE, &[], status.reachable.into());
-        self.gauge(&families::MEMBERS_RECKONED, &[], status.effective_size.into());
-        self.gauge(&families::MEMBERS_ROSTER, &[], status.expected_size.into());
+        self.gauge(&families::MEMBERS_REACHABLE, &[], status.reachable.into());
+        self.gauge(&families::MEMBERS_EFFECTIVE, &[], status.effective_size.into());
+        self.gauge(&families::MEMBERS_EXPECTED, &[], status.expected_size.into());
         for quorum in QuorumState::ALL {
             let is_present = quorum.as_str() == status.quorum_state;
-            self.gauge(&families::STANCE, &[quorum.as_str()], f64::from(is_present));
+            self.gauge(&families::QUORUM_STATE, &[quorum.as_str()], f64::from(is_present));
         }
     }
 
--- a/crates/telemetry/src/families.rs
+++ b/crates/telemetry/src/families.rs
@@ -63,7 +63,7 @@
     WATCH_TIMEOUTS Counter "bellcroft_list_silent_watches_total" [] LIMIT_SMALL, "Watches of discovery that did not answer in time.";
     HEALTH_CHECKS Counter "bellcroft_probes_total" ["outcome"] LIMIT_SMALL, "Health probes, by how they ended.";
     CONNECTIONS Gauge "bellcroft_connections" ["side"] LIMIT_SMALL, "Open connections: client, server.";
-    CONNECTIONS_MOST Gauge "bellcroft_connections_most" ["side"] LIMIT_SMALL, "Connections that this process may hold: client, server.";
+    MAX_CONNECTIONS Gauge "bellcroft_connections_most" ["side"] LIMIT_SMALL, "Connections that this process may hold: client, server.";
 
     BREACHES Counter "bellcroft_rule_breaches_total" ["rule"] LIMIT_SMALL, "Breaches of a rule, by what left and came back on sockets.";
     VIOLATIONS Counter "bellcroft_rule_violations_total" ["rule"] LIMIT_SMALL, "Limits of a request that this instance broke by its own account: late_answer (past its time by more than a pause of the process explains), unsafe_repeat (not sent), closed_while_pending, ended_while_pending.";
@@ -72,10 +72,10 @@
     SLOW_START_MARGIN Gauge "bellcroft_cold_budget_left_ratio" [] LIMIT_SMALL, "The smallest share of a cold server's budget that was left since the last sample; not there if there was none.";
 
     MEMBERS Gauge "bellcroft_members" ["state"] LIMIT_SMALL, "Other members by what this instance holds of them: absent, alive, suspect, dead, left; only where the operator's file has membership, as all of these.";
-    MEMBERS_HERE Gauge "bellcroft_members_here" [] LIMIT_SMALL, "Members that are there by what this instance holds, itself among them; an estimate past 256.";
-    MEMBERS_RECKONED Gauge "bellcroft_members_reckoned" [] LIMIT_SMALL, "By how many this instance reckons what is counted for the whole fleet.";
-    MEMBERS_ROSTER Gauge "bellcroft_members_roster" [] LIMIT_SMALL, "How many members there are to be.";
-    STANCE Gauge "bellcroft_stance" ["stance"] LIMIT_SMALL, "1 for what the instance holds of itself: waking, alone, minority, majority, degraded, whole; 0 for the others.";
+    MEMBERS_REACHABLE Gauge "bellcroft_members_here" [] LIMIT_SMALL, "Members that are there by what this instance holds, itself among them; an estimate past 256.";
+    MEMBERS_EFFECTIVE Gauge "bellcroft_members_reckoned" [] LIMIT_SMALL, "By how many this instance reckons what is counted for the whole fleet.";
+    MEMBERS_EXPECTED Gauge "bellcroft_members_roster" [] LIMIT_SMALL, "How many members there are to be.";
+    QUORUM_STATE Gauge "bellcroft_stance" ["stance"] LIMIT_SMALL, "1 for what the instance holds of itself: waking, alone, minority, majority, degraded, whole; 0 for the others.";
     MEMBER_DATAGRAMS Counter "bellcroft_member_datagrams_total" ["outcome"] LIMIT_SMALL, "Datagrams among members: sent, unsent, taken, and refused by why: length, version, cluster, spoilt, meaning, stranger, former, own.";
     MEMBER_BYTES Counter "bellcroft_member_bytes_total" ["outcome"] LIMIT_SMALL, "Bytes of datagrams among members: sent, taken.";
     MEMBER_PROBES Counter "bellcroft_member_probes_total" ["outcome"] LIMIT_SMALL, "Probes of members: sent, failed.";
