--- a/crates/attempt-log/tests/crash.rs
+++ b/crates/attempt-log/tests/crash.rs
@@ -115,7 +115,7 @@
 
 /// What actually happened, independent of the log.
 #[derive(Debug, Default)]
-struct World {
+struct GroundTruth {
     /// Requests whose first byte was sent.
     sent: Vec<u64>,
     /// Sent requests that got a response.
@@ -127,9 +127,9 @@
 }
 
 /// Runs 40 requests with intent, send and outcome in the order of the agent, until the process is killed.
-fn run_requests(disk: &mut MemoryStorage, policy: LogPolicy, start: u64) -> (World, LogWriter) {
+fn run_requests(disk: &mut MemoryStorage, policy: LogPolicy, start: u64) -> (GroundTruth, LogWriter) {
     let mut log = LogWriter::new(Incarnation(start), "n0", start * 1_000_000, policy, &Recovery::default());
-    let mut world = World::default();
+    let mut truth = GroundTruth::default();
     for request in 0..40 {
         let now = request * 10;
         let written = log.write(disk, now, &[received(request), intent(request)]);
@@ -137,13 +137,13 @@
             break;
         }
         match written {
-            Ok(()) => world.recorded.push(request),
+            Ok(()) => truth.recorded.push(request),
             // Requests continue if the log fails.
-            Err(_) => world.unrecorded.push(request),
+            Err(_) => truth.unrecorded.push(request),
         }
-        world.sent.push(request);
+        truth.sent.push(request);
         if request % 4 != 3 {
-            world.responded.push(request);
+            truth.responded.push(request);
             let _ = log.write(disk, now + 5, &[outcome(request, Outcome::Answered)]);
         }
         if policy.sync == SyncPolicy::Interval && request % 8 == 7 {
@@ -153,40 +153,40 @@
             break;
         }
     }
-    (world, log)
+    (truth, log)
 }
 
 /// Checks the recovered histories against what actually happened.
-fn check_guarantees(world: &World, index: &HistoryIndex, must_be_complete: bool, context: &str) {
+fn check_guarantees(truth: &GroundTruth, index: &HistoryIndex, must_be_complete: bool, context: &str) {
     // A request whose first record is lost has no id.
     let named = index.iter().filter(|request| !request.id.is_empty());
     let known: BTreeMap<Vec<u8>, State> =
         named.map(|request| (request.id.clone(), request.state())).collect();
     let state = |request: &u64| known.get(format!("id-{request}").as_bytes()).copied();
-    for request in &world.sent {
+    for request in &truth.sent {
         assert_ne!(state(request), Some(State::NeverSent), "{context}: {request} was sent");
     }
     for (id, state) in &known {
         if *state == State::Answered {
-            let responded = world.responded.iter().any(|n| format!("id-{n}").as_bytes() == id.as_slice());
+            let responded = truth.responded.iter().any(|n| format!("id-{n}").as_bytes() == id.as_slice());
             assert!(responded, "{context}: {} had no response", String::from_utf8_lossy(id));
         }
     }
     if must_be_complete {
-        for request in &world.recorded {
+        for request in &truth.recorded {
             assert!(state(request).is_some(), "{context}: {request} was written and is missing");
         }
     }
 }
 
-const SMALL: usize = 700;
+const MAX_SEGMENT_BYTES: usize = 700;
 
 /// Kills the process or fails the power at every storage call, also in the middle of a write. Then kills the recovery three
 /// times, at its first, second and third call.
 #[test]
 fn crash_at_any_storage_call_keeps_all_guarantees() {
     for sync in [SyncPolicy::Never, SyncPolicy::Interval, SyncPolicy::EveryWrite] {
-        let policy = LogPolicy { sync, max_segment_bytes: SMALL, ..LogPolicy::default() };
+        let policy = LogPolicy { sync, max_segment_bytes: MAX_SEGMENT_BYTES, ..LogPolicy::default() };
         let mut uninterrupted = MemoryStorage::default();
         run_requests(&mut uninterrupted, policy, 1);
         assert!(
@@ -196,17 +196,17 @@
         for killed_at in 1..=uninterrupted.calls + 1 {
             for power_failed in [false, true] {
                 let mut disk = MemoryStorage { killed_at: Some(killed_at), ..MemoryStorage::default() };
-                let (world, _) = run_requests(&mut disk, policy, 1);
+                let (truth, _) = run_requests(&mut disk, policy, 1);
                 let left = disk.after_crash(power_failed);
                 let context = format!("{sync:?}, call {killed_at}, power failure {power_failed}");
-                let mut again = left.clone();
-                for deaths in 1..=3 {
-                    again.calls = 0;
-                    again.killed_at = Some(deaths);
-                    let _ = recover(&mut again);
-                    again = again.after_crash(false);
+                let mut restarted = left.clone();
+                for recovery_killed_at in 1..=3 {
+                    restarted.calls = 0;
+                    restarted.killed_at = Some(recovery_killed_at);
+                    let _ = recover(&mut restarted);
+                    restarted = restarted.after_crash(false);
                 }
-                let recovery = recover(&mut again).expect("listable storage");
+                let recovery = recover(&mut restarted).expect("listable storage");
                 // After a kill only the segment that was being started may lack its header.
                 assert!(
                     power_failed || recovery.unreadable.len() <= 1,
@@ -215,9 +215,9 @@
                 );
                 let index = HistoryIndex::new(&recovery);
                 // A power failure may lose everything that was not synced; a kill loses nothing that was written.
-                check_guarantees(&world, &index, !power_failed || sync == SyncPolicy::EveryWrite, &context);
+                check_guarantees(&truth, &index, !power_failed || sync == SyncPolicy::EveryWrite, &context);
                 // A second recovery finds no more tails to quarantine, and the same requests.
-                let second = recover(&mut again).expect("listable storage");
+                let second = recover(&mut restarted).expect("listable storage");
                 assert!(second.quarantined.is_empty(), "{context}");
                 assert_eq!(HistoryIndex::new(&second).iter().count(), index.iter().count(), "{context}");
             }
@@ -231,13 +231,16 @@
 fn full_disk_loses_only_its_records_and_writes_gap() {
     for first in 1..60 {
         let mut disk = MemoryStorage { full_at: (first..first + 6).collect(), ..MemoryStorage::default() };
-        let (world, log) =
-            run_requests(&mut disk, LogPolicy { max_segment_bytes: SMALL, ..LogPolicy::default() }, 1);
-        assert_eq!(world.sent.len(), 40, "requests must continue");
+        let (truth, log) = run_requests(
+            &mut disk,
+            LogPolicy { max_segment_bytes: MAX_SEGMENT_BYTES, ..LogPolicy::default() },
+            1,
+        );
+        assert_eq!(truth.sent.len(), 40, "requests must continue");
         assert_eq!(log.unreported_losses(), 0);
         let found = recover(&mut disk.after_crash(false)).expect("listable storage");
         let index = HistoryIndex::new(&found);
-        check_guarantees(&world, &index, true, &format!("full from call {first}"));
+        check_guarantees(&truth, &index, true, &format!("full from call {first}"));
         assert!(index.lost_records > 0, "{first}: the gap must be recorded");
     }
 }
@@ -245,10 +248,14 @@
 #[test]
 fn oldest_segments_are_removed_first() {
     let mut disk = MemoryStorage::default();
-    let policy = LogPolicy { max_segment_bytes: SMALL, max_total_bytes: 4 * SMALL, ..LogPolicy::default() };
+    let policy = LogPolicy {
+        max_segment_bytes: MAX_SEGMENT_BYTES,
+        max_total_bytes: 4 * MAX_SEGMENT_BYTES,
+        ..LogPolicy::default()
+    };
     run_requests(&mut disk, policy, 1);
     let all: usize = disk.files.values().map(|(bytes, _)| bytes.len()).sum();
-    assert!(all <= 5 * SMALL + 500, "{all} bytes remain");
+    assert!(all <= 5 * MAX_SEGMENT_BYTES + 500, "{all} bytes remain");
     let index = HistoryIndex::new(&recover(&mut disk).expect("listable storage"));
     assert!(index.iter().any(|request| request.id == b"id-39"), "the newest request must be there");
     assert!(!index.iter().any(|request| request.id == b"id-0"), "the oldest request must be removed");
@@ -259,7 +266,7 @@
 #[test]
 fn incarnations_are_separate_and_foreign_files_untouched() {
     let mut disk = MemoryStorage::default();
-    let policy = LogPolicy { max_segment_bytes: SMALL, ..LogPolicy::default() };
+    let policy = LogPolicy { max_segment_bytes: MAX_SEGMENT_BYTES, ..LogPolicy::default() };
     run_requests(&mut disk, policy, 9);
     let (_, _) = run_requests(&mut disk, policy, 2);
     let mut newer = disk.files.values().next().expect("a segment").0.clone();
--- a/crates/telemetry/src/observer.rs
+++ b/crates/telemetry/src/observer.rs
@@ -50,7 +50,7 @@
     pub breaches: u64,
     /// Number of cases within the tolerance for sockets and clocks, or with less than a tenth of the budget left.
     pub near_misses: u64,
-    /// Smallest time that was left to the limit, in seconds; for [`Rule::SlowStart`], smallest remaining share of the budget.
+    /// Smallest time that was left to the limit, in seconds; for [`Rule::SlowStart`], smallest share of the budget left.
     pub min: Option<f64>,
     /// The same since the last call of [`Observer::take_recent_min`].
     pub recent_min: Option<f64>,
--- a/crates/telemetry/tests/sender.rs
+++ b/crates/telemetry/tests/sender.rs
@@ -30,7 +30,7 @@
     registry.counter(&family, &["log\"\n", "failed"]).inc();
     let family = Family {
         name: "bellcroft_answer_seconds",
-        help: "Answer times.",
+        help: "Response times.",
         kind: Kind::Histogram,
         labels: &["class"],
         max_series: 100,
