--- a/crates/agent/src/downstream/exchange.rs
+++ b/crates/agent/src/downstream/exchange.rs
@@ -35,7 +35,7 @@
             Err(response) => {
                 self.request_counters.on_bad_request();
                 if let Some(telemetry) = &self.driver.telemetry {
-                    telemetry.bad();
+                    telemetry.bad_request();
                 }
                 (response, true)
             }
--- a/crates/agent/src/downstream/response_body.rs
+++ b/crates/agent/src/downstream/response_body.rs
@@ -5,7 +5,7 @@
 use crate::daemon::status::{self, RequestOutcome};
 use crate::telemetry::PendingTimer;
 use crate::upstream::Relay;
-use bellcroft_telemetry::Over;
+use bellcroft_telemetry::FinalOutcome;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use std::io;
@@ -40,10 +40,10 @@
         }
         if let Some(mut timer) = self.timer.take() {
             timer.set_outcome(match outcome {
-                RequestOutcome::Served => Over::Served,
-                RequestOutcome::Rejected => Over::Refused,
-                RequestOutcome::Failed => Over::Failed,
-                RequestOutcome::ClientDisconnected => Over::Left,
+                RequestOutcome::Served => FinalOutcome::Served,
+                RequestOutcome::Rejected => FinalOutcome::Shed,
+                RequestOutcome::Failed => FinalOutcome::Failed,
+                RequestOutcome::ClientDisconnected => FinalOutcome::ClientLeft,
             });
             client.set_response_timer(timer);
         }
