--- a/crates/agent/src/cli/fleet.rs
+++ b/crates/agent/src/cli/fleet.rs
@@ -92,12 +92,12 @@
 
 fn report_not_running(fleet: &FleetFile) {
     let running =
-        fleet.members.iter().filter(|member| state::is_locked(&crate::fleet::instance_dir(fleet, member)));
+        fleet.instances.iter().filter(|member| state::is_locked(&crate::fleet::instance_dir(fleet, member)));
     eprintln!(
         "bellcroft: {}: no supervisor is running; {} of {} instances are. `bellcroft fleet run` adopts them",
         fleet.state.display(),
         running.count(),
-        fleet.members.len()
+        fleet.instances.len()
     );
 }
 
--- a/crates/agent/src/daemon/config/error.rs
+++ b/crates/agent/src/daemon/config/error.rs
@@ -2,7 +2,7 @@
 
 use crate::discovery::codec::ListError;
 use bellcroft_balancer::SettingsError;
-use bellcroft_operator_config::Fault;
+use bellcroft_operator_config::FileError;
 use bellcroft_routes::Diagnostic;
 use std::fmt;
 use std::io;
@@ -34,8 +34,8 @@
     }
 }
 
-impl From<Vec<Fault>> for ConfigErrors {
-    fn from(faults: Vec<Fault>) -> Self {
+impl From<Vec<FileError>> for ConfigErrors {
+    fn from(faults: Vec<FileError>) -> Self {
         ConfigErrors(faults.into_iter().map(ConfigError::OperatorFile).collect())
     }
 }
@@ -45,7 +45,7 @@
 pub enum ConfigError {
     /// The operator's file is faulty.
     #[error(transparent)]
-    OperatorFile(Fault),
+    OperatorFile(FileError),
     /// No source names the platform's file.
     #[error("PROXY_CONFIG is not set")]
     NoPlatformFile,
--- a/crates/agent/src/fleet/instances.rs
+++ b/crates/agent/src/fleet/instances.rs
@@ -5,7 +5,7 @@
 use super::{prove, Fleet};
 use crate::daemon::commands::InstanceRequest;
 use crate::daemon::control;
-use bellcroft_operator_config::Member;
+use bellcroft_operator_config::FleetInstance;
 use bellcroft_supervisor::{Action, Command, Event, InstanceId, ReleaseId, Report, RollError};
 use rustix::process::Signal;
 use std::collections::VecDeque;
@@ -20,7 +20,7 @@
 
 /// One instance: its listening socket, which outlives its processes, and its present process.
 pub(super) struct InstanceSlot {
-    pub(super) member: Member,
+    pub(super) member: FleetInstance,
     pub(super) dir: PathBuf,
     pub(super) listener: TcpListener,
     pub(super) address: SocketAddr,
--- a/crates/agent/src/fleet/mod.rs
+++ b/crates/agent/src/fleet/mod.rs
@@ -14,7 +14,7 @@
 use crate::daemon::state::{StateDir, StateDirError};
 use crate::exit;
 use crate::log::print_error;
-use bellcroft_operator_config::{FleetFile, Member};
+use bellcroft_operator_config::{FleetFile, FleetInstance};
 use bellcroft_supervisor::{InstanceId, Supervisor};
 use commands::{FleetEvent, ReloadProgress, RollResult};
 use instances::InstanceSlot;
@@ -96,6 +96,6 @@
 }
 
 /// The state directory of an instance of the fleet.
-pub(crate) fn instance_dir(fleet: &FleetFile, member: &Member) -> PathBuf {
+pub(crate) fn instance_dir(fleet: &FleetFile, member: &FleetInstance) -> PathBuf {
     fleet.state.join("instances").join(&member.name)
 }
--- a/crates/agent/src/fleet/process.rs
+++ b/crates/agent/src/fleet/process.rs
@@ -5,7 +5,7 @@
 
 use crate::daemon::commands::InstanceRequest;
 use crate::daemon::{control, state};
-use bellcroft_operator_config::Member;
+use bellcroft_operator_config::FleetInstance;
 use command_fds::{CommandFdExt, FdMapping};
 use rustix::process::{pidfd_open, pidfd_send_signal, Pid, PidfdFlags, Signal};
 use std::fs::OpenOptions;
@@ -66,7 +66,7 @@
 ///
 /// Its directory, its log or the process cannot be made.
 pub fn start(
-    member: &Member,
+    member: &FleetInstance,
     program: &Path,
     dir: &Path,
     listener: &TcpListener,
@@ -98,7 +98,7 @@
 }
 
 /// The command line of an instance, with the supervisor's own variables removed.
-fn instance_command(member: &Member, program: &Path, dir: &Path) -> std::process::Command {
+fn instance_command(member: &FleetInstance, program: &Path, dir: &Path) -> std::process::Command {
     // `LISTEN_PID` must be the process's own id, which is known only in the process: the shell sets it and becomes the
     // program.
     let mut command = std::process::Command::new("/bin/sh");
--- a/crates/agent/src/fleet/supervisor_loop.rs
+++ b/crates/agent/src/fleet/supervisor_loop.rs
@@ -8,7 +8,7 @@
 use crate::daemon::notify::Notify;
 use crate::daemon::state::{StateDir, StatusWriter};
 use crate::log::print_error;
-use bellcroft_operator_config::{FleetFile, Member};
+use bellcroft_operator_config::{FleetFile, FleetInstance};
 use bellcroft_supervisor::{Command, Event, InstanceId, Phase, Supervisor};
 use serde_json::Value;
 use std::cell::RefCell;
@@ -106,13 +106,13 @@
 /// Looks for processes that an earlier supervisor left, for all instances at once and before any process is started, and
 /// binds the listening sockets that none of them returns.
 async fn adopt_or_bind(file: &FleetFile) -> Result<Vec<InstanceSlot>, SupervisorError> {
-    let adopt = |member: &Member| {
+    let adopt = |member: &FleetInstance| {
         let dir = instance_dir(file, member);
         tokio::task::spawn_local(async move { process::adopt(&dir).await })
     };
-    let adoptions: Vec<_> = file.members.iter().map(adopt).collect();
-    let mut instances = Vec::with_capacity(file.members.len());
-    for (member, adoption) in file.members.iter().zip(adoptions) {
+    let adoptions: Vec<_> = file.instances.iter().map(adopt).collect();
+    let mut instances = Vec::with_capacity(file.instances.len());
+    for (member, adoption) in file.instances.iter().zip(adoptions) {
         let dir = instance_dir(file, member);
         let (process, listener) = match adoption.await? {
             Adoption::NotRunning => (None, None),
--- a/crates/operator-config/src/agent.rs
+++ b/crates/operator-config/src/agent.rs
@@ -1,6 +1,6 @@
 //! `agent.toml`: the operator's settings of one instance.
 
-use crate::errors::Fault;
+use crate::errors::FileError;
 use crate::membership::Membership;
 use crate::reader::{load, parse};
 use crate::section::Section;
@@ -63,7 +63,7 @@
     /// # Errors
     ///
     /// Everything that is wrong with it.
-    pub fn read(file: &Path) -> Result<Self, Vec<Fault>> {
+    pub fn read(file: &Path) -> Result<Self, Vec<FileError>> {
         Self::parse(file, &load(file)?)
     }
 
@@ -72,7 +72,7 @@
     /// # Errors
     ///
     /// Everything that is wrong with it.
-    pub fn parse(file: &Path, text: &str) -> Result<Self, Vec<Fault>> {
+    pub fn parse(file: &Path, text: &str) -> Result<Self, Vec<FileError>> {
         parse(file, text, Self::schema)
     }
 
--- a/crates/operator-config/src/errors.rs
+++ b/crates/operator-config/src/errors.rs
@@ -5,7 +5,7 @@
 
 /// One thing that is wrong with a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault {
+pub struct FileError {
     /// The file.
     pub file: PathBuf,
     /// The line, counted from 1; 0 if the fault has none.
@@ -16,7 +16,7 @@
     pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for FileError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:", self.file.display())?;
         if self.line > 0 {
@@ -29,4 +29,4 @@
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for FileError {}
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -1,6 +1,6 @@
 //! `fleet.toml`: the instances of a fleet and the supervisor's policy.
 
-use crate::errors::Fault;
+use crate::errors::FileError;
 use crate::reader::{load, parse};
 use crate::section::Section;
 use crate::values::is_valid_name;
@@ -28,12 +28,12 @@
     /// How instances are started, stopped and restarted.
     pub policy: Policy,
     /// The instances.
-    pub members: Vec<Member>,
+    pub instances: Vec<FleetInstance>,
 }
 
 /// One instance of a fleet.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Member {
+pub struct FleetInstance {
     /// Its name, unique in the fleet.
     pub name: String,
     /// Where clients connect; the supervisor holds the socket.
@@ -50,7 +50,7 @@
     /// # Errors
     ///
     /// Everything that is wrong with it.
-    pub fn read(file: &Path) -> Result<Self, Vec<Fault>> {
+    pub fn read(file: &Path) -> Result<Self, Vec<FileError>> {
         parse(file, &load(file)?, Self::schema)
     }
 
@@ -63,14 +63,14 @@
         let policy = policy(&section, &top.section("restart"));
         let listed = top.sections("instance");
         let template = top.section("template");
-        let members = members(&listed, &template);
-        if members.is_empty() && listed.is_empty() && !template.is_present() {
+        let instances = read_instances(&listed, &template);
+        if instances.is_empty() && listed.is_empty() && !template.is_present() {
             top.fault(
                 "instance",
                 "there is no [[instance]] and no [template]; a fleet has at least one instance",
             );
         }
-        FleetFile { state, program, policy, members }
+        FleetFile { state, program, policy, instances }
     }
 }
 
@@ -106,7 +106,7 @@
 }
 
 /// The instances of `[[instance]]` and `[template]`.
-fn members(listed: &[Section], template: &Section) -> Vec<Member> {
+fn read_instances(listed: &[Section], template: &Section) -> Vec<FleetInstance> {
     let mut members = Vec::new();
     let mut taken = Taken::default();
     for section in listed {
@@ -127,7 +127,7 @@
     members
 }
 
-fn member(section: &Section) -> Option<Member> {
+fn member(section: &Section) -> Option<FleetInstance> {
     let name = section.name();
     let name = section.required("name", name, "a name");
     let listen = section.address("listen");
@@ -135,7 +135,7 @@
     let config = section.path("config");
     let config = section.required("config", config, "the platform's configuration");
     let operator = section.path("operator");
-    Some(Member { name: name?, listen: listen?, config: config?, operator })
+    Some(FleetInstance { name: name?, listen: listen?, config: config?, operator })
 }
 
 /// The names and addresses in use.
@@ -147,7 +147,7 @@
 
 impl Taken {
     /// Records a fault if another member has the same name or address; false in that case.
-    fn check(&mut self, member: &Member, section: &Section) -> bool {
+    fn check(&mut self, member: &FleetInstance, section: &Section) -> bool {
         let mut free = true;
         if !self.names.insert(member.name.clone()) {
             section.fault("name", format!("{:?} is another instance's too; each needs its own", member.name));
@@ -165,7 +165,7 @@
 }
 
 /// The instances of a template, in whose texts `{n}` is the instance's number and `{name}` its name.
-fn from_template(section: &Section) -> Vec<Member> {
+fn from_template(section: &Section) -> Vec<FleetInstance> {
     let count = section.count("count", 1..=MAX_INSTANCES);
     let count = section.required("count", count, "a number of instances").unwrap_or(0);
     let first = section.count("first", 0..=1_000_000).unwrap_or(0);
@@ -199,9 +199,9 @@
         if listen.port() != 0 {
             listen.set_port(listen.port() + index as u16);
         }
-        Member { listen, config: fill(&config), operator: operator.as_ref().map(fill), name }
+        FleetInstance { listen, config: fill(&config), operator: operator.as_ref().map(fill), name }
     });
-    let made: Vec<Member> = made.collect();
+    let made: Vec<FleetInstance> = made.collect();
     if let Some(bad) = made.iter().find(|member| !is_valid_name(&member.name)) {
         let name = &bad.name;
         section.fault(
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -2,7 +2,7 @@
 //! ([`FleetFile`]).
 //!
 //! A file is checked completely: either every value in it is valid, or the result is the list of all faults, each
-//! [`Fault`] with its line, its key, what is wrong and what was expected. An unknown key is a fault. Each subsystem reads
+//! [`FileError`] with its line, its key, what is wrong and what was expected. An unknown key is a fault. Each subsystem reads
 //! its own section through [`Section`], which records the keys that it was asked for.
 
 mod agent;
@@ -16,8 +16,8 @@
 mod values;
 
 pub use agent::{AgentFile, Daemon, Instance};
-pub use errors::Fault;
-pub use fleet::{FleetFile, Member};
+pub use errors::FileError;
+pub use fleet::{FleetFile, FleetInstance};
 pub use membership::Membership;
 pub use reader::{load, parse};
 pub use section::Section;
--- a/crates/operator-config/src/reader.rs
+++ b/crates/operator-config/src/reader.rs
@@ -1,6 +1,6 @@
 //! Reads a file and hands its top section to a schema.
 
-use crate::errors::Fault;
+use crate::errors::FileError;
 use crate::section::{Section, Source};
 use std::path::Path;
 use toml::de::DeTable;
@@ -13,9 +13,9 @@
 /// # Errors
 ///
 /// It cannot be read, is too long, or is not UTF-8.
-pub fn load(file: &Path) -> Result<String, Vec<Fault>> {
+pub fn load(file: &Path) -> Result<String, Vec<FileError>> {
     let fault =
-        |line, message: String| vec![Fault { file: file.to_owned(), line, key: String::new(), message }];
+        |line, message: String| vec![FileError { file: file.to_owned(), line, key: String::new(), message }];
     let size = std::fs::metadata(file).map_err(|e| fault(0, format!("cannot be read: {e}")))?;
     if !size.is_file() {
         return Err(fault(0, "is no plain file".into()));
@@ -35,7 +35,7 @@
 /// # Errors
 ///
 /// Everything that is wrong with the text, in the order of its lines.
-pub fn parse<T>(file: &Path, text: &str, schema: impl FnOnce(&Section) -> T) -> Result<T, Vec<Fault>> {
+pub fn parse<T>(file: &Path, text: &str, schema: impl FnOnce(&Section) -> T) -> Result<T, Vec<FileError>> {
     let (table, errors) = DeTable::parse_recoverable(text);
     let source = Source::new(file, text);
     for error in errors {
--- a/crates/operator-config/src/section.rs
+++ b/crates/operator-config/src/section.rs
@@ -1,6 +1,6 @@
 //! The sections of a file: which keys they have, which are known, and the faults found in them.
 
-use crate::errors::Fault;
+use crate::errors::FileError;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -16,7 +16,7 @@
     /// The byte offset of each line's start.
     line_starts: Vec<usize>,
     /// With the byte offset of each.
-    faults: RefCell<Vec<(usize, Fault)>>,
+    faults: RefCell<Vec<(usize, FileError)>>,
 }
 
 impl<'i> Source<'i> {
@@ -31,7 +31,7 @@
     }
 
     /// The faults with their byte offsets, in the order in which they were recorded.
-    pub(crate) fn into_faults(self) -> Vec<(usize, Fault)> {
+    pub(crate) fn into_faults(self) -> Vec<(usize, FileError)> {
         self.faults.into_inner()
     }
 
@@ -42,7 +42,7 @@
 
     pub(crate) fn fault(&self, offset: usize, key: &str, message: String) {
         let line = self.line(offset);
-        let fault = Fault { file: self.file.to_owned(), line, key: key.to_owned(), message };
+        let fault = FileError { file: self.file.to_owned(), line, key: key.to_owned(), message };
         self.faults.borrow_mut().push((offset, fault));
     }
 }
--- a/crates/operator-config/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -1,6 +1,6 @@
 //! The operator's files: the ones that the project ships, and bad ones.
 
-use bellcroft_operator_config::{AgentFile, Fault, FleetFile};
+use bellcroft_operator_config::{AgentFile, FileError, FleetFile};
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
@@ -30,7 +30,7 @@
 }
 
 /// Each line without the file's name.
-fn lines(faults: &[Fault], file: &Path) -> Vec<String> {
+fn lines(faults: &[FileError], file: &Path) -> Vec<String> {
     let name = file.display().to_string();
     faults.iter().map(|fault| fault.to_string().replacen(&name, "F", 1)).collect()
 }
@@ -45,7 +45,7 @@
 fn shipped_files_are_valid_with_and_without_commented_keys() {
     AgentFile::read(&shipped("agent.toml")).expect("it is good");
     let file = FleetFile::read(&shipped("fleet.toml")).expect("it is good");
-    assert_eq!(file.members.len(), 50);
+    assert_eq!(file.instances.len(), 50);
     for name in ["agent.toml", "fleet.toml"] {
         let text = std::fs::read_to_string(shipped(name)).expect("it is there");
         let all: String = text
@@ -119,11 +119,11 @@
     let text = "[fleet]\nstate = \"s\"\n[template]\ncount = 3\nfirst = 7\nname = \"d-{n}\"\n\
                 listen = \"127.0.0.1:9000\"\nconfig = \"c/{name}-{n}.json\"\n";
     let file = fleet(text).expect("it is good");
-    let names: Vec<&str> = file.members.iter().map(|m| m.name.as_str()).collect();
+    let names: Vec<&str> = file.instances.iter().map(|m| m.name.as_str()).collect();
     assert_eq!(names, ["d-7", "d-8", "d-9"]);
-    let ports: Vec<u16> = file.members.iter().map(|m| m.listen.port()).collect();
+    let ports: Vec<u16> = file.instances.iter().map(|m| m.listen.port()).collect();
     assert_eq!(ports, [9000, 9001, 9002]);
-    assert!(file.members[2].config.ends_with("c/d-9-9.json"));
+    assert!(file.instances[2].config.ends_with("c/d-9-9.json"));
     assert!(file.state.is_absolute(), "relative to its file");
 }
 
--- a/crates/operator-config/tests/membership.rs
+++ b/crates/operator-config/tests/membership.rs
@@ -1,11 +1,12 @@
 //! `[membership]` in the operator's file: rosters that cannot work are refused, each with its line and why.
 
-use bellcroft_operator_config::{AgentFile, Fault};
+use bellcroft_operator_config::{AgentFile, FileError};
 use std::path::Path;
 
 fn read(section: &str) -> Result<AgentFile, Vec<String>> {
     let text = format!("[membership]\n{section}");
-    AgentFile::parse(Path::new("F"), &text).map_err(|faults| faults.iter().map(Fault::to_string).collect())
+    AgentFile::parse(Path::new("F"), &text)
+        .map_err(|faults| faults.iter().map(FileError::to_string).collect())
 }
 
 #[test]
--- a/crates/operator-config/tests/unit/reader.rs
+++ b/crates/operator-config/tests/unit/reader.rs
@@ -13,7 +13,7 @@
         daemon.count("count", 1..=100);
     })
     .expect_err("it is bad");
-    let lines: Vec<String> = faults.iter().map(Fault::to_string).collect();
+    let lines: Vec<String> = faults.iter().map(FileError::to_string).collect();
     assert_eq!(lines, [
         "f.toml:1: a: is no known key; known are daemon",
         "f.toml:3: daemon.stte: is no known key; did you mean state?",
