--- a/crates/operator-config/src/agent.rs
+++ b/crates/operator-config/src/agent.rs
@@ -1,4 +1,4 @@
-//! `agent.toml`: the operator's settings of one instance.
+//! `agent.toml`: the operator's settings for one instance.
 
 use crate::errors::FileError;
 use crate::membership::Membership;
@@ -10,44 +10,44 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// An instance's file, checked.
+/// The validated contents of an `agent.toml`.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct AgentFile {
-    /// Its name, its files and its addresses.
+    /// `[instance]`: the instance's name, its platform configuration and its addresses.
     pub instance: Instance,
-    /// Its state directory and its shutdown.
+    /// `[daemon]`: the state directory, the status interval and the shutdown limit.
     pub daemon: Daemon,
-    /// Its routes as written; the platform's settings decide whether they are valid.
+    /// `[[route]]` and `[pool.NAME]` as written. They are validated later, against the platform's settings.
     pub routes: RoutesConfig,
-    /// Where its samples go; nowhere without the section.
+    /// `[remote_write]`: the receiver of metric samples. No samples are sent if the section is absent.
     pub remote_write: Option<RemoteWrite>,
-    /// Its cluster; none without the section.
+    /// `[membership]`: the instance's cluster. The instance joins no cluster if the section is absent.
     pub membership: Option<Membership>,
 }
 
-/// `[instance]`: the environment takes precedence over each value, and each value over the platform's configuration.
+/// `[instance]`. Environment variables override each value, and each value overrides the platform's configuration.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Instance {
-    /// Its name.
+    /// The instance's name.
     pub name: Option<String>,
-    /// The platform's configuration.
+    /// Path of the platform's configuration.
     pub config: Option<PathBuf>,
-    /// Where clients connect.
+    /// Address on which client connections are accepted.
     pub listen: Option<SocketAddr>,
-    /// Where discovery answers.
+    /// Address of the discovery service.
     pub discovery: Option<SocketAddr>,
-    /// Where the admin console listens; none without it.
+    /// Listening address of the admin console. The console is off if this is absent.
     pub console: Option<SocketAddr>,
 }
 
-/// `[daemon]`: the state directory and the shutdown.
+/// `[daemon]`: the state directory, the status interval and the shutdown limit.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Daemon {
-    /// The state directory; without it no state is kept.
+    /// The state directory. No state is stored if this is absent.
     pub state: Option<PathBuf>,
-    /// How often the status is written without any change of phase.
+    /// Interval at which the status file is rewritten while the phase does not change.
     pub status_every: Duration,
-    /// A bound for pending requests after a stop; without it only their own deadlines bind.
+    /// Time limit for pending requests during a graceful shutdown. If absent, only the requests' own deadlines apply.
     pub stop_within: Option<Duration>,
 }
 
@@ -58,25 +58,25 @@
 }
 
 impl AgentFile {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong with it.
+    /// Returns every error found in the file.
     pub fn read(file: &Path) -> Result<Self, Vec<FileError>> {
         Self::parse(file, &load(file)?)
     }
 
-    /// Checks the text of a file.
+    /// Validates the text of a file; `file` serves for relative paths and error messages only.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong with it.
+    /// Returns every error found in the text.
     pub fn parse(file: &Path, text: &str) -> Result<Self, Vec<FileError>> {
-        parse(file, text, Self::schema)
+        parse(file, text, Self::read_sections)
     }
 
-    fn schema(top: &Section) -> Self {
+    fn read_sections(top: &Section) -> Self {
         let section = top.section("instance");
         let instance = Instance {
             name: section.name(),
@@ -86,20 +86,20 @@
             console: section.address("console"),
         };
         let section = top.section("daemon");
-        let standard = Daemon::default();
+        let defaults = Daemon::default();
         let daemon = Daemon {
             state: section.path("state"),
             status_every: section
                 .time("status_every", Duration::from_millis(50)..=Duration::from_secs(60))
-                .unwrap_or(standard.status_every),
+                .unwrap_or(defaults.status_every),
             stop_within: section.time("stop_within", Duration::from_millis(100)..=Duration::from_secs(600)),
         };
         AgentFile {
             instance,
             daemon,
-            routes: crate::routes::schema(top),
-            remote_write: crate::telemetry::schema(top),
-            membership: crate::membership::schema(top),
+            routes: crate::routes::read_sections(top),
+            remote_write: crate::telemetry::read_section(top),
+            membership: crate::membership::read_section(top),
         }
     }
 }
--- a/crates/operator-config/src/errors.rs
+++ b/crates/operator-config/src/errors.rs
@@ -1,18 +1,18 @@
-//! What can be wrong with a file.
+//! Errors found in an operator's file.
 
 use std::fmt;
 use std::path::PathBuf;
 
-/// One thing that is wrong with a file.
+/// One error found in a file, displayed as `FILE:LINE: KEY: MESSAGE`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FileError {
-    /// The file.
+    /// Path of the file.
     pub file: PathBuf,
-    /// The line, counted from 1; 0 if the fault has none.
+    /// Line number, counted from 1; 0 if the error belongs to no line.
     pub line: usize,
-    /// The key with its sections, such as `daemon.state`; empty if the fault has none.
+    /// Full key, such as `daemon.state`; empty if the error belongs to no key.
     pub key: String,
-    /// What is wrong, and what would be right.
+    /// What is wrong and what was expected.
     pub message: String,
 }
 
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `fleet.toml`: the instances of a fleet and the supervisor's policy.
+//! `fleet.toml`: the instances of a fleet and the supervisor's policy for them.
 
 use crate::errors::FileError;
 use crate::reader::{load, parse};
@@ -10,20 +10,20 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Most instances of one fleet; a machine's descriptors and ports bound it too.
+/// Maximum number of instances in one fleet; file descriptors and ports of the machine limit it too.
 const MAX_INSTANCES: u64 = 4096;
-/// The bounds of intervals and back-offs.
+/// Bounds of intervals and backoffs.
 const MIN_TIME: Duration = Duration::from_millis(1);
 const MAX_TIME: Duration = Duration::from_secs(3600);
-/// The shortest time-out of an instance's start, proof or stop.
+/// Shortest timeout for an instance to become ready, to prove that it serves requests, or to stop.
 const MIN_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A fleet's file, checked.
+/// The validated contents of a `fleet.toml`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FleetFile {
-    /// The supervisor's own state directory; each instance's is a folder of its name below it.
+    /// The supervisor's state directory. Each instance's state directory is a subdirectory with the instance's name.
     pub state: PathBuf,
-    /// The program of the instances; none is the supervisor's own.
+    /// The program that instances run. The supervisor's own executable is used if this is absent.
     pub program: Option<PathBuf>,
     /// How instances are started, stopped and restarted.
     pub policy: Policy,
@@ -34,38 +34,38 @@
 /// One instance of a fleet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FleetInstance {
-    /// Its name, unique in the fleet.
+    /// The instance's name, unique in the fleet.
     pub name: String,
-    /// Where clients connect; the supervisor holds the socket.
+    /// Address on which client connections are accepted; the supervisor owns the listening socket.
     pub listen: SocketAddr,
-    /// The platform's configuration.
+    /// Path of the platform's configuration.
     pub config: PathBuf,
-    /// The operator's file for it, if it has one.
+    /// Path of the instance's `agent.toml`, if it has one.
     pub operator: Option<PathBuf>,
 }
 
 impl FleetFile {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     ///
     /// # Errors
     ///
-    /// Everything that is wrong with it.
+    /// Returns every error found in the file.
     pub fn read(file: &Path) -> Result<Self, Vec<FileError>> {
-        parse(file, &load(file)?, Self::schema)
+        parse(file, &load(file)?, Self::read_sections)
     }
 
-    fn schema(top: &Section) -> Self {
+    fn read_sections(top: &Section) -> Self {
         let section = top.section("fleet");
         let state = section.path("state");
         let state =
             section.required("state", state, "a folder such as \"/run/bellcroft\"").unwrap_or_default();
         let program = section.path("program");
-        let policy = policy(&section, &top.section("restart"));
+        let policy = read_policy(&section, &top.section("restart"));
         let listed = top.sections("instance");
         let template = top.section("template");
         let instances = read_instances(&listed, &template);
         if instances.is_empty() && listed.is_empty() && !template.is_present() {
-            top.fault(
+            top.report(
                 "instance",
                 "there is no [[instance]] and no [template]; a fleet has at least one instance",
             );
@@ -74,8 +74,8 @@
     }
 }
 
-/// `[fleet]` and `[restart]`: the supervisor's policy.
-fn policy(fleet: &Section, restart: &Section) -> Policy {
+/// Reads the supervisor's policy from `[fleet]` and `[restart]`.
+fn read_policy(fleet: &Section, restart: &Section) -> Policy {
     let default = Policy::default();
     let time = |key, min, default| fleet.time(key, min..=MAX_TIME).unwrap_or(default);
     let policy = Policy {
@@ -86,48 +86,48 @@
         roll_at_once: fleet
             .count("roll_at_once", 1..=MAX_INSTANCES)
             .map_or(default.roll_at_once, |count| count as usize),
-        restart: restart_policy(restart, default.restart),
+        restart: read_restart_policy(restart, default.restart),
     };
     if policy.restart.max < policy.restart.first {
-        restart.fault("most", "is shorter than restart.first; it must be as long at least");
+        restart.report("most", "must be at least as long as restart.first");
     }
     policy
 }
 
-fn restart_policy(section: &Section, default: Restart) -> Restart {
+fn read_restart_policy(section: &Section, default: Restart) -> Restart {
     let time = |key, default| section.time(key, MIN_TIME..=MAX_TIME).unwrap_or(default);
     Restart {
         first: time("first", default.first),
         max: time("most", default.max),
-        jitter: section.share("jitter").unwrap_or(default.jitter),
+        jitter: section.fraction("jitter").unwrap_or(default.jitter),
         limit: section.count("limit", 1..=1000).map_or(default.limit, |limit| limit as u32),
         forgive_after: time("forgive_after", default.forgive_after),
     }
 }
 
-/// The instances of `[[instance]]` and `[template]`.
+/// Reads the instances from `[[instance]]` and `[template]`.
 fn read_instances(listed: &[Section], template: &Section) -> Vec<FleetInstance> {
-    let mut members = Vec::new();
-    let mut taken = Taken::default();
+    let mut instances = Vec::new();
+    let mut in_use = NamesAndAddresses::default();
     for section in listed {
-        if let Some(member) = member(section) {
-            taken.check(&member, section);
-            members.push(member);
+        if let Some(instance) = read_instance(section) {
+            in_use.add(&instance, section);
+            instances.push(instance);
         }
     }
     if template.is_present() {
-        let made = from_template(template);
-        for member in &made {
-            if !taken.check(member, template) {
+        let generated = expand_template(template);
+        for instance in &generated {
+            if !in_use.add(instance, template) {
                 break;
             }
         }
-        members.extend(made);
+        instances.extend(generated);
     }
-    members
+    instances
 }
 
-fn member(section: &Section) -> Option<FleetInstance> {
+fn read_instance(section: &Section) -> Option<FleetInstance> {
     let name = section.name();
     let name = section.required("name", name, "a name");
     let listen = section.address("listen");
@@ -138,34 +138,41 @@
     Some(FleetInstance { name: name?, listen: listen?, config: config?, operator })
 }
 
-/// The names and addresses in use.
+/// Names and listening addresses that instances of the fleet already use.
 #[derive(Default)]
-struct Taken {
+struct NamesAndAddresses {
     names: HashSet<String>,
+    /// Name of the instance that uses each address.
     addresses: HashMap<SocketAddr, String>,
 }
 
-impl Taken {
-    /// Records a fault if another member has the same name or address; false in that case.
-    fn check(&mut self, member: &FleetInstance, section: &Section) -> bool {
-        let mut free = true;
-        if !self.names.insert(member.name.clone()) {
-            section.fault("name", format!("{:?} is another instance's too; each needs its own", member.name));
-            free = false;
+impl NamesAndAddresses {
+    /// Adds an instance. If another one has the same name or address, reports an error and returns false. Port 0 stands
+    /// for a port that the system picks, so such addresses never collide.
+    fn add(&mut self, instance: &FleetInstance, section: &Section) -> bool {
+        let mut unique = true;
+        if !self.names.insert(instance.name.clone()) {
+            section.report(
+                "name",
+                format!("is {:?}, which is already the name of another instance", instance.name),
+            );
+            unique = false;
         }
-        if member.listen.port() == 0 {
-            return free;
+        if instance.listen.port() == 0 {
+            return unique;
         }
-        if let Some(other) = self.addresses.insert(member.listen, member.name.clone()) {
-            section.fault("listen", format!("{} is {other}'s; each needs its own", member.listen));
-            free = false;
+        if let Some(other) = self.addresses.insert(instance.listen, instance.name.clone()) {
+            section
+                .report("listen", format!("is {}, which is already the address of {other}", instance.listen));
+            unique = false;
         }
-        free
+        unique
     }
 }
 
-/// The instances of a template, in whose texts `{n}` is the instance's number and `{name}` its name.
-fn from_template(section: &Section) -> Vec<FleetInstance> {
+/// Generates the instances of a template. `{n}` in its name and paths stands for an instance's number, `{name}` in its
+/// paths for the instance's name. Ports count up from the port of `listen`.
+fn expand_template(section: &Section) -> Vec<FleetInstance> {
     let count = section.count("count", 1..=MAX_INSTANCES);
     let count = section.required("count", count, "a number of instances").unwrap_or(0);
     let first = section.count("first", 0..=1_000_000).unwrap_or(0);
@@ -178,18 +185,21 @@
     let operator = section.path("operator");
     let (Some(pattern), Some(listen), Some(config)) = (pattern, listen, config) else { return Vec::new() };
     if !pattern.contains("{n}") && count > 1 {
-        section.fault("name", format!("is {pattern:?}; with {{n}} in it, names of several instances differ"));
+        section.report(
+            "name",
+            format!("is {pattern:?}; a name with {{n}} was expected, since count is above 1"),
+        );
         return Vec::new();
     }
-    let last = u64::from(listen.port()) + count.saturating_sub(1);
-    if listen.port() != 0 && last > u64::from(u16::MAX) {
-        section.fault(
+    let last_port = u64::from(listen.port()) + count.saturating_sub(1);
+    if listen.port() != 0 && last_port > u64::from(u16::MAX) {
+        section.report(
             "listen",
-            format!("the last of {count} instances would have port {last}; 65535 is the last"),
+            format!("the last of {count} instances would have port {last_port}; the highest port is 65535"),
         );
         return Vec::new();
     }
-    let made = (0..count).map(|index| {
+    let generated = (0..count).map(|index| {
         let name = pattern.replace("{n}", &(first + index).to_string());
         let fill = |path: &PathBuf| {
             let text = path.to_string_lossy().replace("{name}", &name);
@@ -201,13 +211,13 @@
         }
         FleetInstance { listen, config: fill(&config), operator: operator.as_ref().map(fill), name }
     });
-    let made: Vec<FleetInstance> = made.collect();
-    if let Some(bad) = made.iter().find(|member| !is_valid_name(&member.name)) {
-        let name = &bad.name;
-        section.fault(
+    let generated: Vec<FleetInstance> = generated.collect();
+    if let Some(invalid) = generated.iter().find(|instance| !is_valid_name(&instance.name)) {
+        let name = &invalid.name;
+        section.report(
             "name",
             format!("makes {name:?}; at most 64 letters, digits, '-', '_' and '.' were expected"),
         );
     }
-    made
+    generated
 }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,9 +1,9 @@
-//! The files that an operator owns: `agent.toml` for an instance ([`AgentFile`]), `fleet.toml` for a fleet of them
-//! ([`FleetFile`]).
+//! Configuration files that operators write: `agent.toml` for one instance ([`AgentFile`]) and `fleet.toml` for a fleet
+//! of instances ([`FleetFile`]).
 //!
-//! A file is checked completely: either every value in it is valid, or the result is the list of all faults, each
-//! [`FileError`] with its line, its key, what is wrong and what was expected. An unknown key is a fault. Each subsystem reads
-//! its own section through [`Section`], which records the keys that it was asked for.
+//! Validation does not stop at the first error: the result is either a file whose values are all valid, or a list of
+//! every error, each a [`FileError`] with its line, its key, what is wrong and what was expected. An unknown key is an error.
+//! Each subsystem reads its own section through [`Section`], which records the keys that it was asked for.
 
 mod agent;
 mod errors;
--- a/crates/operator-config/src/routes.rs
+++ b/crates/operator-config/src/routes.rs
@@ -1,4 +1,4 @@
-//! `[[route]]` and `[pool.NAME]`.
+//! `[[route]]` and `[pool.NAME]`: routes and the pools whose limits they share.
 
 use crate::section::Section;
 use bellcroft_balancer::{Micros, RetryOn};
@@ -8,26 +8,26 @@
 };
 use std::time::Duration;
 
-/// The bounds of time-outs.
+/// Bounds of timeouts.
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 const MAX_TIMEOUT: Duration = Duration::from_secs(600);
-/// The bound of counts of requests.
+/// Upper bound of limits that count requests.
 const MAX_COUNT: u64 = 1_000_000;
 
 /// Reads the routes and the pools.
-pub(crate) fn schema(top: &Section) -> RoutesConfig {
-    let routes = top.sections("route").iter().map(route).collect();
+pub(crate) fn read_sections(top: &Section) -> RoutesConfig {
+    let routes = top.sections("route").iter().map(read_route).collect();
     let pools = top.section("pool");
-    let pools = pools.children().into_iter().map(|(name, section)| pool(name, &section)).collect();
+    let pools = pools.children().into_iter().map(|(name, section)| read_pool(name, &section)).collect();
     RoutesConfig { routes, pools }
 }
 
-/// The lines of the keys that have been read so far.
-fn lines(section: &Section) -> SourceLines {
-    SourceLines { section: section.line(), keys: section.lines() }
+/// Line numbers of the section and of the keys that have been read so far, for later error messages.
+fn source_lines(section: &Section) -> SourceLines {
+    SourceLines { section: section.line(), keys: section.key_lines() }
 }
 
-fn time(section: &Section, key: &'static str) -> Option<Micros> {
+fn read_timeout(section: &Section, key: &'static str) -> Option<Micros> {
     section.time(key, MIN_TIMEOUT..=MAX_TIMEOUT).map(micros)
 }
 
@@ -35,25 +35,25 @@
     Micros(time.as_micros() as u64)
 }
 
-fn count(section: &Section, key: &'static str) -> Option<u32> {
+fn read_request_limit(section: &Section, key: &'static str) -> Option<u32> {
     section.count(key, 1..=MAX_COUNT).map(|count| count as u32)
 }
 
-fn budget(section: &Section, key: &'static str) -> Option<RetryBudgetConfig> {
+fn read_retry_budget(section: &Section, key: &'static str) -> Option<RetryBudgetConfig> {
     let section = section.section(key);
-    let ratio = section.share("ratio");
+    let ratio = section.fraction("ratio");
     let burst = section.number("burst", 1.0..=1e6);
     if !section.is_present() {
         return None;
     }
-    let ratio = section.required("ratio", ratio, "the further attempts that each request earns");
-    let burst = section.required("burst", burst, "the further attempts that are saved up at most");
+    let ratio = section.required("ratio", ratio, "the number of further attempts that each request earns");
+    let burst = section.required("burst", burst, "the maximum number of further attempts saved up");
     Some(RetryBudgetConfig { ratio: ratio?, burst: burst? })
 }
 
-fn route(section: &Section) -> RouteConfig {
-    let own = section.name();
-    let own = section.required("name", own, "a name");
+fn read_route(section: &Section) -> RouteConfig {
+    let name = section.name();
+    let name = section.required("name", name, "a name");
     let matches = section.section("match");
     let matches = RouteMatch {
         class: matches.text("class"),
@@ -72,29 +72,30 @@
     });
     let expected =
         "\"never\", a percentile such as \"p95\" (p50 to p99.9), or a time such as \"200ms\" from 1ms to 10m";
-    let hedge = section.parsed("second_copy_after", expected, second_copy).unwrap_or_default();
+    let hedge = section.parsed("second_copy_after", expected, parse_hedge_policy).unwrap_or_default();
     RouteConfig {
-        name: own.unwrap_or_default(),
+        name: name.unwrap_or_default(),
         matches,
-        timeout: time(section, "timeout"),
-        attempt_timeout: time(section, "attempt_timeout"),
-        connect_timeout: time(section, "connect_timeout"),
-        first_byte_timeout: time(section, "first_byte_timeout"),
-        queue_timeout: time(section, "queue_timeout"),
+        timeout: read_timeout(section, "timeout"),
+        attempt_timeout: read_timeout(section, "attempt_timeout"),
+        connect_timeout: read_timeout(section, "connect_timeout"),
+        first_byte_timeout: read_timeout(section, "first_byte_timeout"),
+        queue_timeout: read_timeout(section, "queue_timeout"),
         attempts: section.count("attempts", 1..=100).map(|count| count as u32),
         retry_on,
         retry_within,
         hedge,
-        max_hedge_ratio: section.share("second_copies_most"),
-        retry_budget: budget(section, "retry_budget"),
-        max_in_flight: count(section, "max_in_flight"),
-        max_queued: count(section, "max_held"),
+        max_hedge_ratio: section.fraction("second_copies_most"),
+        retry_budget: read_retry_budget(section, "retry_budget"),
+        max_in_flight: read_request_limit(section, "max_in_flight"),
+        max_queued: read_request_limit(section, "max_held"),
         pool: section.text("pool"),
-        lines: lines(section),
+        lines: source_lines(section),
     }
 }
 
-fn second_copy(word: &str) -> Option<HedgePolicy> {
+/// Parses `"never"`, a percentile such as `"p95"`, or a delay such as `"200ms"`.
+fn parse_hedge_policy(word: &str) -> Option<HedgePolicy> {
     if word == "never" {
         return Some(HedgePolicy::Never);
     }
@@ -106,13 +107,13 @@
     (MIN_TIMEOUT..=MAX_TIMEOUT).contains(&after).then_some(HedgePolicy::After(micros(after)))
 }
 
-fn pool(name: String, section: &Section) -> PoolConfig {
+fn read_pool(name: String, section: &Section) -> PoolConfig {
     PoolConfig {
         name,
-        retry_budget: budget(section, "retry_budget"),
-        max_hedge_ratio: section.share("second_copies_most"),
-        max_in_flight: count(section, "max_in_flight"),
-        max_queued: count(section, "max_held"),
-        lines: lines(section),
+        retry_budget: read_retry_budget(section, "retry_budget"),
+        max_hedge_ratio: section.fraction("second_copies_most"),
+        max_in_flight: read_request_limit(section, "max_in_flight"),
+        max_queued: read_request_limit(section, "max_held"),
+        lines: source_lines(section),
     }
 }
--- a/crates/operator-config/src/telemetry.rs
+++ b/crates/operator-config/src/telemetry.rs
@@ -1,43 +1,43 @@
-//! `[remote_write]` and `[remote_write.labels]`.
+//! `[remote_write]` and `[remote_write.labels]`: the receiver of metric samples.
 
 use crate::section::Section;
 use bellcroft_telemetry::{Url, LABEL_MOST};
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Most labels of an operator.
+/// Maximum number of labels in `[remote_write.labels]`.
 const MAX_LABELS: usize = 32;
-/// Largest token file in bytes; it holds one line.
+/// Maximum size of the token file in bytes; the file holds one line.
 const MAX_TOKEN_FILE_BYTES: u64 = 16 << 10;
 
-/// Where samples go, and how.
+/// The receiver of metric samples and how they are sent to it.
 #[derive(Clone, PartialEq)]
 pub struct RemoteWrite {
-    /// The receiver.
+    /// URL of the receiver.
     pub url: Url,
-    /// Remote write 2.0 is tried first.
+    /// Whether remote write 2.0 is tried before 1.0.
     pub version_2: bool,
-    /// The interval of samples.
+    /// Interval between samples.
     pub interval: Duration,
-    /// The time-out of one exchange with the receiver.
+    /// Timeout of one request to the receiver.
     pub timeout: Duration,
-    /// The bound of the queue.
+    /// Maximum size of the queue of unsent samples.
     pub queue_bytes: usize,
-    /// The first back-off after a failure, and the longest one.
+    /// First and longest backoff after a failed request.
     pub retry: (Duration, Duration),
-    /// The time to send the queue after a stop.
+    /// Time limit for sending the queue during a graceful shutdown.
     pub flush_within: Duration,
-    /// The bearer token, read from its file.
+    /// Bearer token, read from `token_file`.
     pub token: Option<String>,
-    /// Most servers named in labels at a time.
+    /// Maximum number of servers that are named in labels at a time.
     pub server_names: usize,
-    /// Labels of every series.
+    /// Labels that are added to every series.
     pub labels: Vec<(String, String)>,
 }
 
 impl std::fmt::Debug for RemoteWrite {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        // Without the token.
+        // The token is secret and stays out of logs.
         f.debug_struct("RemoteWrite")
             .field("url", &self.url)
             .field("labels", &self.labels)
@@ -45,11 +45,11 @@
     }
 }
 
-/// Reads the section.
-pub(crate) fn schema(top: &Section) -> Option<RemoteWrite> {
+/// Reads the section; None if it is absent or has no valid URL.
+pub(crate) fn read_section(top: &Section) -> Option<RemoteWrite> {
     let section = top.section("remote_write");
     let seconds = Duration::from_secs;
-    let address = section.text("url");
+    let url = section.text("url");
     let version_2 = section.parsed("version", "\"1.0\" or \"2.0\"", |word| match word {
         "1.0" => Some(false),
         "2.0" => Some(true),
@@ -63,19 +63,21 @@
     let flush_within = section.time("flush_within", Duration::from_millis(10)..=seconds(60));
     let token_file = section.path("token_file");
     let server_names = section.count("server_names", 0..=1000);
-    let labels = labels(&section.section("labels"));
+    let labels = read_labels(&section.section("labels"));
     if !section.is_present() {
         return None;
     }
-    let address =
-        section.required("url", address, "where samples go, such as \"http://127.0.0.1:9090/api/v1/write\"");
-    let url = address.and_then(|text| Url::parse(&text).map_err(|why| section.fault("url", why)).ok());
+    let url =
+        section.required("url", url, "where samples go, such as \"http://127.0.0.1:9090/api/v1/write\"");
+    let url = url.and_then(|text| Url::parse(&text).map_err(|error| section.report("url", error)).ok());
     let retry = (first.unwrap_or(Duration::from_millis(250)), max.unwrap_or(seconds(30)));
     if retry.0 > retry.1 {
-        section.fault("retry_first", "is longer than retry_most");
+        section.report("retry_first", "is longer than retry_most");
     }
     let token = token_file.and_then(|file| {
-        token(&file).map_err(|why| section.fault("token_file", format!("{}: {why}", file.display()))).ok()
+        read_token(&file)
+            .map_err(|error| section.report("token_file", format!("{}: {error}", file.display())))
+            .ok()
     });
     Some(RemoteWrite {
         url: url?,
@@ -91,32 +93,32 @@
     })
 }
 
-/// Labels, whose names follow Prometheus' data model; names that start with `__` are reserved.
-fn labels(section: &Section) -> Vec<(String, String)> {
-    let texts = section.texts();
-    if texts.len() > MAX_LABELS {
-        section.fault("", format!("holds {} labels; at most {MAX_LABELS} are sent", texts.len()));
+/// Reads the labels. Their names follow Prometheus's data model, in which names that start with `__` are reserved.
+fn read_labels(section: &Section) -> Vec<(String, String)> {
+    let labels = section.texts();
+    if labels.len() > MAX_LABELS {
+        section.report("", format!("holds {} labels; at most {MAX_LABELS} are sent", labels.len()));
     }
-    for (name, value) in &texts {
-        let letter = |c: char| c.is_ascii_alphabetic() || c == '_';
-        let good = name.starts_with(letter) && name.chars().all(|c| letter(c) || c.is_ascii_digit());
-        if !good || name.starts_with("__") {
-            section.fault(
+    for (name, value) in &labels {
+        let is_letter = |c: char| c.is_ascii_alphabetic() || c == '_';
+        let valid = name.starts_with(is_letter) && name.chars().all(|c| is_letter(c) || c.is_ascii_digit());
+        if !valid || name.starts_with("__") {
+            section.report(
                 name,
-                "is no label's name; letters, digits and '_' were expected, and no '__' in front",
+                "is not a valid label name; letters, digits and '_' were expected, with no leading digit or '__'",
             );
         } else if value.len() > LABEL_MOST {
-            section.fault(name, format!("is {} bytes long; at most {LABEL_MOST} are sent", value.len()));
+            section.report(name, format!("is {} bytes long; at most {LABEL_MOST} are sent", value.len()));
         }
     }
-    texts
+    labels
 }
 
-/// Reads a token file. An error never contains the token.
-fn token(file: &PathBuf) -> Result<String, String> {
+/// Reads a token file. Error messages never contain the token.
+fn read_token(file: &PathBuf) -> Result<String, String> {
     let size = std::fs::metadata(file).map_err(|e| format!("cannot be read: {e}"))?;
     if !size.is_file() || size.len() > MAX_TOKEN_FILE_BYTES {
-        return Err(format!("is no file of at most {MAX_TOKEN_FILE_BYTES} bytes"));
+        return Err(format!("is not a file of at most {MAX_TOKEN_FILE_BYTES} bytes"));
     }
     let text = std::fs::read_to_string(file).map_err(|e| format!("cannot be read: {}", e.kind()))?;
     let token = text.trim();
--- a/crates/operator-config/src/values.rs
+++ b/crates/operator-config/src/values.rs
@@ -1,4 +1,4 @@
-//! Typed values of a section's keys.
+//! Getters of [`Section`] for typed values. Each returns None if the key is absent or its value is invalid.
 
 use crate::section::Section;
 use std::net::SocketAddr;
@@ -8,11 +8,11 @@
 use toml::de::DeValue;
 use toml::Spanned;
 
-/// Longest name in bytes.
+/// Maximum length of a name in bytes.
 const MAX_NAME_BYTES: usize = 64;
 
 impl<'i> Section<'i> {
-    /// The value of a key, if it is present and `read` accepts it; `expected` describes it for the fault.
+    /// Returns the value of a key if it is present and `read` accepts it. `expected` describes valid values in the error.
     pub(crate) fn value<T>(
         &self,
         key: &'static str,
@@ -23,29 +23,29 @@
         let read = read(value.get_ref());
         if read.is_none() {
             let found = describe(value.get_ref());
-            self.fault(key, format!("is {found}; {expected} was expected"));
+            self.report(key, format!("is {found}; {expected} was expected"));
         }
         read
     }
 
-    /// A text that is not empty.
+    /// Returns a string that is not blank.
     pub fn text(&self, key: &'static str) -> Option<String> {
         self.value(key, "a text that is not empty", |value| {
             value.as_str().filter(|text| !text.trim().is_empty()).map(str::to_owned)
         })
     }
 
-    /// A path; a relative one starts from the file's folder.
+    /// Returns a path. Relative paths start from the file's directory.
     pub fn path(&self, key: &'static str) -> Option<PathBuf> {
-        self.text(key).map(|text| self.folder().join(text))
+        self.text(key).map(|text| self.base_dir().join(text))
     }
 
-    /// An address such as `127.0.0.1:8443`.
+    /// Returns an address such as `127.0.0.1:8443`.
     pub fn address(&self, key: &'static str) -> Option<SocketAddr> {
         self.value(key, "an address such as \"127.0.0.1:8443\"", |value| value.as_str()?.parse().ok())
     }
 
-    /// A list of addresses; empty if it is absent.
+    /// Returns a list of addresses; empty if it is absent or invalid.
     pub fn addresses(&self, key: &'static str) -> Vec<SocketAddr> {
         let read = |value: &DeValue<'i>| {
             let DeValue::Array(list) = value else { return None };
@@ -54,7 +54,7 @@
         self.value(key, "a list of addresses such as [\"127.0.0.1:7946\"]", read).unwrap_or_default()
     }
 
-    /// A duration such as `"200ms"` or `"1m 30s"`, within bounds.
+    /// Returns a duration such as `"200ms"` or `"1m 30s"`, within bounds.
     pub fn time(&self, key: &'static str, within: RangeInclusive<Duration>) -> Option<Duration> {
         let expected = format!(
             "a time such as \"200ms\" or \"2s\", from {} to {},",
@@ -67,7 +67,7 @@
         })
     }
 
-    /// An integer within bounds.
+    /// Returns an integer within bounds.
     pub fn count(&self, key: &'static str, within: RangeInclusive<u64>) -> Option<u64> {
         let expected = format!("a whole number from {} to {}", within.start(), within.end());
         self.value(key, &expected, |value| match value {
@@ -79,20 +79,20 @@
         })
     }
 
-    /// A share within 0 to 1.
-    pub fn share(&self, key: &'static str) -> Option<f64> {
+    /// Returns a fraction from 0 to 1.
+    pub fn fraction(&self, key: &'static str) -> Option<f64> {
         self.value(key, "a number from 0.0 to 1.0", |value| {
             number(value).filter(|number| (0.0..=1.0).contains(number))
         })
     }
 
-    /// A number within bounds.
+    /// Returns a number within bounds.
     pub fn number(&self, key: &'static str, within: RangeInclusive<f64>) -> Option<f64> {
         let expected = format!("a number from {} to {}", within.start(), within.end());
         self.value(key, &expected, |value| number(value).filter(|number| within.contains(number)))
     }
 
-    /// A list of words out of `known`, by their indices there.
+    /// Returns a list of words from `known`, as indices into `known`.
     pub fn choices(&self, key: &'static str, known: &[&str]) -> Option<Vec<usize>> {
         let expected = format!("a list out of {known:?}");
         self.value(key, &expected, |value| {
@@ -103,7 +103,7 @@
         })
     }
 
-    /// A value that `read` makes of a text; `expected` describes it for the fault.
+    /// Returns the value that `read` parses from a string. `expected` describes valid values in the error.
     pub fn parsed<T>(
         &self,
         key: &'static str,
@@ -113,25 +113,25 @@
         self.value(key, expected, |value| read(value.as_str()?))
     }
 
-    /// The texts of this section, whose keys the operator chooses.
+    /// Returns all entries of a section whose keys the operator chooses and whose values are strings.
     pub fn texts(&self) -> Vec<(String, String)> {
         let mut texts = Vec::new();
         for (name, value) in self.free_entries() {
             match value.get_ref().as_str() {
                 Some(text) => texts.push((name, text.to_owned())),
-                None => self.fault(&name, "is no text"),
+                None => self.report(&name, "is not a string"),
             }
         }
         texts
     }
 
-    /// The key `name`: a name that can stand in a path and in a log.
+    /// Returns the value of the key `name`, which must be usable in paths and logs.
     pub(crate) fn name(&self) -> Option<String> {
         let name = self.text("name")?;
         if is_valid_name(&name) {
             return Some(name);
         }
-        self.fault(
+        self.report(
             "name",
             format!("is {name:?}; at most 64 letters, digits, '-', '_' and '.' were expected"),
         );
@@ -139,13 +139,13 @@
     }
 }
 
-/// Whether a name can stand in a path and in a log.
+/// Returns whether a name is usable in paths and logs.
 pub(crate) fn is_valid_name(name: &str) -> bool {
     let valid = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     name.len() <= MAX_NAME_BYTES && name.chars().all(valid) && !name.starts_with('.')
 }
 
-/// A value as a fault shows it.
+/// Describes a value for an error message.
 fn describe(value: &DeValue) -> String {
     match value {
         DeValue::String(text) => format!("{:?}", text.as_ref()),
--- a/crates/operator-config/tests/bad_routes/mod.rs
+++ b/crates/operator-config/tests/bad_routes/mod.rs
@@ -1,8 +1,8 @@
-//! Invalid routes, each with its errors.
+//! Invalid routes and the errors expected for them.
 
 use super::route;
 
-/// A file, and its errors line by line.
+/// Returns pairs of a file's text and its errors, one on each line.
 pub fn cases() -> Vec<(String, &'static str)> {
     vec![
         (
@@ -231,7 +231,7 @@
         ),
         (
             route("read", "retry_budget = { ratio = 0.1 }"),
-            "4: route[0].retry_budget.burst: is missing; the further attempts that are saved up at most is needed",
+            "4: route[0].retry_budget.burst: is missing; the maximum number of further attempts saved up is needed",
         ),
         (
             route("read", "retry_budget = { ratio = 1.1, burst = 1 }"),
@@ -307,7 +307,7 @@
         ),
         (
             "[route]\nname = \"a\"\n".to_owned(),
-            "1: route: is no list of sections; write [[route]]",
+            "1: route: is not a list of sections; write [[route]]",
         ),
         (
             "[pool.p]\nmax_held = 3\n".to_owned(),
@@ -315,7 +315,7 @@
         ),
         (
             "[pool]\np = 3\n".to_owned(),
-            "2: pool.p: is no section",
+            "2: pool.p: is not a section",
         ),
         (
             "[pool.p]\nmax_hold = 3\n[[route]]\nname = \"a\"\npool = \"p\"\n".to_owned(),
--- a/crates/operator-config/tests/membership.rs
+++ b/crates/operator-config/tests/membership.rs
@@ -1,4 +1,4 @@
-//! `[membership]` in the operator's file: rosters that cannot work are refused, each with its line and why.
+//! `[membership]` in `agent.toml`: valid sections, and errors with line and reason for invalid ones.
 
 use bellcroft_operator_config::{AgentFile, FileError};
 use std::path::Path;
@@ -6,20 +6,21 @@
 fn read(section: &str) -> Result<AgentFile, Vec<String>> {
     let text = format!("[membership]\n{section}");
     AgentFile::parse(Path::new("F"), &text)
-        .map_err(|faults| faults.iter().map(FileError::to_string).collect())
+        .map_err(|errors| errors.iter().map(FileError::to_string).collect())
 }
 
 #[test]
 fn member_number_is_found_in_peer_list() {
     let peers = "cluster = \"south\"\npeers = [\"127.0.0.1:7\", \"127.0.0.1:8\"]\n";
-    let file = read(&format!("{peers}listen = \"127.0.0.1:8\"\n")).expect("it is good").membership;
-    let section = file.expect("it is there");
+    let file =
+        read(&format!("{peers}listen = \"127.0.0.1:8\"\n")).expect("the file should be valid").membership;
+    let section = file.expect("the section should be present");
     assert_eq!((section.number, section.peers.len(), section.cluster.as_str()), (Some(1), 2, "south"));
-    assert_eq!(AgentFile::default().membership, None, "off without the section");
+    assert_eq!(AgentFile::default().membership, None, "membership should be off without the section");
 }
 
 #[test]
-fn invalid_peer_lists_are_rejected_with_line_and_reason() {
+fn invalid_sections_report_line_and_reason() {
     let cases = [
         ("listen = \"127.0.0.1:7\"\n", "F:1: membership.cluster: is missing; a name that all its members share is needed"),
         (
@@ -28,7 +29,7 @@
         ),
         (
             "cluster = \"s\"\npeers = [\"0.0.0.0:7\"]\n",
-            "F:3: membership.peers: item 0 is 0.0.0.0:7; nothing can be sent there",
+            "F:3: membership.peers: item 0 is 0.0.0.0:7; the address and port of a member were expected",
         ),
         (
             "cluster = \"s\"\nnumber = 2\npeers = [\"127.0.0.1:7\", \"127.0.0.1:8\"]\n",
@@ -40,7 +41,7 @@
         ),
         (
             "cluster = \"s\"\nseeds = [\"127.0.0.1:9\"]\npeers = [\"127.0.0.1:7\"]\n",
-            "F:3: membership.seeds: stands beside peers; a list of all members needs no seeds",
+            "F:3: membership.seeds: cannot be combined with peers, which already lists all members",
         ),
         (
             "cluster = \"s\"\nlisten = \"127.0.0.1:8\"\nnumber = 0\npeers = [\"127.0.0.1:7\", \"127.0.0.1:8\"]\n",
--- a/crates/operator-config/tests/routes.rs
+++ b/crates/operator-config/tests/routes.rs
@@ -1,4 +1,4 @@
-//! Routes as operators write them: bad files, each with its message, and files out of a grammar.
+//! Routes in `agent.toml`: the errors of invalid files, valid files, and files generated from a grammar.
 
 use bellcroft_balancer::{Class, DedupScope, Micros, RetrySafety, Settings, Tenant};
 use bellcroft_operator_config::AgentFile;
@@ -8,20 +8,20 @@
 
 const CLASSES: [&str; 4] = ["read", "log", "assign", "pay"];
 
-/// Deadlines of 10 s, repeats dropped for 7.5 s everywhere (`log`) or for 1 s in a zone (`assign`).
+/// Settings with deadlines of 10 s and dedup windows of 7.5 s across all servers (`log`) or 1 s within a zone (`assign`).
 fn settings() -> Settings {
-    let class = |effect| Class {
-        retry_safety: effect,
+    let class = |retry_safety| Class {
+        retry_safety,
         latency_objective: Micros::from_ms(500.0),
         deadline: Micros::from_ms(10_000.0),
         ..Class::default()
     };
-    let keyed = |group, ms| RetrySafety::Deduplicated { scope: group, window: Micros::from_ms(ms) };
+    let deduplicated = |scope, ms| RetrySafety::Deduplicated { scope, window: Micros::from_ms(ms) };
     Settings {
         classes: vec![
             class(RetrySafety::Idempotent),
-            class(keyed(DedupScope::All, 7500.0)),
-            class(keyed(DedupScope::Zone, 1000.0)),
+            class(deduplicated(DedupScope::All, 7500.0)),
+            class(deduplicated(DedupScope::Zone, 1000.0)),
             class(RetrySafety::AtMostOnce),
         ],
         tenants: vec![Tenant { fraction: 1.0, allowance_per_s: 100.0 }],
@@ -32,30 +32,30 @@
     }
 }
 
-/// All that is wrong with a text, as `bellcroft check` tells it.
-fn wrong(text: &str) -> Vec<String> {
+/// All errors in a text, in the form in which `bellcroft check` prints them.
+fn errors(text: &str) -> Vec<String> {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let number = NUMBER.fetch_add(1, Ordering::SeqCst);
     let file: PathBuf =
         std::env::temp_dir().join(format!("bellcroft-routes-{}-{number}.toml", std::process::id()));
-    std::fs::write(&file, text).expect("a file");
+    std::fs::write(&file, text).expect("the file should be writable");
     let read = AgentFile::read(&file);
-    std::fs::remove_file(&file).expect("it was there");
+    std::fs::remove_file(&file).expect("the file should exist");
     let settings = settings();
     let classes = CLASSES.map(str::to_owned);
     let tenants = ["acme".to_owned()];
     let connect_timeout = Micros::from_ms(2500.0);
     let platform = Platform { settings: &settings, classes: &classes, tenants: &tenants, connect_timeout };
     match read {
-        Err(faults) => {
+        Err(errors) => {
             let name = file.display().to_string();
-            faults.iter().map(|fault| fault.to_string().replacen(&format!("{name}:"), "", 1)).collect()
+            errors.iter().map(|error| error.to_string().replacen(&format!("{name}:"), "", 1)).collect()
         }
         Ok(file) => check(&file.routes, &platform).iter().map(ToString::to_string).collect(),
     }
 }
 
-/// One route of this class with these lines, which begin in line 4.
+/// A route of `class` with the lines `more`, which start in line 4.
 fn route(class: &str, more: &str) -> String {
     format!("[[route]]\nname = \"r\"\nmatch = {{ class = \"{class}\" }}\n{more}\n")
 }
@@ -63,12 +63,12 @@
 mod bad_routes;
 
 #[test]
-fn invalid_routes_are_rejected_with_messages() {
+fn invalid_routes_are_rejected() {
     let mut failures = Vec::new();
     let cases = bad_routes::cases();
     assert!(cases.len() >= 60, "{}", cases.len());
     for (text, expected) in &cases {
-        let found = wrong(text);
+        let found = errors(text);
         assert!(!found.is_empty(), "accepted:\n{text}");
         if found.join("\n") != *expected {
             failures.push(format!("{text}--- expected\n{expected}\n--- found\n{}\n", found.join("\n")));
@@ -95,25 +95,25 @@
         route("read", "retry_budget = { ratio = 0.1, burst = 3 }\npool = \"p\"\n[pool.p]\nretry_budget = { ratio = 0.1, burst = 3 }"),
         "[[route]]\nname = \"a\"\nmatch = { path = \"/log/urgent\" }\n[[route]]\nname = \"b\"\n".to_owned(),
     ] {
-        assert_eq!(wrong(&text), Vec::<String>::new(), "{text}");
+        assert_eq!(errors(&text), Vec::<String>::new(), "{text}");
     }
 }
 
-/// The example files keep the rules of the booking service's classes.
+/// The example files are valid for the request classes of the booking service.
 #[test]
 fn example_files_are_valid() {
-    let class = |effect, deadline| Class {
-        retry_safety: effect,
+    let class = |retry_safety, deadline| Class {
+        retry_safety,
         latency_objective: Micros::from_ms(250.0),
         deadline: Micros::from_ms(deadline),
         ..Class::default()
     };
-    let keyed = |group, ms| RetrySafety::Deduplicated { scope: group, window: Micros::from_ms(ms) };
+    let deduplicated = |scope, ms| RetrySafety::Deduplicated { scope, window: Micros::from_ms(ms) };
     let settings = Settings {
         classes: vec![
             class(RetrySafety::Idempotent, 1500.0),
-            class(keyed(DedupScope::All, 7500.0), 2500.0),
-            class(keyed(DedupScope::Zone, 1000.0), 2500.0),
+            class(deduplicated(DedupScope::All, 7500.0), 2500.0),
+            class(deduplicated(DedupScope::Zone, 1000.0), 2500.0),
         ],
         hedging: true,
         drain_grace_period: Micros::from_ms(2000.0),
@@ -124,14 +124,13 @@
     let platform = Platform { settings: &settings, classes: &classes, tenants: &[], connect_timeout };
     for name in ["routes-budgets.toml", "routes-copies.toml"] {
         let file = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../deploy/examples").join(name);
-        let file = AgentFile::read(&file).expect("it is good");
+        let file = AgentFile::read(&file).expect("the file should be valid");
         assert_eq!(check(&file.routes, &platform), [], "{name}");
         assert!(!file.routes.routes.is_empty());
     }
 }
 
-/// Files out of a grammar, most of them nearly valid: reading and checking one never panics, and what is accepted
-/// can be made a table.
+/// Reading and validating files that are generated from a grammar, most of them nearly valid, never panics.
 #[test]
 fn generated_files_never_panic() {
     let times = [
@@ -193,14 +192,14 @@
         ("pool", &words),
         ("typo", &numbers),
     ];
-    let (mut good, mut bad) = (0, 0);
+    let (mut valid, mut invalid) = (0, 0);
     for seed in 0..3000 {
         let mut random = fastrand::Rng::with_seed(seed);
         let mut text = String::new();
         for n in 0..random.usize(0..4) {
             text.push_str(&format!("[[route]]\nname = \"r{}\"\n", if random.u8(0..9) == 0 { 0 } else { n }));
             for (key, values) in &keys {
-                // A file with few keys has a chance to be good.
+                // Few keys for each route, so that some files are valid.
                 if random.u8(0..12) == 0 {
                     text.push_str(&format!("{key} = {}\n", values[random.usize(0..values.len())]));
                 }
@@ -216,22 +215,25 @@
             }
             text.truncate(cut);
         }
-        if wrong(&text).is_empty() {
-            good += 1;
+        if errors(&text).is_empty() {
+            valid += 1;
         } else {
-            bad += 1;
+            invalid += 1;
         }
     }
-    assert!(good > 300 && bad > 300, "{good} good, {bad} bad: the grammar shows little");
+    assert!(
+        valid > 300 && invalid > 300,
+        "{valid} valid, {invalid} invalid: the grammar generates too few files of one kind"
+    );
 }
 
-/// Ten thousand routes are checked and looked up without each being compared with each.
+/// Validation of 2,000 routes and a table of 10,000 routes work. A comparison of every pair of routes would be too slow.
 #[test]
 fn many_routes_are_checked_and_matched() {
     let route = |n: usize| format!("[[route]]\nname = \"r{n}\"\nmatch = {{ path = \"/read/{n:05}\" }}\n");
     let text: String = (0..2000).map(route).collect();
-    assert_eq!(wrong(&text), Vec::<String>::new());
-    let spec = bellcroft_routes::RoutesConfig {
+    assert_eq!(errors(&text), Vec::<String>::new());
+    let config = bellcroft_routes::RoutesConfig {
         routes: (0..10_000)
             .map(|n| bellcroft_routes::RouteConfig {
                 name: n.to_string(),
@@ -244,7 +246,7 @@
             .collect(),
         pools: Vec::new(),
     };
-    let table = RouteTable::unchecked(&spec, &mut bellcroft_routes::BudgetIds::default());
+    let table = RouteTable::unchecked(&config, &mut bellcroft_routes::BudgetIds::default());
     assert_eq!(table.len(), 10_000);
     let found = table.lookup("read", Some("acme"), "/read/09999/x").map(|route| route.name.clone());
     assert_eq!(found.as_deref(), Some("9999"));
