--- a/crates/experiments/src/lib.rs
+++ b/crates/experiments/src/lib.rs
@@ -1,24 +1,25 @@
-//! Experiments on the model of the deployment.
+//! Experiments on the simulated deployment.
 //!
-//! An [`Experiment`] is a file: a scenario, the policies, the seeds, and keys to sweep. [`run`] plays its cells on all
-//! cores and stores each durably in a [`Folder`]; [`report`] writes one HTML page of them, [`compare`] names what differs
-//! between two folders beyond noise. [`load`] loads a real agent on the schedule of the same classes,
-//! and [`sockets`] plays a scenario with the real program and sets it beside the model.
+//! An [`Experiment`] is read from a file with a scenario, policies, seeds and keys to sweep. [`run`] simulates its cells
+//! on all cores and stores each result durably in a [`ResultsDir`]. [`report`] renders them as one HTML page, and
+//! [`compare`] lists statistically significant differences between two result directories. [`load`] generates load for a
+//! real agent with a scenario's request classes, and [`sockets`] runs a scenario with the real program for comparison with
+//! the model. [`members`] simulates membership at scale.
 
 mod compare;
 mod experiment;
-mod folder;
 pub mod load;
 pub mod members;
 mod report;
+mod results_dir;
 mod run;
 pub mod sockets;
-pub mod story;
 mod summary;
+pub mod violations;
 
 pub use compare::{compare, Difference};
-pub use experiment::{Cell, Experiment, CELLS_MOST};
-pub use folder::{Folder, Stored};
+pub use experiment::{Cell, Experiment, MAX_CELLS};
 pub use report::report;
-pub use run::{run, Done};
+pub use results_dir::{ResultsDir, StoredCell};
+pub use run::{run, RunCounts};
 pub use summary::{summarise, Interval, Row};
--- a/crates/experiments/src/load.rs
+++ b/crates/experiments/src/load.rs
@@ -1,8 +1,8 @@
 //! An open-loop load generator for real sockets.
 //!
-//! Requests leave on a schedule that is drawn before the first of them, whatever the answers do, and their times count
-//! from the scheduled instant: a server that stalls is charged for everyone who would have come meanwhile, which a closed
-//! loop spares it (Tene, "coordinated omission"). Nothing is sent twice.
+//! Requests are sent on a random schedule that does not depend on responses, and latencies count from the scheduled time.
+//! So a stall of the server adds to the latency of every request scheduled meanwhile, which a closed-loop generator omits
+//! (Tene, "coordinated omission"). No request is retried.
 
 use bellcroft_simulation::{ClassSpec, Effect};
 use bytes::Bytes;
@@ -22,137 +22,140 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep_until, timeout, Instant};
 
-/// The longest answer that is read.
-const BODY_MOST: usize = 1 << 20;
-/// Past its deadline a request is waited for this much longer before it is called unanswered.
-const PATIENCE: Duration = Duration::from_secs(5);
-/// A request that leaves later than this after its instant, although a connection was free, is the generator's own fault.
-const LATE: Duration = Duration::from_millis(5);
+/// Maximum size of a response body.
+const MAX_BODY_BYTES: usize = 1 << 20;
+/// Time after a request's deadline at which it is given up as lost.
+const RESPONSE_GRACE_PERIOD: Duration = Duration::from_secs(5);
+/// A request that is sent later than this after its scheduled time counts as late if a connection was free.
+const LATE_THRESHOLD: Duration = Duration::from_millis(5);
 
-/// What is asked for.
+/// Parameters of a load.
 #[derive(Debug, Clone)]
 pub struct Load {
-    /// Where.
+    /// Address that requests are sent to.
     pub target: SocketAddr,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// For how long.
-    pub lasts: Duration,
-    /// Requests that are scheduled before this are sent and not counted.
+    /// Duration of the schedule.
+    pub duration: Duration,
+    /// Requests that are scheduled before this time are sent but not counted.
     pub warm_up: Duration,
-    /// Requests at most.
-    pub most: u64,
-    /// Connections at most; a request that finds none free waits, and its wait counts.
+    /// Maximum number of requests.
+    pub max_requests: u64,
+    /// Maximum number of connections. A request waits if none is free, and the wait is part of its latency.
     pub connections: usize,
-    /// Seed of the schedule and of the classes.
+    /// Seed of the random schedule and choice of classes.
     pub seed: u64,
-    /// `X-Tenant-Id`.
+    /// Value of the `X-Tenant-Id` header.
     pub tenant: String,
-    /// The classes.
+    /// Request classes with their shares.
     pub classes: Vec<ClassSpec>,
-    /// Each connection asks again once it has its answer, and times count from there: for comparison only.
-    pub closed: bool,
+    /// Whether to run a closed loop instead, for comparison: each connection sends its next request after a response, and
+    /// latencies count from the send.
+    pub closed_loop: bool,
 }
 
-/// A class's answers. Times are microseconds.
+/// Results of one request class. Latencies are in microseconds.
 #[derive(Debug, Clone)]
-pub struct ClassLoad {
-    /// Its name.
+pub struct ClassResult {
+    /// The class's name.
     pub name: String,
-    /// Requests.
+    /// Requests that were sent.
     pub sent: u64,
-    /// Answered 200.
+    /// Responses with status 200.
     pub served: u64,
-    /// Answered 429 or 503.
-    pub refused: u64,
-    /// Answered otherwise.
+    /// Responses with status 429 or 503.
+    pub rejected: u64,
+    /// Responses with any other status.
     pub failed: u64,
-    /// No whole answer.
+    /// Requests without a complete response.
     pub lost: u64,
-    /// Served within the wanted time.
-    pub in_wanted: u64,
-    /// From the scheduled instant to the answer's last byte, or to the end of waiting.
-    pub times: Histogram<u64>,
-    /// The same of those served.
-    pub served_times: Histogram<u64>,
+    /// Requests served within the latency objective.
+    pub within_objective: u64,
+    /// Latencies from the scheduled time to the response's last byte, or to the time when the request was given up.
+    pub latencies: Histogram<u64>,
+    /// Latencies of the served requests.
+    pub served_latencies: Histogram<u64>,
 }
 
-/// What came of a load.
+/// Results of a load.
 #[derive(Debug, Clone)]
-pub struct Loaded {
-    /// By class.
-    pub classes: Vec<ClassLoad>,
-    /// How long it took.
-    pub took: Duration,
-    /// Requests that the generator itself sent late, although a connection was free.
+pub struct LoadResult {
+    /// Results by class.
+    pub classes: Vec<ClassResult>,
+    /// Time until the last request finished.
+    pub elapsed: Duration,
+    /// Requests that were sent late although a connection was free, so that the generator itself was too slow.
     pub late: u64,
-    /// The latest of them.
-    pub latest: Duration,
+    /// Longest delay of a late request.
+    pub max_lag: Duration,
 }
 
-impl Loaded {
-    /// All classes' times.
-    pub fn times(&self) -> Histogram<u64> {
+impl LoadResult {
+    /// Returns the latencies of all classes.
+    pub fn latencies(&self) -> Histogram<u64> {
         let mut all = histogram();
         for class in &self.classes {
-            // Both have the same digits and grow as they need to.
-            let _ = all.add(&class.times);
+            // Cannot fail: both have the same precision and resize automatically.
+            let _ = all.add(&class.latencies);
         }
         all
     }
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new(3).unwrap_or_else(|e| unreachable!("three digits are within the bounds: {e:?}"))
+    Histogram::new(3).unwrap_or_else(|e| unreachable!("three significant digits are valid: {e:?}"))
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-type Idle = Mutex<Vec<SendRequest<Full<Bytes>>>>;
+type IdleConnections = Mutex<Vec<SendRequest<Full<Bytes>>>>;
 
 struct Shared {
     load: Load,
-    idle: Idle,
-    places: Semaphore,
-    result: Mutex<Loaded>,
+    idle: IdleConnections,
+    /// One permit for each connection.
+    connection_permits: Semaphore,
+    result: Mutex<LoadResult>,
 }
 
-/// Runs a load to its end. `told` hears each second how many were sent and answered.
-pub async fn run(load: Load, mut told: impl FnMut(u64, u64)) -> Loaded {
-    let classes = load.classes.iter().map(|class| ClassLoad {
+/// Runs a load to its end. Calls `on_progress` each second with the numbers of requests sent and finished.
+pub async fn run(load: Load, mut on_progress: impl FnMut(u64, u64)) -> LoadResult {
+    let classes = load.classes.iter().map(|class| ClassResult {
         name: class.name.clone(),
         sent: 0,
         served: 0,
-        refused: 0,
+        rejected: 0,
         failed: 0,
         lost: 0,
-        in_wanted: 0,
-        times: histogram(),
-        served_times: histogram(),
+        within_objective: 0,
+        latencies: histogram(),
+        served_latencies: histogram(),
     });
-    let result = Loaded { classes: classes.collect(), took: Duration::ZERO, late: 0, latest: Duration::ZERO };
+    let result =
+        LoadResult { classes: classes.collect(), elapsed: Duration::ZERO, late: 0, max_lag: Duration::ZERO };
     let shared = Arc::new(Shared {
         idle: Mutex::default(),
-        places: Semaphore::new(load.connections),
+        connection_permits: Semaphore::new(load.connections),
         result: Mutex::new(result),
         load,
     });
     let begin = Instant::now();
     let mut random = ChaCha8Rng::seed_from_u64(shared.load.seed);
     let mut tasks = JoinSet::new();
-    if shared.load.closed {
+    if shared.load.closed_loop {
         for number in 0..shared.load.connections {
-            tasks.spawn(closed(shared.clone(), number as u64, begin));
+            tasks.spawn(run_closed_connection(shared.clone(), number as u64, begin));
         }
     } else {
         let shares: f64 = shared.load.classes.iter().map(|class| class.share).sum();
-        let (mut at, mut next_told) = (0.0, begin + Duration::from_secs(1));
-        for number in 0..shared.load.most {
+        let (mut at, mut next_progress) = (0.0, begin + Duration::from_secs(1));
+        for number in 0..shared.load.max_requests {
             let unit: f64 = Exp1.sample(&mut random);
             at += unit / shared.load.rate;
-            if at >= shared.load.lasts.as_secs_f64() {
+            if at >= shared.load.duration.as_secs_f64() {
                 break;
             }
             let mut draw = random.random::<f64>() * shares;
@@ -162,88 +165,101 @@
             });
             let scheduled = begin + Duration::from_secs_f64(at);
             sleep_until(scheduled).await;
-            let counts = at >= shared.load.warm_up.as_secs_f64();
-            tasks.spawn(one(shared.clone(), number, class.unwrap_or(0), scheduled, counts));
+            let counted = at >= shared.load.warm_up.as_secs_f64();
+            tasks.spawn(run_scheduled_request(
+                shared.clone(),
+                number,
+                class.unwrap_or(0),
+                scheduled,
+                counted,
+            ));
             while tasks.try_join_next().is_some() {}
-            if Instant::now() >= next_told {
-                next_told += Duration::from_secs(1);
-                told(number + 1, number + 1 - tasks.len() as u64);
+            if Instant::now() >= next_progress {
+                next_progress += Duration::from_secs(1);
+                on_progress(number + 1, number + 1 - tasks.len() as u64);
             }
         }
     }
     while tasks.join_next().await.is_some() {}
     let mut result = lock(&shared.result).clone();
-    result.took = begin.elapsed();
+    result.elapsed = begin.elapsed();
     result
 }
 
-/// One request of the schedule.
-async fn one(shared: Arc<Shared>, number: u64, class: usize, scheduled: Instant, counts: bool) {
-    let free = shared.places.available_permits() > 0;
+/// Sends one request of the schedule.
+async fn run_scheduled_request(
+    shared: Arc<Shared>,
+    number: u64,
+    class: usize,
+    scheduled: Instant,
+    counted: bool,
+) {
+    let free = shared.connection_permits.available_permits() > 0;
     let lag = scheduled.elapsed();
-    if free && lag > LATE {
+    if free && lag > LATE_THRESHOLD {
         let mut result = lock(&shared.result);
         result.late += 1;
-        result.latest = result.latest.max(lag);
+        result.max_lag = result.max_lag.max(lag);
     }
-    let Ok(place) = shared.places.acquire().await else { return };
-    let status = ask(&shared, number, class).await;
-    drop(place);
-    if counts {
-        shared.count(class, status, scheduled.elapsed());
+    let Ok(permit) = shared.connection_permits.acquire().await else { return };
+    let status = send_request(&shared, number, class).await;
+    drop(permit);
+    if counted {
+        shared.record(class, status, scheduled.elapsed());
     }
 }
 
-/// One connection of a closed loop.
-async fn closed(shared: Arc<Shared>, connection: u64, begin: Instant) {
+/// Runs one connection of a closed loop.
+async fn run_closed_connection(shared: Arc<Shared>, connection: u64, begin: Instant) {
     let pause = Duration::from_secs_f64(shared.load.connections as f64 / shared.load.rate);
-    for round in 0..shared.load.most / shared.load.connections as u64 {
+    for round in 0..shared.load.max_requests / shared.load.connections as u64 {
         let sent = Instant::now();
-        if sent.duration_since(begin) >= shared.load.lasts {
+        if sent.duration_since(begin) >= shared.load.duration {
             return;
         }
         let number = round * shared.load.connections as u64 + connection;
         let class = number as usize % shared.load.classes.len();
-        let status = ask(&shared, number, class).await;
-        shared.count(class, status, sent.elapsed());
+        let status = send_request(&shared, number, class).await;
+        shared.record(class, status, sent.elapsed());
         sleep_until(sent + pause).await;
     }
 }
 
 impl Shared {
-    fn count(&self, class: usize, status: Option<u16>, took: Duration) {
+    fn record(&self, class: usize, status: Option<u16>, latency: Duration) {
         let mut result = lock(&self.result);
-        let own = &mut result.classes[class];
-        own.sent += 1;
-        // It grows with what it is given.
-        let _ = own.times.record((took.as_micros() as u64).max(1));
+        let class_result = &mut result.classes[class];
+        class_result.sent += 1;
+        // Cannot fail: the histogram resizes automatically.
+        let _ = class_result.latencies.record((latency.as_micros() as u64).max(1));
         match status {
             Some(200) => {
-                own.served += 1;
-                let _ = own.served_times.record((took.as_micros() as u64).max(1));
-                own.in_wanted += u64::from(took.as_secs_f64() <= self.load.classes[class].aim);
+                class_result.served += 1;
+                let _ = class_result.served_latencies.record((latency.as_micros() as u64).max(1));
+                class_result.within_objective +=
+                    u64::from(latency.as_secs_f64() <= self.load.classes[class].aim);
             }
-            Some(429 | 503) => own.refused += 1,
-            Some(_) => own.failed += 1,
-            None => own.lost += 1,
+            Some(429 | 503) => class_result.rejected += 1,
+            Some(_) => class_result.failed += 1,
+            None => class_result.lost += 1,
         }
     }
 }
 
-/// Sends a request over a kept or a new connection; its answer's status, if there was a whole one.
-async fn ask(shared: &Shared, number: u64, class: usize) -> Option<u16> {
+/// Sends a request over an idle or a new connection. Returns the response's status if the response was complete.
+async fn send_request(shared: &Shared, number: u64, class: usize) -> Option<u16> {
     let spec = &shared.load.classes[class];
-    let wait = Duration::from_secs_f64(spec.deadline);
+    let deadline = Duration::from_secs_f64(spec.deadline);
     let exchange = async {
-        let kept = lock(&shared.idle).pop().filter(SendRequest::is_ready);
-        let mut sender = match kept {
+        let idle = lock(&shared.idle).pop().filter(SendRequest::is_ready);
+        let mut sender = match idle {
             Some(sender) => sender,
             None => {
                 let stream = TcpStream::connect(shared.load.target).await.ok()?;
                 stream.set_nodelay(true).ok()?;
-                let (sender, driven) = handshake(TokioIo::new(stream)).await.ok()?;
-                // Its end shows at the sender.
-                tokio::spawn(async move { drop(driven.await) });
+                let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
+                // Errors of the connection are returned by the sender.
+                tokio::spawn(async move { drop(connection.await) });
                 sender
             }
         };
@@ -254,17 +270,17 @@
             .header("x-request-id", &id)
             .header("x-priority-class", &spec.name)
             .header("x-tenant-id", &shared.load.tenant)
-            .header("x-timeout", format!("{}m", wait.as_millis().max(1)));
+            .header("x-timeout", format!("{}m", deadline.as_millis().max(1)));
         if spec.effect != Effect::Idempotent {
             request = request.method(Method::POST).header("idempotency-key", &id);
         }
         let response = sender.send_request(request.body(Full::default()).ok()?).await.ok()?;
         let status = response.status().as_u16();
-        Limited::new(response.into_body(), BODY_MOST).collect().await.ok()?;
+        Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await.ok()?;
         if sender.ready().await.is_ok() {
             lock(&shared.idle).push(sender);
         }
         Some(status)
     };
-    timeout(wait + PATIENCE, exchange).await.ok().flatten()
+    timeout(deadline + RESPONSE_GRACE_PERIOD, exchange).await.ok().flatten()
 }
--- a/crates/experiments/src/summary.rs
+++ b/crates/experiments/src/summary.rs
@@ -1,27 +1,27 @@
-//! Means over seeds, with their intervals.
+//! Means over seeds with confidence intervals.
 
-use crate::folder::Stored;
+use crate::results_dir::StoredCell;
 use bellcroft_simulation::Policy;
 use statrs::distribution::{ContinuousCDF, StudentsT};
 use std::collections::BTreeMap;
 
-/// A mean and half the width of its 95% interval (Student's t); none of a single seed.
+/// A mean and its 95% confidence interval by Student's t.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Interval {
     /// The mean.
     pub mean: f64,
-    /// Half the width.
+    /// Half the width of the interval; None if there is a single value.
     pub half: Option<f64>,
 }
 
 impl Interval {
-    /// Of these values; none of none.
+    /// Returns the interval of these values; None if there are no values.
     pub fn of(values: &[f64]) -> Option<Self> {
         let n = values.len() as f64;
         let mean = (!values.is_empty()).then(|| values.iter().sum::<f64>() / n)?;
         let half = (values.len() > 1).then(|| {
             let variance = values.iter().map(|v| (v - mean).powi(2)).sum::<f64>() / (n - 1.0);
-            // The distribution has one degree of freedom or more, so it is there.
+            // Two or more values give at least one degree of freedom, so the distribution is valid.
             let t = StudentsT::new(0.0, 1.0, n - 1.0).map_or(f64::INFINITY, |t| t.inverse_cdf(0.975));
             t * (variance / n).sqrt()
         });
@@ -38,23 +38,23 @@
     }
 }
 
-/// A point of the sweep under one policy, over its seeds.
+/// Figures of one point of the sweep under one policy, over all seeds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Row {
-    /// The swept keys.
+    /// The swept keys and their values.
     pub point: BTreeMap<String, String>,
-    /// The policy.
+    /// The balancing policy.
     pub policy: Policy,
-    /// Seeds.
+    /// Number of seeds.
     pub seeds: usize,
-    /// By name: the figure over the seeds.
+    /// Interval over the seeds of each figure, by the figure's name.
     pub figures: BTreeMap<&'static str, Interval>,
 }
 
-/// What a figure is of a run.
-pub(crate) type Figure = fn(&Stored) -> f64;
+/// Computes a figure from a cell's result.
+pub(crate) type Figure = fn(&StoredCell) -> f64;
 
-/// The figures that are shown, and what each is of a run.
+/// The figures of tables and reports, by name.
 pub(crate) const FIGURES: [(&str, Figure); 6] = [
     ("wanted share", |s| s.outcome.wanted_share),
     ("p99 ms", |s| s.outcome.p99 as f64 / 1e3),
@@ -69,13 +69,13 @@
     ("rules broken", |s| s.outcome.breaches.all() as f64),
 ];
 
-/// Gathers the seeds of each point and policy.
-pub fn summarise(cells: &[Stored]) -> Vec<Row> {
-    let mut groups: BTreeMap<(BTreeMap<String, String>, Policy), Vec<&Stored>> = BTreeMap::new();
+/// Groups cells by point and policy and summarises their figures over the seeds.
+pub fn summarise(cells: &[StoredCell]) -> Vec<Row> {
+    let mut groups: BTreeMap<(BTreeMap<String, String>, Policy), Vec<&StoredCell>> = BTreeMap::new();
     for stored in cells {
         groups.entry((stored.cell.point.clone(), stored.cell.policy)).or_default().push(stored);
     }
-    let row = |((point, policy), own): ((BTreeMap<String, String>, Policy), Vec<&Stored>)| {
+    let row = |((point, policy), own): ((BTreeMap<String, String>, Policy), Vec<&StoredCell>)| {
         let figure = |(name, of): &(&'static str, Figure)| {
             let values: Vec<f64> = own.iter().map(|s| of(s)).collect();
             Some((*name, Interval::of(&values)?))
--- a/crates/experiments/tests/golden.rs
+++ b/crates/experiments/tests/golden.rs
@@ -1,35 +1,36 @@
-//! Stored cells of experiments. With fixed seeds a scenario has the same outcome to the last digit and the same stored form,
-//! and a cell that was stored earlier is read.
+//! Golden files of stored cells. They guard against changes of the simulation's outcome with fixed seeds, and of the
+//! storage format.
 
 use expect_test::expect_file;
-use experiments::{run, Experiment, Folder};
+use experiments::{run, Experiment, ResultsDir};
 use std::path::{Path, PathBuf};
 
-/// Three scenarios: no fault, a fault with clients that retry, and discovery and peers in use.
+/// Scenarios without faults, with faults and client retries, and with discovery and peers.
 const SCENARIOS: [(&str, &str); 3] = [
     ("calm", include_str!("golden/calm.toml")),
     ("brown-out", include_str!("golden/brown-out.toml")),
     ("rolling-deploy", include_str!("golden/rolling-deploy.toml")),
 ];
 
-struct Temporary(PathBuf);
+/// A temporary directory, deleted on drop.
+struct TempDir(PathBuf);
 
-impl Temporary {
+impl TempDir {
     fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("bellcroft-golden-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
-        Temporary(path)
+        std::fs::create_dir_all(&path).expect("the directory should be creatable");
+        TempDir(path)
     }
 }
 
-impl Drop for Temporary {
+impl Drop for TempDir {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-fn cells(folder: &Path) -> Vec<(String, String)> {
-    let entries = std::fs::read_dir(folder.join("cells")).expect("cells").flatten();
+fn cell_files(dir: &Path) -> Vec<(String, String)> {
+    let entries = std::fs::read_dir(dir.join("cells")).expect("cells").flatten();
     let mut cells: Vec<(String, String)> = entries
         .map(|entry| {
             let name = entry.file_name().to_string_lossy().into_owned();
@@ -44,30 +45,30 @@
 fn stored_cells_match_golden_files() {
     for (name, text) in SCENARIOS {
         let experiment = Experiment::parse(text).expect("an experiment");
-        let temporary = Temporary::new(name);
-        let folder = Folder::create(&temporary.0, &experiment).expect("a folder");
-        run(&experiment, &folder, false).expect("it is played");
+        let temp = TempDir::new(name);
+        let results = ResultsDir::create(&temp.0, &experiment).expect("the directory should be creatable");
+        run(&experiment, &results, false).expect("the run should succeed");
         let stored: String =
-            cells(&temporary.0).into_iter().map(|(file, text)| format!("{file}\n{text}\n")).collect();
+            cell_files(&temp.0).into_iter().map(|(file, text)| format!("{file}\n{text}\n")).collect();
         expect_file![format!("golden/{name}.cells")].assert_eq(&stored);
     }
 }
 
 #[test]
-fn cells_stored_earlier_are_read() {
+fn golden_cells_can_be_loaded() {
     for (name, text) in SCENARIOS {
         let experiment = Experiment::parse(text).expect("an experiment");
-        let temporary = Temporary::new(&format!("read-{name}"));
-        let folder = Folder::create(&temporary.0, &experiment).expect("a folder");
+        let temp = TempDir::new(&format!("read-{name}"));
+        let results = ResultsDir::create(&temp.0, &experiment).expect("the directory should be creatable");
         let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(format!("tests/golden/{name}.cells"));
         let golden = std::fs::read_to_string(path).expect("a golden file");
         let lines: Vec<&str> = golden.lines().collect();
         for cell in lines.chunks(3) {
-            std::fs::write(temporary.0.join("cells").join(cell[0]), format!("{}\n{}", cell[1], cell[2]))
+            std::fs::write(temp.0.join("cells").join(cell[0]), format!("{}\n{}", cell[1], cell[2]))
                 .expect("a cell");
         }
-        let (read, broken) = folder.all().expect("cells");
-        assert_eq!((read.len(), broken), (lines.len() / 3, 0), "{name}");
+        let (read, damaged) = results.load_all().expect("the results should be readable");
+        assert_eq!((read.len(), damaged), (lines.len() / 3, 0), "{name}");
         assert_eq!(read.len(), experiment.cells().len(), "{name}");
     }
 }
