--- a/crates/balancer/src/api/endpoint.rs
+++ b/crates/balancer/src/api/endpoint.rs
@@ -16,24 +16,24 @@
 /// An entry of the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Endpoint {
-    /// The server.
+    /// The server that the entry describes.
     pub server: ServerId,
-    /// Its zone.
+    /// The server's zone.
     pub zone: ZoneId,
-    /// Its machine type.
+    /// The server's machine type.
     pub machine_type: MachineTypeId,
-    /// Its deduplication group.
+    /// The server's dedup group.
     pub dedup_group: DedupGroupId,
-    /// Its lifecycle state.
+    /// The server's lifecycle state.
     pub status: Status,
-    /// Its relative weight; see [`Settings::weights`](crate::Settings::weights).
+    /// The server's relative weight; see [`Settings::weights`](crate::Settings::weights).
     pub weight: f64,
-    /// The time of its last start, if that was recent.
+    /// The time of the server's last start, if that was recent.
     pub started_at: Option<Time>,
 }
 
 impl Endpoint {
-    /// A serving endpoint past slow start, in zone 0, of machine type 0 and in deduplication group 0.
+    /// A serving endpoint past slow start, in zone 0, of machine type 0 and in dedup group 0.
     pub fn serving(server: ServerId) -> Self {
         Endpoint {
             server,
--- a/crates/balancer/src/api/event.rs
+++ b/crates/balancer/src/api/event.rs
@@ -91,7 +91,7 @@
 /// The state of the server fleet, aggregated over all balancers.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct FleetState {
-    /// The decayed number of samples behind this state; 0 if there are none.
+    /// The decayed number of samples that this state is based on; 0 if there are none.
     pub weight: f64,
     /// The recent response time, as a fraction of the latency objective.
     pub latency: f64,
--- a/crates/balancer/src/api/limits.rs
+++ b/crates/balancer/src/api/limits.rs
@@ -46,8 +46,8 @@
 /// A retry budget: a token bucket that requests fill and that retries take tokens from.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget {
-    /// Its id, chosen by the caller and equal for all requests that share the budget. Ids must be small because they are
-    /// used as indices. 0 is the default budget.
+    /// The budget's id, chosen by the caller and equal for all requests that share the budget. Ids must be small
+    /// because they are used as indices. 0 is the default budget.
     pub id: u32,
     /// Number of retries that each request adds to the balance.
     pub ratio: f64,
@@ -60,7 +60,7 @@
 /// A concurrency limit that requests share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConcurrencyLimit {
-    /// Its id, chosen by the caller in the same way as that of a [`RetryBudget`].
+    /// The limit's id, chosen by the caller in the same way as that of a [`RetryBudget`].
     pub id: u32,
     /// Maximum number of attempts in flight.
     pub max_in_flight: u32,
--- a/crates/balancer/src/api/request.rs
+++ b/crates/balancer/src/api/request.rs
@@ -6,31 +6,31 @@
 /// A request that a client has submitted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
-    /// Its identifier.
+    /// The request's id.
     pub id: RequestId,
-    /// Its class.
+    /// The request's class.
     pub class: ClassId,
-    /// Its tenant.
+    /// The request's tenant, if it has one.
     pub tenant: Option<TenantId>,
-    /// Its affinity key.
+    /// The request's affinity key, if it has one.
     pub key: Option<KeyId>,
-    /// Estimated work, in core time.
+    /// The client's estimate of the request's work, in core time.
     pub cost_hint: Option<Micros>,
-    /// True if the client has marked it as a retry.
+    /// True if the client has marked the request as a retry.
     pub is_retry: bool,
     /// The remaining time until the client's deadline; for a streaming request, the maximum time until its body is complete.
     pub time_left: Micros,
-    /// True if its body is forwarded while it arrives; the deadline then starts with
+    /// True if the request's body is forwarded while it arrives; the deadline then starts with
     /// [`Event::BodyComplete`](crate::Event::BodyComplete).
     pub streaming: bool,
-    /// The limits of its route; `None` stands for [`Limits::STANDARD`].
+    /// The limits of the request's route; `None` stands for [`Limits::STANDARD`].
     pub limits: Option<Arc<Limits>>,
     /// The time without a response after which a hedged request is sent; `None` disables hedging.
     pub hedge_after: Option<Micros>,
 }
 
 impl Request {
-    /// A client's first try, without tenant, key and cost hint.
+    /// A request that is not a retry, without tenant, key and cost hint.
     pub fn new(id: RequestId, class: ClassId, time_left: Micros) -> Self {
         Request {
             id,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The limits of its route, or [`Limits::STANDARD`].
+    /// The limits of the request's route, or [`Limits::STANDARD`].
     pub fn limits(&self) -> &Limits {
         static STANDARD: Limits = Limits::STANDARD;
         self.limits.as_deref().unwrap_or(&STANDARD)
--- a/crates/balancer/src/api/settings.rs
+++ b/crates/balancer/src/api/settings.rs
@@ -26,14 +26,14 @@
     All,
     /// The servers of one zone.
     Zone,
-    /// The servers of one deduplication group.
+    /// The servers of one dedup group.
     Group,
 }
 
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// Whether and where its requests may be retried.
+    /// Whether and where requests of the class may be retried.
     pub retry_safety: RetrySafety,
     /// A response within this time earns the full `priority_weight`.
     pub latency_objective: Micros,
@@ -66,9 +66,9 @@
 /// A tenant and its quota of the service.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Tenant {
-    /// Its quota as a fraction of the service's traffic.
+    /// The tenant's quota as a fraction of the service's traffic.
     pub fraction: f64,
-    /// Its quota in requests per second, over all balancers.
+    /// The tenant's quota in requests per second, over all balancers.
     pub allowance_per_s: f64,
 }
 
@@ -92,7 +92,7 @@
 }
 
 /// Upper bound of the time from the start of a failed watch to its retry, jitter and the tick interval included. If
-/// [`MIN_WATCH_RETRY_DELAY`] after the failure is later, that bound applies instead.
+/// [`MIN_WATCH_RETRY_DELAY`] after the failure is later than this bound, it is the bound instead.
 ///
 /// The platform expects a change to be delivered within 6 s after discovery is reachable again, and two retries fit into
 /// this time. A discovery service that rejects calls still has time to recover.
--- a/crates/balancer/src/api/settings_error.rs
+++ b/crates/balancer/src/api/settings_error.rs
@@ -12,12 +12,12 @@
     InvalidNumber {
         /// The name of the setting.
         setting: &'static str,
-        /// Its value.
+        /// The value of the setting.
         value: f64,
     },
     /// A tenant's fraction is outside 0 to 1.
     InvalidFraction {
-        /// Its value.
+        /// The tenant's fraction.
         value: f64,
     },
     /// A duration that must be positive is zero.
--- a/crates/balancer/src/decisions/fleet_load.rs
+++ b/crates/balancer/src/decisions/fleet_load.rs
@@ -30,7 +30,7 @@
 /// Number of own samples from which the latency shared by peers is bounded by the own latency times [`MAX_LOAD_RATIO`].
 /// With fewer own samples the bound is up to three times as high; see [`FEW_SAMPLES_FACTOR`].
 const ENOUGH_OWN_SAMPLES: f64 = 2.0;
-/// Range of the factor that raises this bound when there are few own samples.
+/// Range of the factor that raises the bound of the shared latency when there are few own samples.
 const FEW_SAMPLES_FACTOR: (f64, f64) = (1.0, 3.0);
 /// Maximum ratio of the latency that the load predicts to the measured latency.
 const MAX_LOAD_RATIO: f64 = 2.5;
@@ -41,7 +41,7 @@
 
 /// An estimate of the fleet's latency.
 struct Estimate {
-    /// Decayed number of samples behind the estimate.
+    /// Decayed number of samples that the estimate is based on.
     samples: f64,
     /// Sum of the latencies of these samples.
     latency_sum: f64,
--- a/crates/balancer/src/decisions/health_checks.rs
+++ b/crates/balancer/src/decisions/health_checks.rs
@@ -10,8 +10,9 @@
 const MAX_HEALTH_CHECK_WAIT: f64 = 0.05;
 
 impl Balancer {
-    /// Whether candidates are checked before a selection. This is so at a sparse balancer, whose own counts say little, if
-    /// load reports come with health checks only and contain the server's load, and if the checks cost next to nothing.
+    /// Whether candidates are checked before a selection. A sparse balancer, whose own counts say little about a server's
+    /// load, does so if load reports come with health checks only and contain the server's load, and if the checks cost at
+    /// most [`MAX_HEALTH_CHECKS_COST`].
     pub(super) fn checks_candidates(&self) -> bool {
         let settings = &self.settings;
         let reports_load = settings
--- a/crates/balancer/src/decisions/outcomes.rs
+++ b/crates/balancer/src/decisions/outcomes.rs
@@ -50,7 +50,7 @@
     }
 
     /// Closes a sparse balancer's idle connections to a server other than the remembered one. Random draws reach the entire
-    /// fleet, so that without this the idle connections would number balancers times servers and exhaust the servers' limits.
+    /// fleet, so that each balancer would otherwise keep a connection to each server and exhaust the servers' limits.
     fn close_idle_connections(&self, server: usize, actions: &mut Vec<Action>) {
         let is_idle = self.servers[server].in_flight == 0;
         let is_remembered = self.remembered.contains(&server);
--- a/crates/balancer/src/decisions/overdue.rs
+++ b/crates/balancer/src/decisions/overdue.rs
@@ -5,11 +5,13 @@
 use super::*;
 use std::collections::BTreeMap;
 
-/// An attempt is overdue after this multiple of the usual latency of its class, subject to the minimum below.
+/// An attempt is overdue after this multiple of the usual latency of its class, but not before the minimum time
+/// ([`MIN_OVERDUE`] or [`MIN_OVERDUE_ALONE`]).
 const OVERDUE_MULTIPLE: f64 = 4.0;
 /// Minimum time until an attempt is overdue, as a fraction of its latency objective.
 const MIN_OVERDUE: f64 = 0.6;
-/// The same minimum for an attempt that is the only one at its server: its request may simply be expensive.
+/// Minimum time until an attempt that is the only one at its server is overdue, as a fraction of its latency objective. It is
+/// longer because the request may simply be expensive.
 const MIN_OVERDUE_ALONE: f64 = 1.0;
 /// Number of overdue attempts that make a zone unreachable if no server of the zone has responded since they were sent.
 const UNREACHABLE_ZONE_ATTEMPTS: usize = 3;
--- a/crates/balancer/src/decisions/queue.rs
+++ b/crates/balancer/src/decisions/queue.rs
@@ -7,9 +7,9 @@
 /// Maximum number of queued requests.
 const MAX_QUEUED: usize = 500;
 /// A queued request gets its final response when the time left to its objective falls below this multiple of the recent
-/// latency of its class, subject to the upper bound below.
+/// latency of its class, or below [`MAX_LATENCY_MARGIN`] if that is less.
 const LATENCY_MARGIN: f64 = 2.0;
-/// Upper bound of that time, as a fraction of the latency objective.
+/// Upper bound of the time left at which a queued request gets its final response, as a fraction of the latency objective.
 const MAX_LATENCY_MARGIN: f64 = 0.7;
 
 impl Balancer {
--- a/crates/balancer/src/decisions/selection.rs
+++ b/crates/balancer/src/decisions/selection.rs
@@ -7,8 +7,8 @@
 
 /// Increase of the factor on the load of a server in another zone, per 1% of a request that crossing zones costs.
 const CROSS_ZONE_FACTOR: f64 = 0.25;
-/// Maximum of that factor. It is less than 2, the ratio of the loads with one request in flight and with none, so that the
-/// cost alone does not let a zone fill up.
+/// Maximum factor on the load of a server in another zone. It is less than 2, the ratio of the loads with one request
+/// in flight and with none, so that the cost alone does not let a zone fill up.
 const MAX_CROSS_ZONE_FACTOR: f64 = 1.8;
 /// Factor on the slowness of the server that a key was last sent to: it is preferred unless its load is clearly higher.
 const KEY_AFFINITY_FACTOR: f64 = 0.7;
@@ -43,9 +43,9 @@
     key_server: Option<usize>,
     /// Servers of the earlier attempts.
     tried: Vec<usize>,
-    /// Another attempt is in flight, so that this one must go to a different server.
+    /// True if another attempt is in flight, so that this one must go to a different server.
     pub(super) is_hedge: bool,
-    /// The request has been neither queued nor sent yet.
+    /// True if the request has been neither queued nor sent yet.
     is_first_selection: bool,
 }
 
--- a/crates/balancer/src/decisions/server_health.rs
+++ b/crates/balancer/src/decisions/server_health.rs
@@ -26,8 +26,8 @@
 const LIMIT_INCREASE: f64 = 0.1;
 /// Fraction of a limit that must be in use for the limit to grow.
 const MIN_LIMIT_USE: f64 = 0.7;
-/// Relative decrease of a limit per response and unit of overshoot. The larger values 0.04 and 0.08 cost more than they
-/// save.
+/// Relative decrease of a limit per response and unit of overshoot. Larger decreases (0.04, 0.08) shed more requests than
+/// they save.
 const LIMIT_DECREASE: f64 = 0.02;
 /// Maximum overshoot in the decrease of a limit.
 const MAX_OVERSHOOT: f64 = 2.0;
--- a/crates/balancer/src/decisions/traffic.rs
+++ b/crates/balancer/src/decisions/traffic.rs
@@ -5,7 +5,7 @@
 
 /// Time constant of the traffic counts, in milliseconds.
 const TIME_CONSTANT_MS: f64 = 3000.0;
-/// Multiple of its fraction from which a tenant is over its quota; normal usage varies too.
+/// Multiple of its fraction from which a tenant is over its quota. It is more than 1 because normal usage varies too.
 const QUOTA_TOLERANCE: f64 = 1.4;
 
 /// Exponentially decayed counts of requests by class and by tenant.
--- a/crates/balancer/src/state/requests.rs
+++ b/crates/balancer/src/state/requests.rs
@@ -47,13 +47,13 @@
     pub(crate) attempts: Vec<Attempt>,
     /// True if the client has received a response to an earlier try and this request is its retry.
     pub(crate) is_client_retry: bool,
-    /// True if its response stream has begun, after which it can be neither retried nor shed.
+    /// True if the request's response stream has begun, after which it can be neither retried nor shed.
     pub(crate) has_response_started: bool,
-    /// True if a part of its body is no longer buffered, so that no further attempt can be sent.
+    /// True if a part of the request's body is no longer buffered, so that no further attempt can be sent.
     pub(crate) is_exhausted: bool,
-    /// True if it belongs to the part of its tenant's traffic that exceeds the quota.
+    /// True if the request belongs to the part of its tenant's traffic that exceeds the quota.
     pub(crate) over_quota: bool,
-    /// Time at which it was first queued; `None` if it is not queued or has been sent since.
+    /// Time at which the request was first queued; `None` if it is not queued or has been sent since.
     pub(crate) queued_since: Option<Time>,
 }
 
@@ -80,15 +80,16 @@
     pub(crate) server: usize,
     pub(crate) class: usize,
     pub(crate) sent_at: Time,
-    /// True if it is the trial of an ejected server.
+    /// True if the attempt is the trial of an ejected server.
     pub(crate) is_trial: bool,
-    /// True if it is not the first attempt of its request.
+    /// True if the attempt is not the first one of its request.
     pub(crate) is_retry: bool,
-    /// True if it has been counted as late before its outcome.
+    /// True if the attempt has been counted as late before its outcome.
     pub(crate) counted_as_late: bool,
-    /// True while the body of its request is still arriving: no response is due, and it does not load the server.
+    /// True while the body of the attempt's request is still arriving: no response is due, and the attempt does not load the
+    /// server.
     pub(crate) is_streaming: bool,
-    /// Limits of its route, which contain the concurrency limits that it counts towards.
+    /// Limits of the request's route, which contain the concurrency limits that the attempt counts towards.
     pub(crate) limits: Option<Arc<Limits>>,
 }
 
--- a/crates/balancer/src/state/servers.rs
+++ b/crates/balancer/src/state/servers.rs
@@ -38,7 +38,7 @@
 pub(crate) struct MachineTypeLatency {
     /// Latency as a fraction of the objective.
     pub(crate) latency: f64,
-    /// Number of samples behind it, up to a limit.
+    /// Number of samples in the average, up to a limit.
     pub(crate) samples: f64,
 }
 
@@ -57,21 +57,21 @@
     pub(crate) last_response: Time,
     /// Maximum number of this balancer's attempts in flight; below one, a pause follows each response.
     pub(crate) limit: f64,
-    /// Time until which no request is sent to it.
+    /// Time until which no request is sent to the server.
     pub(crate) paused_until: Time,
     pub(crate) last_sample_at: Time,
     /// Duration of the attempt that gave the last sample.
     pub(crate) last_sample_ms: f64,
     pub(crate) ejection: Option<Ejection>,
-    /// Time until which a sparse balancer sends it a reduced share, due to its own evidence or a peer's hint.
+    /// Time until which a sparse balancer sends the server a reduced share, due to its own evidence or a peer's hint.
     pub(crate) deprioritized_until: Time,
-    /// Work sent to it during slow start, in milliseconds.
+    /// Work sent to the server during slow start, in milliseconds.
     pub(crate) slow_start_work: DecayingSum,
-    /// Load according to its last report.
+    /// Load according to the server's last report.
     pub(crate) reported_load: f64,
     pub(crate) reported_at: Option<Time>,
     pub(crate) sends_since_report: u32,
-    /// Time at which it was first found to be removed from the list.
+    /// Time at which the server was first found to be removed from the list.
     pub(crate) removed_at: Option<Time>,
 }
 
@@ -99,12 +99,12 @@
         }
     }
 
-    /// The load according to its last report, plus the attempts sent since.
+    /// The load according to the server's last report, plus the attempts sent since.
     pub(crate) fn estimated_load(&self) -> f64 {
         self.reported_load + f64::from(self.sends_since_report)
     }
 
-    /// The reachability of its zone.
+    /// The reachability of the server's zone.
     pub(crate) fn reachability(&self, zones: &BTreeMap<ZoneId, Reachability>) -> Reachability {
         zones.get(&self.endpoint.zone).copied().unwrap_or_default()
     }
