--- a/crates/agent-core/src/guard.rs
+++ b/crates/agent-core/src/guard.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// The groups of servers that recognise the same repeated requests as one server.
+/// The groups of a server. The servers of a group may share their deduplication state, by the retry safety of the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerGroups {
     /// Number of the server's zone.
--- a/crates/agent-core/src/reconfigure/mod.rs
+++ b/crates/agent-core/src/reconfigure/mod.rs
@@ -17,5 +17,5 @@
 use bellcroft_balancer::Micros;
 
 /// Time after a reload for which the former and the present rules both apply to a request that may have been made for
-/// either: it gets the narrower retry safety and the lower maximum of attempts.
+/// either: it gets the narrower retry safety and the lower maximum number of attempts.
 pub const TRANSITION_PERIOD: Micros = Micros(2_000_000);
--- a/crates/agent-core/src/serving.rs
+++ b/crates/agent-core/src/serving.rs
@@ -15,12 +15,12 @@
 /// killed once the longest deadline has passed.
 const REPLACED_IDLE_TIMEOUT: Micros = Micros(450_000);
 
-/// What follows a process that shuts down.
+/// Whether another process takes over from a process that shuts down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShutdownKind {
-    /// Nothing: its application exits too.
+    /// No process takes over: the application exits too.
     Final,
-    /// A successor, which accepts new connections.
+    /// A successor process takes over and accepts new connections.
     Replaced,
 }
 
@@ -35,7 +35,7 @@
     ShuttingDown {
         /// Time at which the shutdown began.
         since: Time,
-        /// What follows this process.
+        /// Whether another process takes over.
         kind: ShutdownKind,
     },
 }
