--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,4 +1,4 @@
-//! The digest: decaying averages of the latency, load and rejections that all instances observe, by site.
+//! The digest: decaying averages of the latency, load and shed requests that all instances observe, by site.
 //!
 //! Push-sum (Kempe, Dobra, Gehrke: "Gossip-based computation of aggregate information", FOCS 2003) over decaying sums.
 //! An observed response is one unit of weight at its server's site. In each period an instance sends half of its sums
@@ -12,17 +12,18 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Time between exchanges while the fleet is busy: responses are slow or requests are rejected.
+/// Time between exchanges while the fleet is busy: responses are slow or requests are shed.
 const BUSY_EXCHANGE_INTERVAL: Micros = Micros(50_000);
 /// Time between exchanges while the fleet is not busy.
 const QUIET_EXCHANGE_INTERVAL: Micros = Micros(200_000);
-/// Share of the latency target above which responses are slow.
+/// Latency, as a share of the latency objective, above which responses are slow.
 const BUSY_LATENCY: f64 = 0.35;
-/// Share of rejected requests above which the fleet is busy; a few single rejections stay below it.
-const BUSY_REJECTION_RATIO: f64 = 0.01;
+/// Share of shed requests above which the fleet is busy; a few single shed requests stay below it.
+const BUSY_SHED_RATIO: f64 = 0.01;
 /// Time in which sums decay by 1/e.
 const DECAY_MS: f64 = 250.0;
-/// Maximum number of sites in an exchange, the heaviest first: bounds the length of the datagram.
+/// Maximum number of sites in an exchange, the heaviest first. The limit bounds the length of the
+/// datagram.
 pub const MAX_SITES: usize = 6;
 /// Minimum weight of a site that is sent in an exchange.
 const MIN_EXCHANGED_WEIGHT: f64 = 0.02;
@@ -30,15 +31,15 @@
 const MIN_KEPT_WEIGHT: f64 = MIN_EXCHANGED_WEIGHT / 100.0;
 /// Maximum effective number of responses of a digest: the average over more of them is not more reliable.
 const MAX_EFFECTIVE_RESPONSES: f64 = 32.0;
-/// Maximum latency and load of one response, as shares of the latency target: limits the effect of single outliers and
-/// of false parts.
-const MAX_TARGET_SHARE: f64 = 1.2;
-/// Tolerance for `f32` rounding when a part's sums are checked against [`MAX_TARGET_SHARE`].
+/// Maximum latency and load of one response, as shares of the latency objective. The limit bounds the effect of single
+/// outliers and of false parts.
+const MAX_OBJECTIVE_SHARE: f64 = 1.2;
+/// Tolerance for `f32` rounding when a part's sums are checked against [`MAX_OBJECTIVE_SHARE`].
 const ROUNDING_TOLERANCE: f32 = 1.001;
 /// Maximum weight that is merged from a received half, as a share of the receiver's own weight. A weight of one response
 /// is always merged.
 const MAX_MERGED_WEIGHT_SHARE: f64 = 1.0;
-/// Avoids a division by zero for parts without weight.
+/// Lower bound of a received weight that is used as a divisor; avoids a division by zero for parts without weight.
 const MIN_RECEIVED_WEIGHT: f64 = 1e-9;
 /// Maximum number of exchanges that a peer may save up.
 const MAX_SAVED_EXCHANGES: f64 = 3.0;
@@ -56,13 +57,13 @@
     pub weight: f32,
     /// Sum of the squared weights of all responses: `weight`² / `square` is the effective number of responses.
     pub square: f32,
-    /// Weighted sum of latencies, as shares of the latency target.
+    /// Weighted sum of latencies, as shares of the latency objective.
     pub latency: f32,
-    /// Weighted sum of the latencies that the servers' load predicts, as shares of the latency target.
+    /// Weighted sum of the latencies that the servers' load predicts, as shares of the latency objective.
     pub load: f32,
     /// Weighted number of requests that instances of the site received.
     pub requests: f32,
-    /// Weighted number of requests that instances of the site rejected.
+    /// Weighted number of requests that instances of the site shed.
     pub rejections: f32,
 }
 
@@ -79,7 +80,7 @@
 
     /// Whether these sums can result from valid observations.
     fn is_valid(&self) -> bool {
-        let max = self.weight * MAX_TARGET_SHARE as f32 * ROUNDING_TOLERANCE;
+        let max = self.weight * MAX_OBJECTIVE_SHARE as f32 * ROUNDING_TOLERANCE;
         let sums = [self.weight, self.square, self.latency, self.load, self.requests, self.rejections];
         sums.iter().all(|sum| sum.is_finite() && *sum >= 0.0) && self.latency <= max && self.load <= max
     }
@@ -138,7 +139,7 @@
             weight: ratio(self.weight * self.weight, self.square).min(MAX_EFFECTIVE_RESPONSES),
             latency: ratio(self.latency, self.weight),
             load: ratio(self.load, self.weight),
-            // Above 1 if a rejection is recorded after its request has decayed a little.
+            // The ratio is above 1 if a shed request is recorded after its received request has decayed a little.
             shed: ratio(self.rejections, self.requests).min(1.0),
         }
     }
@@ -194,7 +195,7 @@
 /// A peer that sends false sums has no more weight at a receiver than the receiver itself, and its rate of exchanges is
 /// at most twice the rate of random draws among n members. A fifth of all weight decays in a period of 50 ms, so the
 /// peer contributes at most 2 parts in 2 + n/5 of the digest, and shifts the averages by that share of 1.2 latency
-/// targets.
+/// objectives.
 #[derive(Debug, Clone, Default)]
 pub struct Digest {
     sites: BTreeMap<u8, Sums>,
@@ -222,10 +223,10 @@
     }
 
     /// Records a response of a server of this site: its latency, and the latency that the server's load predicts, both
-    /// as shares of the latency target.
+    /// as shares of the latency objective.
     pub fn record_response(&mut self, now: Time, site: u8, latency: f64, load: f64) {
-        let latency = latency.clamp(0.0, MAX_TARGET_SHARE);
-        let load = load.clamp(0.0, MAX_TARGET_SHARE);
+        let latency = latency.clamp(0.0, MAX_OBJECTIVE_SHARE);
+        let load = load.clamp(0.0, MAX_OBJECTIVE_SHARE);
         self.record(now, site, Sums { weight: 1.0, square: 1.0, latency, load, ..Sums::default() });
     }
 
@@ -234,7 +235,7 @@
         self.record(now, site, Sums { requests: 1.0, ..Sums::default() });
     }
 
-    /// Records that this instance, at this site, rejected one of its recorded requests.
+    /// Records that this instance, at this site, shed one of its recorded requests.
     pub fn record_rejection(&mut self, now: Time, site: u8) {
         self.record(now, site, Sums { rejections: 1.0, ..Sums::default() });
     }
@@ -333,7 +334,7 @@
     /// The time until the next exchange.
     pub fn interval(&self, now: Time) -> Micros {
         let state = self.fleet(now);
-        if state.latency.max(state.load) > BUSY_LATENCY || state.shed > BUSY_REJECTION_RATIO {
+        if state.latency.max(state.load) > BUSY_LATENCY || state.shed > BUSY_SHED_RATIO {
             BUSY_EXCHANGE_INTERVAL
         } else {
             QUIET_EXCHANGE_INTERVAL
--- a/crates/membership/src/peer_reports.rs
+++ b/crates/membership/src/peer_reports.rs
@@ -86,9 +86,9 @@
     reports: f64,
 }
 
-/// Limits the effect of peers' reports. A peer that sends false or outdated reports has a burst of eight and two more a
-/// second; an unconfirmed report has an effect for two seconds; and all peers together can have at most a quarter of the
-/// servers reported, never the last ones.
+/// Limits the effect of peers' reports. A peer that sends false or outdated reports may send a burst of eight and two
+/// more a second; an unconfirmed report has an effect for two seconds; and all peers together can have at most a
+/// quarter of the servers reported, never the last ones.
 ///
 /// A report identifies a server by a byte string that is the same at all members.
 #[derive(Debug, Default)]
--- a/crates/membership/src/swim/dissemination.rs
+++ b/crates/membership/src/swim/dissemination.rs
@@ -18,8 +18,8 @@
 pub(super) const MAX_PIGGYBACKED_UPDATES: usize = 24;
 /// Number of view samples in a datagram: at most half of the updates that fit.
 pub(super) const VIEW_SAMPLES: usize = 6;
-/// Number of draws from the view for each sample, as the datagram may already contain a drawn member, or its state may
-/// be unknown.
+/// Maximum number of draws from the view for each sample. One draw may not suffice: the datagram may already contain an
+/// update about the drawn member, or the member's state may be absent.
 const DRAWS_PER_SAMPLE: usize = 2;
 /// Maximum number of queued updates; beyond it, the most transmitted one is discarded.
 const MAX_QUEUED_UPDATES: usize = 512;
@@ -65,7 +65,7 @@
 }
 
 impl Dissemination {
-    /// Queues an update; false if the same or a later one about that member was queued before.
+    /// Queues an update; false if an equal or later update about that member was queued before.
     pub fn enqueue(&mut self, now: Time, update: Update) -> bool {
         let (id, version) = (update.id, (update.incarnation, update.state));
         if self.latest.get(&id).is_some_and(|latest| *latest >= version) {
@@ -171,7 +171,7 @@
     }
 }
 
-/// The updates in a datagram besides the queued ones.
+/// The updates in a datagram in addition to the queued ones.
 #[derive(Debug)]
 pub(super) struct Piggyback {
     /// Updates that are sent before all others, and that the receiver forwards.
@@ -218,7 +218,7 @@
         out: &mut Vec<Output>,
     ) {
         let Piggyback { mut updates, samples } = piggyback;
-        // The receiver must receive an accusation of itself to refute it.
+        // The receiver can refute an accusation of itself only if it receives it.
         let about_receiver = to.id.and_then(|id| self.update_about(id));
         updates.extend(about_receiver.filter(|update| update.state != State::Alive));
         let first_queued = updates.len();
--- a/crates/membership/src/swim/failure_detector.rs
+++ b/crates/membership/src/swim/failure_detector.rs
@@ -14,7 +14,8 @@
 
 /// Number of helpers that are requested to ping a member which has not acked a direct ping (SWIM's k).
 const INDIRECT_PROBES: usize = 3;
-/// Maximum number of probes of suspected members in a period, beyond the regular one: bounds the cost of accusations.
+/// Maximum number of probes of suspected members in a period, in addition to the regular probe. The limit bounds the
+/// cost of accusations.
 const MAX_EXTRA_PROBES: u32 = 4;
 /// Number of retries of a probe: the first with indirect probes, the second with a direct ping alone.
 const MAX_PROBE_RETRIES: u32 = 2;
@@ -284,7 +285,7 @@
         let Some(suspicion) = self.detector.suspicions.get_mut(&id) else { return };
         suspicion.probe_failed = true;
         if suspicion.add_reporter(own_id) {
-            // Gossiped with this instance's number, as the report shortens other members' suspicions.
+            // The update is gossiped with this instance's number, as the report shortens other members' suspicions.
             if let Some(update) = self.update_about(id) {
                 self.dissemination.reset(id);
                 self.dissemination.enqueue(now, Update { reported_by: own_id, ..update });
--- a/crates/membership/src/swim/incoming.rs
+++ b/crates/membership/src/swim/incoming.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Maximum number of address mismatches that are reported, once each; bounds the memory for them.
+/// Maximum number of address mismatches that are reported, once each. The limit bounds the memory for them.
 const MAX_REPORTED_MISMATCHES: usize = 64;
 
 /// Conflicts that were already reported, as each is reported once and not for each datagram.
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Acks a ping, unless it is for another member or this instance leaves.
+    /// Acks a ping, unless it is for another member or this instance is leaving.
     fn on_ping(&mut self, now: Time, sender: Destination, seq: u32, to: Id, out: &mut Vec<Output>) {
         if to == self.config.number && !self.join.leaving {
             let ack = Message::Ack { seq, target: to, incarnation: self.incarnation };
@@ -291,7 +291,7 @@
         }
     }
 
-    /// Processes a member's own report that it leaves.
+    /// Processes a member's own report that it is leaving.
     fn on_left(&mut self, now: Time, member: &Member, update: &Update, out: &mut Vec<Output>) {
         if member.state == State::Left {
             return;
@@ -315,7 +315,7 @@
         suspicion.reported_dead |= matches!(update.state, State::Dead | State::Left);
         suspicion.reported_left |= update.state == State::Left;
         if suspicion.add_reporter(update.reported_by) && self.dissemination.forward_received {
-            // Forwarded with the reporter's number, so that it shortens the suspicions at other members too.
+            // The update is forwarded with the reporter's number, so that it shortens the suspicions at other members too.
             self.dissemination.reset(id);
             let confirmation = Update { incarnation: member.incarnation, ..update.clone() };
             self.dissemination.enqueue(now, confirmation);
@@ -340,7 +340,7 @@
                 };
                 self.mark_alive(now, member, update.reported_by, out);
             }
-            // Other views may contain the member.
+            // The update is gossiped nevertheless, since other views may contain the member.
             _ => {
                 self.disseminate(now, update.clone());
             }
--- a/crates/membership/src/swim/join.rs
+++ b/crates/membership/src/swim/join.rs
@@ -14,8 +14,8 @@
 const RECONNECT_FANOUT_RECOVERING: usize = 4;
 /// Maximum number of pending pings of missing members; the oldest is discarded first.
 const MAX_RECONNECT_PINGS: usize = 16;
-/// Seeds are contacted in one of this number of periods while other members are reachable, as a seed's address may be
-/// in use by another process by now.
+/// Seeds are contacted on average in one of this many periods while other members are reachable. They are contacted seldom
+/// because a seed's address may be in use by another process by now.
 const SEED_CONTACT_PERIODS: u32 = 16;
 /// Number of datagrams with view samples that a joining member receives.
 const JOIN_PUSH_DATAGRAMS: usize = 3;
@@ -42,7 +42,7 @@
     reconnect_pings: VecDeque<ReconnectPing>,
     join_pushes_left: u32,
     stale_responses_left: u32,
-    /// Whether this instance leaves; it then acks no pings and refutes nothing.
+    /// Whether this instance is leaving; it then acks no pings and refutes nothing.
     pub leaving: bool,
 }
 
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Consumes one of the period's join pushes; false if none is left or this instance leaves.
+    /// Consumes one of the period's join pushes; false if none is left or this instance is leaving.
     fn try_consume_join_push(&mut self) -> bool {
         let available = !self.leaving && self.join_pushes_left > 0;
         self.join_pushes_left -= u32::from(available);
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -174,7 +174,7 @@
         self.quorum_state
     }
 
-    /// The number of reachable members with this instance, and its relative standard error if the view is a sample.
+    /// The number of reachable members, including this instance, and its relative standard error if the view is a sample.
     pub fn size(&self) -> (f64, Option<f64>) {
         self.view.size()
     }
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -175,8 +175,8 @@
         removed
     }
 
-    /// The number of reachable members with this instance. If it is an estimate from a sample, its relative standard error
-    /// too.
+    /// The number of reachable members, including this instance, and the number's relative standard error if it is an
+    /// estimate from a sample.
     pub fn size(&self) -> (f64, Option<f64>) {
         let reachable = self.reachable.len();
         if !self.is_sample || reachable < MIN_ESTIMATE_SAMPLE {
--- a/crates/membership/tests/digest.rs
+++ b/crates/membership/tests/digest.rs
@@ -87,7 +87,7 @@
     }
 }
 
-/// The bound in the documentation of [`Digest`]: 2 parts in 2 + n/5, of at most 1.2 latency targets.
+/// The bound in the documentation of [`Digest`]: 2 parts in 2 + n/5, of at most 1.2 latency objectives.
 #[test]
 fn false_sums_shift_average_within_stated_bound() {
     let members = 100;
