--- a/crates/net/src/connect.rs
+++ b/crates/net/src/connect.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// The maximum of connect calls when they fail for a reason on this machine, which may be temporary.
+/// The maximum number of connect calls when they fail for a reason on this machine, which may be temporary.
 const MAX_CONNECT_ATTEMPTS: u32 = 4;
 /// The delay before the second connect call; it doubles with each further one.
 const FIRST_RETRY_DELAY: Duration = Duration::from_millis(2);
--- a/crates/net/src/datagram.rs
+++ b/crates/net/src/datagram.rs
@@ -56,9 +56,9 @@
     ///
     /// # Errors
     ///
-    /// The kernel cannot take the datagram at present.
+    /// The kernel cannot accept the datagram at present.
     pub fn send_now(&self, bytes: &[u8], to: SocketAddr) -> io::Result<usize> {
-        // Calls the socket directly: the readiness that the runtime has recorded may be out of date.
+        // The socket is called directly: the readiness that the runtime has recorded may be out of date.
         retry_interrupted(|| SockRef::from(&self.0).send_to(bytes, &SockAddr::from(to)))
     }
 }
--- a/crates/routes/src/check.rs
+++ b/crates/routes/src/check.rs
@@ -28,7 +28,7 @@
 /// The rules that are checked. All are enabled in production; tests disable single rules to show their effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EnabledChecks {
-    /// Rule 2: retries arrive within the deduplication window.
+    /// Rule 2: retries arrive within the dedup window.
     pub dedup_window: bool,
     /// Rule 2: retries are sent only to servers that share their deduplication state.
     pub dedup_scope: bool,
--- a/crates/routes/src/explain.rs
+++ b/crates/routes/src/explain.rs
@@ -9,7 +9,7 @@
 use std::fmt::Write;
 
 /// Formats the worst-case timeline of each route for each class that it can match: the latest send decision and arrival of
-/// each attempt, the deduplication window and the deadline.
+/// each attempt, the dedup window and the deadline.
 pub fn explain(config: &RoutesConfig, platform: &Platform) -> String {
     let mut text = String::new();
     for route in &config.routes {
@@ -41,7 +41,7 @@
     }
 }
 
-/// Describes a class's retry safety; also returns its deduplication window, if it has one.
+/// Describes a class's retry safety; also returns its dedup window, if it has one.
 fn describe_retry_safety(retry_safety: RetrySafety) -> (String, Option<Micros>) {
     match retry_safety {
         RetrySafety::Idempotent => ("safe to repeat".to_owned(), None),
--- a/crates/routes/src/lib.rs
+++ b/crates/routes/src/lib.rs
@@ -8,7 +8,7 @@
 //! # Check
 //!
 //! For each route and class the check computes the latest moment at which a byte of the last attempt can reach a
-//! server ([`AttemptTimeline`]) and compares it with the deduplication window, the drain grace period and the client's
+//! server ([`AttemptTimeline`]) and compares it with the dedup window, the drain grace period and the client's
 //! deadline. The balancer and the agent enforce the same limits at run time (no byte leaves after `write_by`); neither
 //! the check nor the enforcement relies on the other.
 //!
