--- a/crates/agent/src/discovery/policy.rs
+++ b/crates/agent/src/discovery/policy.rs
@@ -110,8 +110,8 @@
         }
     }
 
-    /// Time by which an agent must have learned a change, counted from when discovery had the change and was reachable.
-    /// Where lists are pushed, this includes the drain grace period.
+    /// Time by which an agent must have been notified of a change, counted from when discovery had the change and was
+    /// reachable. Where lists are pushed, this includes the drain grace period.
     pub fn notification_limit(&self, drain_grace: Duration) -> Duration {
         match self.retry_delay {
             None => NOTIFICATION_LIMIT,
--- a/crates/agent/src/discovery/schedule.rs
+++ b/crates/agent/src/discovery/schedule.rs
@@ -108,7 +108,7 @@
     silent_at: Option<Duration>,
     /// Number of calls for an immediate response since the schedule last started.
     immediate_calls: u32,
-    /// Time of the next call for an immediate response if no response arrives before.
+    /// Time of the next call for an immediate response if no response arrives earlier.
     hedge_at: Option<Duration>,
     /// Time of the restart after a failure, where the schedule restarts by itself.
     restart_at: Option<Duration>,
--- a/crates/agent/src/downstream/capacity.rs
+++ b/crates/agent/src/downstream/capacity.rs
@@ -9,17 +9,18 @@
 use tracing::warn;
 
 /// The longest time from the first byte of a request's head to its last. A client that never completes its head occupies a
-/// connection that others need; slow clients take 2 s. An unused connection has as long for its first byte.
+/// connection that others need; slow clients take 2 s. An unused connection must receive its first byte within the same time.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2_400);
 /// The longest time from the accept of a connection to the last byte of its first head, however late that began.
 const FIRST_HEAD_TIMEOUT: Duration = Duration::from_millis(2_800);
-/// A client that takes no byte of its response for this long is considered disconnected.
+/// A client that reads no byte of its response for this long is considered disconnected.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(20);
 /// The time for a client to read a response that was sent before its request was complete.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The longest time that a connection may be idle.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// The same while many connections are open. It is no shorter than the idle time that clients are promised.
+/// The longest time that a connection may be idle while many connections are open. It is no shorter than the idle time that
+/// clients are promised.
 const SHORT_IDLE_TIMEOUT: Duration = Duration::from_millis(2_050);
 /// The share of the connection limit from which [`SHORT_IDLE_TIMEOUT`] applies: clients count connections that they no longer
 /// use towards their own limit.
@@ -35,7 +36,7 @@
 /// The number of connections that are closed at once when the process has no descriptor left: as many as discovery needs, and
 /// the same again for servers and the next clients.
 const SHORTAGE_RESERVE: usize = 2 * DISCOVERY_CONNECTIONS;
-/// How long the connection limit stays reduced after such a shortage.
+/// The time for which the connection limit stays reduced after a shortage of descriptors.
 const SHORTAGE_DURATION: Duration = Duration::from_secs(10);
 /// The interval of checks whether a connection has timed out.
 pub(super) const STATE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
@@ -50,10 +51,11 @@
         }
     }
 
-    /// The process has fewer descriptors than its limit promised. Clients' connections are closed for those that it needs.
+    /// Handles a shortage of descriptors, which the process has fewer of than its limit promised: closes clients' connections
+    /// to free descriptors for discovery and servers, and reduces the connection limit for a while.
     pub(super) fn on_descriptor_shortage(&self) {
         let open = self.open_connections.borrow().len();
-        // Otherwise connections that an earlier shortage evicted are still closing.
+        // The limit is not reduced again while connections that an earlier shortage evicted are still closing.
         if open <= self.max_connections() {
             let reduced = open.saturating_sub(SHORTAGE_RESERVE).max(open / 2).max(1);
             self.reduced_limit.set(Some((Instant::now() + SHORTAGE_DURATION, reduced)));
@@ -84,7 +86,7 @@
         self.open_connections.borrow().len() as f64 >= share * self.max_connections() as f64
     }
 
-    /// When a connection times out in its present state.
+    /// The time at which a connection times out in its present state.
     pub(super) fn expires_at(&self, client: &ClientConnection, accepted_at: Instant) -> Instant {
         let short = self.usage_reaches(SHORT_IDLE_SHARE);
         if let Some(since) = client.lingering_since() {
--- a/crates/agent/src/downstream/connection.rs
+++ b/crates/agent/src/downstream/connection.rs
@@ -20,7 +20,7 @@
     number: u64,
     /// The client's address; none if the kernel no longer knew it.
     peer: Option<SocketAddr>,
-    /// The state, and when it began.
+    /// The state, and the time at which it began.
     state: Cell<(ConnectionState, Instant)>,
     /// Whether the length of the current request can be interpreted in two ways.
     pub(super) ambiguous_length: Cell<bool>,
@@ -30,11 +30,11 @@
     response_body_finished: Cell<bool>,
     /// The timeout of the current request's body.
     pub(super) body_timeout: Cell<ProgressTimeout>,
-    /// When the connection was accepted; the times of `body_timeout` count from here.
+    /// The time at which the connection was accepted; the times of `body_timeout` count from it.
     created_at: Instant,
-    /// Since when the client has not taken any byte of its response.
+    /// The time since which the client has read no byte of its response; none if no write is stalled.
     write_stalled_since: Cell<Option<Instant>>,
-    /// Since when the rest of a request is read and discarded.
+    /// The time since which the rest of a request has been read and discarded; none if it is not.
     pub(super) lingering_since: Cell<Option<Instant>>,
     /// Wakes the task that reads the connection.
     pub(super) waker: RefCell<Option<Waker>>,
@@ -74,7 +74,7 @@
         self.peer
     }
 
-    /// The state, and when it began.
+    /// The state, and the time at which it began.
     pub fn state(&self) -> (ConnectionState, Instant) {
         self.state.get()
     }
@@ -95,17 +95,18 @@
         !self.has_written_response.get()
     }
 
-    /// When the body of the current request times out; none while it is not read.
+    /// The time at which the body of the current request times out; none while the body is not read.
     pub fn body_deadline(&self) -> Option<Instant> {
         self.body_timeout.get().deadline().map(|at| self.created_at + Duration::from_micros(at.0))
     }
 
-    /// Since when the client has not taken any byte of its response.
+    /// The time since which the client has read no byte of its response; none if no write is stalled.
     pub fn write_stalled_since(&self) -> Option<Instant> {
         self.write_stalled_since.get()
     }
 
-    /// Since when the rest of a request is read and discarded, while the client reads its response.
+    /// The time since which the rest of a request has been read and discarded while the client reads its response; none if it
+    /// is not.
     pub fn lingering_since(&self) -> Option<Instant> {
         self.lingering_since.get()
     }
@@ -122,12 +123,12 @@
         self.body_timeout.set(timeout);
     }
 
-    /// The current request has been received completely.
+    /// Called when the current request has been received completely.
     pub fn on_request_complete(&self) {
         self.set_state(ConnectionState::Pending);
     }
 
-    /// hyper has the complete body of the current response.
+    /// Called when hyper has the complete body of the current response.
     pub fn on_response_body_finished(&self) {
         self.response_body_finished.set(true);
     }
@@ -137,13 +138,13 @@
         self.response_timer.set(Some(timer));
     }
 
-    /// hyper had bytes to write; `progressed` tells whether the kernel took any of them.
+    /// Called after a write by hyper; `progressed` states whether the kernel accepted any of the bytes.
     pub(super) fn on_write(&self, progressed: bool) {
         let since = (!progressed).then(|| self.write_stalled_since.get().unwrap_or_else(Instant::now));
         self.write_stalled_since.set(since);
     }
 
-    /// All bytes of hyper have been written. If they complete a response, the next request may be read.
+    /// Called when all bytes of hyper have been written. If they complete a response, the next request may be read.
     pub(super) fn on_flushed(&self) {
         self.write_stalled_since.set(None);
         if !self.response_body_finished.take() {
@@ -161,11 +162,12 @@
     }
 }
 
-/// Waits until a client has closed its side while a request of it is in progress, even if bytes of it are unread: a read
-/// returns the end of the stream last, possibly after a body that is not read while its request waits for a server.
+/// Waits until a client has closed its side of the connection while one of its requests is in progress. The close is
+/// detected even if bytes before it are unread: a read would return the end of the stream only after them, and a body
+/// is not read while its request waits for a server.
 ///
-/// The state changes only when the connection is polled, by the same task and before this future: so the state is checked
-/// as soon as a request is in progress, without a polling interval.
+/// The connection's state changes only when the connection is polled, which the same task does before it polls this future.
+/// The state is therefore checked as soon as a request is in progress, without a polling interval.
 pub async fn client_disconnected(stream: &Stream<TcpStream>, client: &ClientConnection) {
     stream.peer_closed().await;
     poll_fn(|_| if client.has_open_request() { Poll::Ready(()) } else { Poll::Pending }).await;
--- a/crates/agent/src/downstream/exchange.rs
+++ b/crates/agent/src/downstream/exchange.rs
@@ -1,4 +1,4 @@
-//! The way of a request from its head to its response: submitted to the driver, and withdrawn if its client disconnects.
+//! Handles a request from its head to its response: submits it to the driver, and withdraws it if its client disconnects.
 
 use super::connection::ClientConnection;
 use super::request::header_text;
@@ -18,7 +18,8 @@
 use std::time::Duration;
 use tokio::time::timeout_at;
 
-/// How long after a request's deadline the agent gives up waiting for the balancer's response, which is due by the deadline.
+/// The time after a request's deadline at which the agent stops waiting for the balancer's response, which is due by the
+/// deadline.
 const DEADLINE_SLACK: Duration = Duration::from_millis(4);
 
 impl Server {
--- a/crates/agent/src/downstream/framing.rs
+++ b/crates/agent/src/downstream/framing.rs
@@ -1,9 +1,9 @@
 //! Finds the beginning and the end of each request on a client's connection before hyper reads it.
 //!
-//! hyper ignores a `Content-Length` beside a `Transfer-Encoding`, and accepts repeated equal lengths, so its requests no
-//! longer show that a server might interpret the message otherwise. It also reads ahead, so that an idle connection cannot be
-//! told from one on which a request is arriving. [`RequestFraming`] passes one complete head to hyper, then as many bytes as
-//! the body has, and nothing after them until the request has its response.
+//! hyper ignores a `Content-Length` beside a `Transfer-Encoding`, and accepts repeated equal lengths, so its requests
+//! no longer show that a server might interpret the message differently. It also reads ahead, so that an idle
+//! connection cannot be distinguished from one on which a request is arriving. [`RequestFraming`] passes one complete
+//! head to hyper, then as many bytes as the body has, and nothing after them until the request has its response.
 
 use super::connection::ClientConnection;
 use super::head::{parse_framing, HeadFraming};
@@ -24,11 +24,11 @@
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
 /// The size of a read.
 const READ_CHUNK_BYTES: usize = 16 << 10;
-/// The maximum of buffered bytes behind a request that has no response yet: enough for the longest request that is buffered
-/// completely. Further bytes are read and discarded: the end of the stream is behind all bytes that a client has sent, and
-/// does not arrive while the receive buffer is full.
+/// The maximum number of buffered bytes after a request that has no response yet: enough for the longest request that is
+/// buffered completely. Further bytes are read and discarded, since the end of the stream follows all bytes that a client has
+/// sent, and does not arrive while the receive buffer is full.
 const MAX_BUFFERED_BYTES: usize = MAX_HEAD_BYTES + MAX_BUFFERED_BODY_BYTES;
-/// The maximum of discarded bytes on a connection; after that it is no longer read.
+/// The maximum number of discarded bytes on a connection; the connection is no longer read after that.
 const MAX_DISCARDED_BYTES: u64 = MAX_BODY_BYTES;
 
 /// The position in the current request.
@@ -39,9 +39,9 @@
     Body(u64),
     /// In a chunked body.
     Chunked(ChunkedBodyScanner),
-    /// Behind the request: following bytes belong to the next request, or the stream ends.
+    /// After the end of the request: following bytes belong to the next request, or the stream ends.
     Complete,
-    /// Behind the last request: all following bytes are ignored.
+    /// After the end of the last request: all following bytes are ignored.
     Closed,
 }
 
@@ -58,7 +58,7 @@
     parsed_len: usize,
     /// Whether the end of the stream has been read.
     eof: bool,
-    /// The number of bytes behind `buffered` that were discarded. Once it is not 0, the stream ends for hyper after
+    /// The number of bytes after `buffered` that were discarded. Once it is not 0, the stream ends for hyper after
     /// `buffered`.
     discarded: u64,
 }
@@ -85,13 +85,13 @@
         }
         let mut chunk = [0; READ_CHUNK_BYTES];
         let n = ready!(self.io.poll_read(cx, &mut chunk))?;
-        let kept = match self.stage {
+        let to_buffer = match self.stage {
             Stage::Complete => n.min(MAX_BUFFERED_BYTES.saturating_sub(self.buffered.len())),
             _ => n,
         };
-        let kept = if self.discarded > 0 { 0 } else { kept };
-        self.buffered.extend_from_slice(&chunk[..kept]);
-        self.discarded += (n - kept) as u64;
+        let to_buffer = if self.discarded > 0 { 0 } else { to_buffer };
+        self.buffered.extend_from_slice(&chunk[..to_buffer]);
+        self.discarded += (n - to_buffer) as u64;
         if matches!(self.stage, Stage::Body(_) | Stage::Chunked(_)) {
             self.client.update_body_timeout(|timeout, now| timeout.on_bytes(n, now));
         }
@@ -137,7 +137,8 @@
         true
     }
 
-    /// The request has its response. The next one may be read, unless the body of this one has not been read to its end.
+    /// Called when the request has its response. The next request may be read, unless the body of this one has not been
+    /// read to its end.
     fn start_next_request(&mut self) {
         self.stage = match self.stage {
             Stage::Complete | Stage::Head => Stage::Head,
@@ -146,7 +147,7 @@
         self.parsed_len = 0;
     }
 
-    /// Records whether the kernel took any bytes of a write.
+    /// Records whether the kernel accepted any bytes of a write.
     fn record_write(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         self.client.on_write(result.is_ready());
         result
@@ -192,7 +193,7 @@
                     if this.parse_head() {
                         continue;
                     }
-                    // The bytes behind the buffered ones have been discarded, so an incomplete head stays incomplete.
+                    // The bytes after the buffered ones have been discarded, so an incomplete head stays incomplete.
                     if this.discarded > 0 {
                         return Poll::Ready(Ok(()));
                     }
@@ -216,7 +217,7 @@
                                 this.client.set_state(ConnectionState::Pending);
                             }
                         }
-                        // hyper might interpret the bytes otherwise, so it does not get them.
+                        // hyper might interpret the bytes differently, so it does not get them.
                         Err(InvalidChunkedBody) => {
                             this.stage = Stage::Closed;
                             return Poll::Ready(Err(io::ErrorKind::InvalidData.into()));
--- a/crates/agent/src/downstream/mod.rs
+++ b/crates/agent/src/downstream/mod.rs
@@ -35,9 +35,9 @@
 /// The pause after a failed accept: without it, the loop would spin while no descriptor is left.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 /// The number of consecutive accepts that fail for a shortage of descriptors or memory after which the shortage counts as this
-/// process's own. One of the machine may end at once, and clients should not wait for it.
+/// process's own. A shortage of the entire machine may end at once, and clients should not wait for it.
 const PERSISTENT_SHORTAGE_ACCEPTS: u32 = 4;
-/// The pause between these accepts.
+/// The pause between accepts that fail for a shortage.
 const SHORTAGE_RETRY_INTERVAL: Duration = Duration::from_millis(2);
 /// An unused connection without a byte for this long is not expected to send a request: clients send one right after they
 /// connect.
@@ -60,7 +60,7 @@
 pub enum Accepting {
     /// All connections are accepted.
     On,
-    /// Those in the accept queue are accepted, and no later ones.
+    /// Connections in the accept queue are accepted, and no later ones.
     Drain,
     /// No connections are accepted: another process accepts them.
     Off,
@@ -80,7 +80,7 @@
     /// Whether no further request is read; connections close once they have no request without a response.
     closing: watch::Sender<bool>,
     connection_limit: Cell<usize>,
-    /// The reduced connection limit after a shortage of descriptors, and when it expires.
+    /// After a shortage of descriptors: the time until which the connection limit is reduced, and the reduced limit.
     reduced_limit: Cell<Option<(Instant, usize)>>,
     /// The open connections by their number.
     open_connections: RefCell<HashMap<u64, OpenConnection>>,
@@ -173,7 +173,7 @@
         });
     }
 
-    /// A client's connection has closed, or is about to.
+    /// Logs and counts a client's connection that has closed or is about to close.
     fn on_closed(&self, client: &ClientConnection, reason: CloseReason) {
         let (state, _) = client.state();
         let log = &self.driver.request_log;
@@ -187,7 +187,7 @@
         }
     }
 
-    /// The process exits, which closes the remaining connections.
+    /// Called when the process exits, which closes the remaining connections.
     pub fn on_exit(&self) {
         for connection in self.open_connections.borrow().values() {
             self.on_closed(&connection.client, CloseReason::Shutdown);
@@ -209,7 +209,7 @@
         self.driver.is_ready() && self.service.get().is_ready()
     }
 
-    /// When idle connections are closed because of the serving state; none while the instance serves.
+    /// The time at which idle connections are closed because of the serving state; none while the instance serves.
     pub fn close_idle_at(&self) -> Option<Instant> {
         self.service.get().close_idle_at().map(|at| self.driver.clock.instant(at))
     }
@@ -285,7 +285,7 @@
         let mut closing = pin!(until_set(&self.closing));
         let mut is_refusing = false;
         loop {
-            // Checked before the connection is polled, which may read a request.
+            // The flag is checked before the connection is polled, since that may read a request.
             if *self.closing.borrow() && Guard::may_close(client.state().0) {
                 return CloseReason::Shutdown;
             }
@@ -319,7 +319,7 @@
                 () = sleep_until(expires_at.min(Instant::now() + STATE_CHECK_INTERVAL)) => {}
             }
         }
-        // No response is being written: the next head is read only after the response before it.
+        // No response is being written: a head is read only after the previous response has been written.
         refuse_incomplete_head(&stream).await;
         CloseReason::Shutdown
     }
--- a/crates/agent/src/downstream/request.rs
+++ b/crates/agent/src/downstream/request.rs
@@ -147,7 +147,7 @@
     }
 }
 
-/// The value of a header; none if it is missing or no text.
+/// The value of a header; none if it is missing or not text.
 pub(super) fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
--- a/crates/agent/src/downstream/response_body.rs
+++ b/crates/agent/src/downstream/response_body.rs
@@ -13,8 +13,8 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// What completes a request once its response has been handed over: its counter, its timer, and its id, which becomes
-/// available again.
+/// Completes a request once hyper has its complete response. Holds the request's counter, its timer, and its id, which then
+/// becomes available again.
 pub struct ResponseCompletion {
     counter: Option<status::PendingGuard>,
     timer: Option<PendingTimer>,
@@ -33,7 +33,7 @@
         ResponseCompletion { counter: Some(counter), timer, outcome, _open_id: id }
     }
 
-    /// The response is finished with this outcome, and its last byte is about to be written.
+    /// Called when the response is finished with this outcome, and its last byte is about to be written.
     fn finish(&mut self, outcome: RequestOutcome, client: &ClientConnection) {
         if let Some(counter) = self.counter.take() {
             counter.finish(outcome);
@@ -79,7 +79,7 @@
         self.completion = Some(completion);
     }
 
-    /// Sets the connection that the body is written to next. A complete body counts as finished from here on.
+    /// Sets the connection that the body is written to next. A complete body counts as finished from this call on.
     pub fn attach_to(&mut self, client: &Rc<ClientConnection>) {
         self.client = Some(client.clone());
         if let (BodySource::Complete(_), Some(mut completion)) = (&self.source, self.completion.take()) {
@@ -119,7 +119,7 @@
         };
         match &next {
             Poll::Ready(None) => self.on_finished(None),
-            // The client detects this: the body is shorter than its declared length, or has no last chunk.
+            // The client detects the failure: the body is shorter than its declared length, or has no last chunk.
             Poll::Ready(Some(Err(_))) => self.on_finished(Some(RequestOutcome::Failed)),
             Poll::Ready(Some(Ok(_))) if self.is_end_stream() => self.on_finished(None),
             Poll::Ready(Some(Ok(_))) | Poll::Pending => {}
--- a/crates/agent/src/driver/endpoints.rs
+++ b/crates/agent/src/driver/endpoints.rs
@@ -61,7 +61,7 @@
 }
 
 impl EndpointTable {
-    /// An empty table for a first list of this version.
+    /// An empty table, for a first list with this version.
     pub(super) fn new(version: u64) -> Self {
         EndpointTable {
             ids: HashMap::new(),
@@ -93,7 +93,7 @@
         self.version.filter(|_| !self.up.is_empty())
     }
 
-    /// The groups of servers that recognise the same repeated requests as this server.
+    /// The zone and the dedup group of a server. Other servers in them may recognise the same repeated requests.
     pub(super) fn groups(&self, server: ServerId) -> ServerGroups {
         self.groups.get(&server).copied().unwrap_or(UNKNOWN_GROUPS)
     }
@@ -192,8 +192,8 @@
         }
     }
 
-    /// Records which servers are removed, and forgets those whose removal is [`SERVER_NAME_RETENTION`] ago. `listed`
-    /// holds the servers of a snapshot; none for a delta. Returns the forgotten servers.
+    /// Records which servers have been removed, and forgets those that were removed [`SERVER_NAME_RETENTION`] ago or
+    /// earlier. `listed` holds the servers of a snapshot; none for a delta. Returns the forgotten servers.
     fn expire(&mut self, endpoints: &[Endpoint], listed: Option<&HashSet<ServerId>>) -> Vec<ServerId> {
         let now = Instant::now();
         for endpoint in endpoints {
@@ -204,8 +204,8 @@
                 self.removed.entry(server).or_insert(now);
             }
         }
-        let gone = endpoints.iter().filter(|endpoint| endpoint.status == Status::Removed);
-        self.removed.extend(gone.map(|endpoint| (endpoint.server, now)));
+        let removed = endpoints.iter().filter(|endpoint| endpoint.status == Status::Removed);
+        self.removed.extend(removed.map(|endpoint| (endpoint.server, now)));
         let is_expired = |removed_at: &Instant| now.duration_since(*removed_at) >= SERVER_NAME_RETENTION;
         let expired = self.removed.iter().filter(|(_, removed_at)| is_expired(removed_at));
         let expired: Vec<ServerId> = expired.map(|(server, _)| *server).collect();
@@ -281,7 +281,7 @@
         state.discovery.watch(self.clone(), true, None);
     }
 
-    /// Starts a watch from the cached version on, or ends the present one.
+    /// Starts a watch from the cached version if `active`, or ends the present watch.
     pub(super) fn watch_discovery(self: &Rc<Self>, state: &mut State, active: bool) {
         let version = state.endpoints.watch_version();
         state.discovery.watch(self.clone(), active, version);
@@ -297,8 +297,8 @@
         if list.is_snapshot {
             table.up.clear();
         }
-        // All starts are evaluated before the first is converted, since each may correct the estimate of the clock
-        // skew.
+        // All starts are evaluated before the first of them is converted to local time, since each may correct the
+        // estimate of the clock skew.
         for record in &list.endpoints {
             let server = table.intern(&record.name);
             table.on_start(now, server, record.started_unix_ms);
--- a/crates/agent/src/driver/requests.rs
+++ b/crates/agent/src/driver/requests.rs
@@ -65,7 +65,7 @@
     pub deadline: Instant,
     /// Maximum time from the last byte of the request to the response.
     pub response_timeout: Duration,
-    /// Time at which the request was complete; for a streaming body, time at which its buffered part was.
+    /// Time at which the request was complete; for a streaming body, time at which its buffered part was complete.
     pub received_at: Instant,
     /// Time at which the client stops waiting for the response.
     pub client_deadline: Instant,
--- a/crates/agent/src/driver/timers.rs
+++ b/crates/agent/src/driver/timers.rs
@@ -86,7 +86,7 @@
     }
 
     /// The next time at which the driver's task has to wake, at the latest for the next sweep. While decisions are
-    /// deferred it is the end of the deferral, since timers are not handled before; otherwise it is the time of the
+    /// deferred it is the end of the deferral, since timers are not handled earlier; otherwise it is the time of the
     /// earliest timer.
     fn next_wake(&self, next_sweep: Instant) -> Instant {
         let next_timer = self.state.borrow().timers.next_due();
--- a/crates/agent/src/peers/mod.rs
+++ b/crates/agent/src/peers/mod.rs
@@ -142,7 +142,7 @@
     }
 
     /// Runs one step of the protocol, then carries out its outputs. The membership is not borrowed during the second
-    /// part, since the handler may send a hint in response to one.
+    /// part, since the handler may send a hint in response to an output.
     fn process(&self, step: impl FnOnce(&mut Membership, Time, &mut Vec<Output>)) {
         let mut outputs = Vec::new();
         let now = self.clock.now();
@@ -207,15 +207,15 @@
         });
     }
 
-    /// Records the signals of this instance's balancer in the digest.
-    pub fn record_responses(&self, signals: impl ExactSizeIterator<Item = ResponseSample>) {
-        // Most events have no signals.
-        if signals.len() == 0 {
+    /// Records the response samples of this instance's balancer in the digest.
+    pub fn record_responses(&self, samples: impl ExactSizeIterator<Item = ResponseSample>) {
+        // Most events have no samples.
+        if samples.len() == 0 {
             return;
         }
         self.record(|digest, now, _| {
-            signals.for_each(|signal| {
-                digest.record_response(now, signal.zone.0 as u8, signal.latency, signal.load);
+            samples.for_each(|sample| {
+                digest.record_response(now, sample.zone.0 as u8, sample.latency, sample.load);
             });
         });
     }
--- a/crates/agent/src/peers/status.rs
+++ b/crates/agent/src/peers/status.rs
@@ -166,17 +166,16 @@
     }
 }
 
-/// The reason for a quorum state, for `status.json` and the log.
+/// The reason for a quorum state, for the log and for `status.json`. The texts are stored in `status.json`, so they must
+/// not change.
 pub(super) fn quorum_reason(state: QuorumState, reachable: u32, expected: u32) -> String {
-    let counts = format!("{reachable} of {expected} instances are reachable");
+    let counts = format!("{reachable} of {expected} are here");
     match state {
-        QuorumState::Recovering => {
-            format!("started or stalled recently; {counts} by a view that is not reliable yet")
-        }
-        QuorumState::Isolated if expected <= 1 => "only one instance is expected".to_owned(),
-        QuorumState::Isolated => format!("no other of the {expected} expected instances is reachable"),
-        QuorumState::Minority => format!("{counts}, half or fewer"),
-        QuorumState::Majority => format!("{counts}, more than half; a quarter or more is missing"),
+        QuorumState::Recovering => format!("just started, or stood still; {counts} by what it holds"),
+        QuorumState::Isolated if expected <= 1 => "there is to be one".to_owned(),
+        QuorumState::Isolated => format!("nobody else is heard, of {expected}"),
+        QuorumState::Minority => format!("{counts}, half or less"),
+        QuorumState::Majority => format!("{counts}, more than half, and a quarter or more is missing"),
         QuorumState::Degraded | QuorumState::Complete => counts,
     }
 }
--- a/crates/agent/src/upstream/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -22,15 +22,15 @@
 /// The header with the time that the agent waits for the response.
 const TIMEOUT_HEADER: HeaderName = HeaderName::from_static("x-timeout");
 
-/// The limits of time of an attempt.
+/// The time limits of an attempt.
 pub struct AttemptLimits {
     /// The latest start of the attempt, and its end.
     pub window: AttemptWindow<Instant>,
     /// The maximum of the timeout that the server receives, for a request whose body is still being received.
     pub max_timeout: Option<Duration>,
-    /// From the start of the attempt to an open connection, if the route has a limit of its own.
+    /// The maximum time from the start of the attempt to the open connection, if the route has a limit of its own.
     pub connect_timeout: Option<Duration>,
-    /// From sending the request over an open connection to the end of the response's head.
+    /// The maximum time from sending the request over an open connection to the end of the response's head.
     pub first_byte_timeout: Option<Duration>,
 }
 
@@ -49,7 +49,7 @@
 pub struct AttemptResult {
     /// The outcome in the balancer's terms.
     pub outcome: Outcome,
-    /// The load report that the response had.
+    /// The load report in the response, if it had one.
     pub report: Option<Vec<f64>>,
     /// The response of a served request: its content type and its body.
     pub response: Option<(Option<HeaderValue>, ResponseBody)>,
@@ -81,7 +81,7 @@
     first_byte: Cell<Option<FirstByte>>,
     /// The request's body, if it is still being received when the attempt starts.
     upload: Option<Rc<StreamingBody>>,
-    /// The deadline that replaced that of the attempt's window, once the request is complete.
+    /// The deadline that replaces the end of the attempt's window once the request is complete.
     deadline: Cell<Option<Instant>>,
     deadline_changed: Notify,
 }
@@ -204,12 +204,12 @@
             self.pool.release(connection);
             return Some(AttemptResult::without_response(Outcome::NotSent));
         }
-        // Computed only now, since connecting may have taken long.
+        // The header is computed only now, since connecting may have taken long.
         limits.set_timeout_header(&mut request, now);
         let stream = connection.progress.clone();
         let start = stream.written.get();
         let end = progress.prepare_connection(&connection, &request, limits.window);
-        // Not applied to a body that is still being received: the timeout would include the time that the client takes.
+        // The timeout does not apply to a body that is still being received: it would include the time that the client takes.
         let first_byte_timeout = limits.first_byte_timeout.filter(|_| progress.upload.is_none());
         let mut result = self.exchange(connection, request, first_byte_timeout).await;
         if let Some(AttemptResult { response: Some((_, ResponseBody::Streaming(relay))), .. }) = &mut result {
@@ -236,8 +236,8 @@
     }
 }
 
-/// A lower bound of the written length of a request, at most a few bytes too small: before that many bytes are written, the
-/// last one is not. None if the body has no declared length.
+/// A lower bound of the written length of a request, at most a few bytes too small: until that many bytes are written, the
+/// last byte of the request is not written. None if the body has no declared length.
 fn request_length(request: &Request<OutgoingBody>) -> Option<u64> {
     let request_line =
         request.method().as_str().len() + request.uri().path().len() + " ".len() + " HTTP/1.1\r\n".len();
--- a/crates/agent/src/upstream/connection.rs
+++ b/crates/agent/src/upstream/connection.rs
@@ -45,7 +45,7 @@
     pub sender: SendRequest<OutgoingBody>,
     /// The byte counts and write permission of the connection.
     pub progress: Rc<StreamProgress>,
-    /// The process at the other end.
+    /// The server process to which the connection is open.
     pub process: ServerProcess,
     /// The end of the last exchange on this connection, or the time when it was opened.
     pub idle_since: Instant,
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// The connection cannot be opened; the error tells whether for a reason on this machine.
+    /// The connection cannot be opened; the error distinguishes causes on this machine from others.
     pub async fn open(
         address: SocketAddr,
         process: ServerProcess,
@@ -75,7 +75,7 @@
         let handshake = builder.handshake(stream).await;
         let (sender, connection) = handshake.map_err(|e| ConnectError::Remote(io::Error::other(e)))?;
         let task = tokio::task::spawn_local(async move {
-            // `sender` reports a failure, and the count of written bytes tells how much of a request was sent.
+            // `sender` reports a failure, and the count of written bytes shows how much of a request was sent.
             let _ = connection.await;
         });
         // A new connection needs no reuse delay: no response has been received that a second one could follow.
--- a/crates/agent/src/upstream/idle.rs
+++ b/crates/agent/src/upstream/idle.rs
@@ -11,7 +11,7 @@
     Ready(Connection),
     /// The connection whose reuse delay expires first, and the number of connections whose delay has not expired.
     Resting(Connection, usize),
-    /// No connection can be used in time.
+    /// No connection can be used before the deadline.
     None,
 }
 
@@ -31,7 +31,7 @@
         self.resting.clear();
     }
 
-    /// Since when the connection that has been idle longest is idle.
+    /// The time since which the longest idle connection has been idle; none if no connection is idle.
     pub fn oldest_idle_since(&self) -> Option<Instant> {
         self.ready.first().or(self.resting.front()).map(|connection| connection.idle_since)
     }
--- a/crates/agent/src/upstream/metered_stream.rs
+++ b/crates/agent/src/upstream/metered_stream.rs
@@ -19,7 +19,7 @@
 /// The state that a connection's task shares with the user of the connection: the number of written bytes, the number of bytes
 /// that may still be read, and the permission to write.
 pub struct StreamProgress {
-    /// The number of bytes that the kernel has taken.
+    /// The number of bytes that the kernel has accepted.
     pub written: Cell<u64>,
     /// The number of bytes that may still be read.
     pub read_budget: Cell<u64>,
--- a/crates/agent/src/upstream/mod.rs
+++ b/crates/agent/src/upstream/mod.rs
@@ -1,7 +1,7 @@
 //! The servers' side: connections, attempts and health checks.
 //!
 //! A connection carries one exchange (a request and its response) at a time, and is reused only after a complete response. If
-//! an exchange ends otherwise (timeout, cancellation or error), its connection is closed.
+//! an exchange ends in any other way (timeout, cancellation or error), its connection is closed.
 
 mod attempt;
 mod connection;
@@ -34,7 +34,7 @@
 }
 
 impl Upstream {
-    /// No servers yet; at most `max_connections` open connections.
+    /// An upstream without servers, limited to `max_connections` open connections.
     pub fn new(
         max_connections: usize,
         connect_timeout: Duration,
--- a/crates/agent/src/upstream/pool.rs
+++ b/crates/agent/src/upstream/pool.rs
@@ -18,14 +18,17 @@
 /// The share of the keep-alive time in the settings after which an idle connection is closed. If a server closed it while a
 /// request is on its way, the attempt would be reset, and it would be unknown whether the request was executed.
 const IDLE_TIMEOUT_SHARE: f64 = 0.7;
-/// How long a connection may take to become ready again after a complete response. A connection that takes longer is faulty.
+/// The longest time for a connection to become ready again after a complete response. A connection that takes longer is
+/// faulty.
 const SETTLE_TIMEOUT: Duration = Duration::from_millis(5);
-/// How long a connection is not used after a response. A server may send a second response to a request, 1.0 to 3.4 ms after
-/// the first. If it were read after the next request was sent, it could not be told from the response to that request, and
-/// would be served to another client. Bytes that arrive during the delay close the connection.
+/// The time for which a connection is not used after a response (reuse delay). A server may send a second response to a
+/// request, 1.0 to 3.4 ms after the first. If it were read after the next request was sent, it could be mistaken for
+/// the response to that request, and would be served to another client. Bytes that arrive during the delay close the
+/// connection.
 const REUSE_DELAY: Duration = Duration::from_millis(8);
-/// If fewer connections to a server than this wait for their reuse delay, an attempt without another connection opens a new
-/// one. If as many wait, the attempt waits for the first of them, which is ready about one millisecond later.
+/// The number of resting connections to a server (those that wait for their reuse delay) from which no new one is
+/// opened. If fewer are resting, an attempt that finds no ready connection opens a new one. If as many are resting, the
+/// attempt waits for the first of them, which is ready about one millisecond later.
 const MAX_RESTING: usize = 8;
 
 /// A connection that is acquired in a task of its own.
@@ -34,9 +37,9 @@
 /// Whether a new connection may be opened while others wait for their reuse delay.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SpareConnections {
-    /// It may be, if fewer than [`MAX_RESTING`] wait.
+    /// A new connection may be opened if fewer than [`MAX_RESTING`] connections wait.
     Allowed,
-    /// It may not be: the caller can wait.
+    /// No new connection may be opened; the caller can wait for one of the others.
     Forbidden,
 }
 
@@ -67,7 +70,7 @@
 }
 
 impl ConnectionPool {
-    /// No servers yet; at most `max_connections` open connections.
+    /// A pool without servers, limited to `max_connections` open connections.
     pub fn new(max_connections: usize, connect_timeout: Duration, keepalive: Duration) -> Self {
         ConnectionPool {
             servers: RefCell::default(),
--- a/crates/agent/src/upstream/relay.rs
+++ b/crates/agent/src/upstream/relay.rs
@@ -19,14 +19,14 @@
 const STALL_TIMEOUT: Micros = Micros(30_000_000);
 
 /// A long response that is forwarded while the server sends it. Its connection is reused after the last byte, and closed if
-/// the relay is dropped before.
+/// the relay is dropped earlier.
 pub struct Relay {
     /// The buffered beginning, until it is forwarded.
     beginning: Option<Bytes>,
     rest: Incoming,
     length: Option<u64>,
     forwarded: ForwardedBytes,
-    /// The request's deadline. It applies to a body of unknown length as long as that may still be a short one.
+    /// The request's deadline. It applies to a body of unknown length while the body may still be a short one.
     deadline: Instant,
     created_at: Instant,
     stall_timeout: ProgressTimeout,
@@ -36,7 +36,7 @@
 }
 
 impl Relay {
-    /// A response with this beginning of its body; `None` if that exceeds the maximum of a body.
+    /// A response with this beginning of its body; `None` if the beginning exceeds the maximum length of a body.
     pub fn new(
         start: BodyStart,
         rest: Incoming,
--- a/crates/agent/src/upstream/response.rs
+++ b/crates/agent/src/upstream/response.rs
@@ -20,17 +20,18 @@
 
 /// The maximum length of a response's head, and of hyper's buffer, in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
-/// The maximum of bytes that are read for one buffered response: its body with chunk framing, its head, and the heads of 1xx
-/// responses before it. A server that sends more is faulty, even if the bytes are well-formed.
+/// The maximum number of bytes that are read for one buffered response: its body with chunk framing, its head, and the
+/// heads of 1xx responses before it. A server that sends more is faulty, even if the bytes are well-formed.
 const MAX_RESPONSE_BYTES: u64 = 2 * (MAX_BUFFERED_BODY_BYTES + MAX_HEAD_BYTES) as u64;
-/// The same for a streamed response: a chunk of one byte has another six bytes of framing.
+/// The maximum number of bytes that are read for one streamed response. It allows for chunks of one byte, each with another
+/// six bytes of framing.
 pub const MAX_RELAYED_BYTES: u64 = 8 * MAX_BODY_BYTES;
 
 /// The beginning of a body: a complete short one, or the part of a long one that is buffered before it is streamed.
 pub struct BodyStart {
     /// The bytes received so far.
     pub bytes: Bytes,
-    /// Whether these are the complete body.
+    /// Whether `bytes` is the complete body.
     complete: bool,
 }
 
