--- a/crates/balancer/src/decisions/dispatch.rs
+++ b/crates/balancer/src/decisions/dispatch.rs
@@ -69,7 +69,7 @@
     }
 
     /// Latest time for writing the first byte of an attempt. It lies within the connect timeout, the drain grace period and
-    /// the dedup window that the first attempt that may have run has opened.
+    /// the dedup window, which begins with the first attempt that may have run.
     fn write_deadline(&self, now: Time, pending: &PendingRequest, timeout_at: Time) -> Time {
         let time_to_objective = pending.objective_deadline.since(now);
         let connect_timeout = (time_to_objective * CONNECT_TIMEOUT_FRACTION).max(MIN_CONNECT_TIMEOUT);
--- a/crates/balancer/src/decisions/queue.rs
+++ b/crates/balancer/src/decisions/queue.rs
@@ -13,8 +13,8 @@
 const MAX_LATENCY_MARGIN: f64 = 0.7;
 
 impl Balancer {
-    /// Queues a request. If the queue is full, or one of its concurrency limits has its maximum number of queued requests,
-    /// the request gets its final response instead.
+    /// Queues a request. If the queue is full, or one of the request's concurrency limits has its maximum number of queued
+    /// requests, the request gets its final response instead.
     pub(super) fn enqueue(&mut self, now: Time, id: RequestId, actions: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&id) else { return };
         let limits = &pending.request.limits().concurrency_limits;
--- a/crates/balancer/src/decisions/server_health.rs
+++ b/crates/balancer/src/decisions/server_health.rs
@@ -16,7 +16,7 @@
 const MIN_SLOW_SAMPLES: u32 = 4;
 /// Number of consecutive failures after which a server is ejected.
 const EJECTION_FAILURES: u32 = 3;
-/// Number of consecutive connection failures to servers of a zone after which the whole zone is considered unreachable.
+/// Number of consecutive connection failures to servers of a zone after which the entire zone is considered unreachable.
 const UNREACHABLE_ZONE_FAILURES: u32 = 2;
 /// Target latency of the concurrency limits: above it a limit shrinks, below it a limit grows.
 const TARGET_LATENCY: f64 = 0.25;
--- a/crates/balancer/src/state/requests.rs
+++ b/crates/balancer/src/state/requests.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct AllowedActions {
     pub(crate) send: SendScope,
-    /// True if the request may be shed, which tells the client that a retry is safe.
+    /// True if the request may be shed, which informs the client that a retry is safe.
     pub(crate) shed: bool,
 }
 
--- a/crates/balancer/tests/sparse_selection.rs
+++ b/crates/balancer/tests/sparse_selection.rs
@@ -155,7 +155,7 @@
     };
     let (fresh, old) = (first_selections(0.0), first_selections(10_000.0));
     assert!(fresh <= 4, "{fresh} of 180 sent to the server that a hint names");
-    assert!(old >= 10, "{old} of 180 sent to it after the hint has expired");
+    assert!(old >= 10, "{old} of 180 sent to the server after the hint has expired");
 }
 
 #[test]
@@ -238,7 +238,7 @@
     let mut harness = Harness::new(health_check_settings(), 14);
     harness.set_endpoints(fleet(20, 1, 1));
     let (_, sent) = harness.request(0);
-    assert_eq!(sent, None, "it waits for the health checks");
+    assert_eq!(sent, None, "the request waits for the health checks");
     let candidates = checked_servers(&harness);
     assert!(candidates.len() >= 2, "{candidates:?}");
     let mut sent = None;
