--- a/crates/net/src/listener.rs
+++ b/crates/net/src/listener.rs
@@ -8,7 +8,7 @@
 use std::os::fd::{AsFd, BorrowedFd};
 use tokio::net::{TcpListener, TcpStream};
 
-/// The maximum of connections that the kernel queues until they are accepted.
+/// The maximum number of connections that the kernel queues until they are accepted.
 const ACCEPT_BACKLOG: i32 = 1024;
 /// The number of connections that fail in a row after which [`Listener::accept`] returns an error.
 const MAX_FAILED_CONNECTIONS: usize = 256;
--- a/crates/net/src/stream.rs
+++ b/crates/net/src/stream.rs
@@ -66,7 +66,7 @@
 
 impl Stream<TcpStream> {
     /// Wraps a connection and turns Nagle's algorithm off: with it, a response would wait for the acknowledgement of the
-    /// response before it. A failure to set the option is ignored: it costs only latency, while closing an accepted
+    /// previous one. A failure to set the option is ignored: it costs only latency, while closing an accepted
     /// connection would lose a request that its client has sent already.
     pub fn new(stream: TcpStream) -> Self {
         let _ = (0..MAX_OPTION_ATTEMPTS).find(|_| stream.set_nodelay(true).is_ok());
@@ -82,7 +82,7 @@
         self.0.peer_addr()
     }
 
-    /// Waits until the peer has closed its side, even while bytes of it are unread: a read returns the end of the stream only
+    /// Waits until the peer has closed its side, even while bytes from it are unread: a read returns the end of the stream only
     /// after them.
     pub async fn peer_closed(&self) {
         // No interest covers only the end of the stream. `PRIORITY` also covers urgent data, but tokio does not register for
--- a/crates/platform-settings/src/params.rs
+++ b/crates/platform-settings/src/params.rs
@@ -76,7 +76,7 @@
     Group,
 }
 
-/// How an instance learns of changes of the endpoint list.
+/// How an instance is notified of changes of the endpoint list.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum DiscoveryMode {
@@ -94,7 +94,7 @@
     Live,
 }
 
-/// What a priority weight counts per: a request, or a unit of its work.
+/// The unit that a priority weight applies to: a request, or a unit of its work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub(crate) enum WeightUnit {
