--- a/crates/agent/src/discovery/client.rs
+++ b/crates/agent/src/discovery/client.rs
@@ -70,7 +70,8 @@
     parse_list(&value).map_err(|e| unreadable(e.to_string()))
 }
 
-/// The cause of a missing response: an invalid response head, or otherwise a closed connection.
+/// The cause of a missing response: an invalid response head, or any other error, which counts as a closed
+/// connection.
 fn response_error(error: &hyper::Error) -> CallError {
     if error.is_parse() {
         return CallError::Unreadable("response head is not valid HTTP".to_owned());
--- a/crates/agent/src/discovery/schedule.rs
+++ b/crates/agent/src/discovery/schedule.rs
@@ -5,7 +5,7 @@
 //! complete response is used and the other calls are cancelled.
 //!
 //! The first call after a failure is a watch too, which gets an immediate response if there is a newer version. A call
-//! without a wait, or with a shorter one, would cost a shared service that rejects calls two calls for each instance.
+//! without a wait, or with a shorter one, would cause two calls for each instance at a shared service that rejects calls.
 
 use super::error::CallError;
 use super::policy::{WatchPolicy, MAX_IMMEDIATE_CALLS};
--- a/crates/agent/src/upstream/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -35,7 +35,7 @@
 }
 
 impl AttemptLimits {
-    /// Sets the header that tells the server how long the agent waits from now on.
+    /// Sets the header that informs the server how long the agent waits from now on.
     fn set_timeout_header(&self, request: &mut Request<OutgoingBody>, now: Instant) {
         let remaining = self.window.end_by.saturating_duration_since(now);
         let timeout = self.max_timeout.map_or(remaining, |max| remaining.min(max));
--- a/crates/agent/src/upstream/health_check.rs
+++ b/crates/agent/src/upstream/health_check.rs
@@ -15,7 +15,8 @@
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
 impl Upstream {
-    /// Sends a health check to a server. If the settings name fields of load reports, it requests one.
+    /// Sends a health check to a server. If the settings name fields of load reports, the health check requests a load
+    /// report.
     pub async fn check_health(&self, server: ServerId) -> AttemptResult {
         let health_check = self.send_health_check(server);
         timeout(HEALTH_CHECK_TIMEOUT, health_check)
--- a/crates/agent/src/upstream/metered_stream.rs
+++ b/crates/agent/src/upstream/metered_stream.rs
@@ -64,7 +64,7 @@
     /// Fails if nothing may be written: the attempt is cancelled, or its latest start has passed. Bytes that hyper has queued
     /// already are not written either.
     fn check_write_allowed(&self) -> io::Result<()> {
-        // Checked at the write itself, since connecting may have taken long, or this task may have run late.
+        // The start window is checked at the write itself, since connecting may have taken long, or this task may have run late.
         let is_late = |(start, window): (u64, AttemptWindow<Instant>)| {
             self.written.get() == start && !window.may_start(Instant::now())
         };
