--- a/crates/agent/src/discovery/schedule.rs
+++ b/crates/agent/src/discovery/schedule.rs
@@ -5,7 +5,7 @@
 //! complete response is used and the other calls are cancelled.
 //!
 //! The first call after a failure is a watch too, which gets an immediate response if there is a newer version. A call
-//! without a wait, or with a shorter one, would cost a shared service that rejects calls two calls for each instance.
+//! without a wait, or with a shorter one, would cause two calls for each instance at a shared service that rejects calls.
 
 use super::error::CallError;
 use super::policy::{WatchPolicy, MAX_IMMEDIATE_CALLS};
@@ -108,7 +108,7 @@
     silent_at: Option<Duration>,
     /// Number of calls for an immediate response since the schedule last started.
     immediate_calls: u32,
-    /// Time of the next call for an immediate response if no response arrives before.
+    /// Time of the next call for an immediate response if no response arrives earlier.
     hedge_at: Option<Duration>,
     /// Time of the restart after a failure, where the schedule restarts by itself.
     restart_at: Option<Duration>,
--- a/crates/agent/src/upstream/metered_stream.rs
+++ b/crates/agent/src/upstream/metered_stream.rs
@@ -19,7 +19,7 @@
 /// The state that a connection's task shares with the user of the connection: the number of written bytes, the number of bytes
 /// that may still be read, and the permission to write.
 pub struct StreamProgress {
-    /// The number of bytes that the kernel has taken.
+    /// The number of bytes that the kernel has accepted.
     pub written: Cell<u64>,
     /// The number of bytes that may still be read.
     pub read_budget: Cell<u64>,
@@ -64,7 +64,7 @@
     /// Fails if nothing may be written: the attempt is cancelled, or its latest start has passed. Bytes that hyper has queued
     /// already are not written either.
     fn check_write_allowed(&self) -> io::Result<()> {
-        // Checked at the write itself, since connecting may have taken long, or this task may have run late.
+        // The start window is checked at the write itself, since connecting may have taken long, or this task may have run late.
         let is_late = |(start, window): (u64, AttemptWindow<Instant>)| {
             self.written.get() == start && !window.may_start(Instant::now())
         };
--- a/crates/balancer/src/decisions/server_health.rs
+++ b/crates/balancer/src/decisions/server_health.rs
@@ -16,7 +16,7 @@
 const MIN_SLOW_SAMPLES: u32 = 4;
 /// Number of consecutive failures after which a server is ejected.
 const EJECTION_FAILURES: u32 = 3;
-/// Number of consecutive connection failures to servers of a zone after which the whole zone is considered unreachable.
+/// Number of consecutive connection failures to servers of a zone after which the entire zone is considered unreachable.
 const UNREACHABLE_ZONE_FAILURES: u32 = 2;
 /// Target latency of the concurrency limits: above it a limit shrinks, below it a limit grows.
 const TARGET_LATENCY: f64 = 0.25;
@@ -26,8 +26,8 @@
 const LIMIT_INCREASE: f64 = 0.1;
 /// Fraction of a limit that must be in use for the limit to grow.
 const MIN_LIMIT_USE: f64 = 0.7;
-/// Relative decrease of a limit per response and unit of overshoot. The larger values 0.04 and 0.08 cost more than they
-/// save.
+/// Relative decrease of a limit per response and unit of overshoot. Larger decreases (0.04, 0.08) shed more requests than
+/// they save.
 const LIMIT_DECREASE: f64 = 0.02;
 /// Maximum overshoot in the decrease of a limit.
 const MAX_OVERSHOOT: f64 = 2.0;
