--- a/crates/agent/src/fleet/instances.rs
+++ b/crates/agent/src/fleet/instances.rs
@@ -140,9 +140,9 @@
         match report {
             Report::Retried => info!(instance = %name, "instance retried after failure"),
             Report::Unusable(reason) => warn!(instance = %name, reason, "instance unusable, terminating it"),
-            Report::Died(exit) => warn!(instance = %name, exit, "instance exited unexpectedly"),
-            Report::Failed { deaths } => {
-                warn!(instance = %name, deaths, "instance failed, not restarting it");
+            Report::UnexpectedExit(exit) => warn!(instance = %name, exit, "instance exited unexpectedly"),
+            Report::Failed { failures } => {
+                warn!(instance = %name, deaths = failures, "instance failed, not restarting it");
             }
             Report::Killed => warn!(instance = %name, "instance did not stop in time, killing it"),
         }
--- a/crates/supervisor/src/actions.rs
+++ b/crates/supervisor/src/actions.rs
@@ -69,12 +69,12 @@
     Unusable(String),
     /// Its process has exited unexpectedly, with this status.
     #[error("has died: {0}")]
-    Died(String),
+    UnexpectedExit(String),
     /// It is not restarted any more.
-    #[error("has failed {deaths} times in a row")]
+    #[error("has failed {failures} times in a row")]
     Failed {
-        /// Deaths in a row.
-        deaths: u32,
+        /// Consecutive failures.
+        failures: u32,
     },
     /// Its process did not exit in time and is killed.
     #[error("does not end; it is killed")]
--- a/crates/supervisor/src/machine.rs
+++ b/crates/supervisor/src/machine.rs
@@ -11,8 +11,8 @@
 struct Instance {
     phase: Phase,
     release: ReleaseId,
-    /// Deaths in a row, for the back-off before the next start.
-    deaths: u32,
+    /// Consecutive failures, which determine the backoff before the next start.
+    consecutive_failures: u32,
     /// All starts, for the status.
     starts: u64,
 }
@@ -35,7 +35,7 @@
         let instance = Instance {
             phase: Phase::Waiting { until: now },
             release: ReleaseId::default(),
-            deaths: 0,
+            consecutive_failures: 0,
             starts: 0,
         };
         Supervisor {
@@ -127,7 +127,7 @@
 
     fn reload(&self, actions: &mut Vec<Action>) {
         let reloads = |instance: &Instance| {
-            instance.phase.running() && !matches!(instance.phase, Phase::Stopping { .. })
+            instance.phase.has_process() && !matches!(instance.phase, Phase::Stopping { .. })
         };
         let running = self.instances.iter().enumerate().filter(|(_, instance)| reloads(instance));
         actions.extend(running.map(|(index, _)| Action::Reload(InstanceId(index))));
@@ -141,7 +141,7 @@
             // A roll is also the operator's way to retry failed instances.
             if matches!(instance.phase, Phase::Failed { .. }) {
                 actions.push(Action::Report(InstanceId(index), Report::Retried));
-                instance.deaths = 0;
+                instance.consecutive_failures = 0;
                 instance.phase = Phase::Waiting { until: now };
             }
         }
@@ -184,13 +184,13 @@
     fn on_unusable(&mut self, now: Time, id: InstanceId, reason: String, actions: &mut Vec<Action>) {
         actions.push(Action::Report(id, Report::Unusable(reason.clone())));
         self.fail_roll(id, &reason, actions);
-        self.instances[id.0].deaths += 1;
+        self.instances[id.0].consecutive_failures += 1;
         self.terminate(now, id, actions);
     }
 
     fn terminate(&mut self, now: Time, id: InstanceId, actions: &mut Vec<Action>) {
         let instance = &mut self.instances[id.0];
-        if instance.phase.running() && !matches!(instance.phase, Phase::Stopping { .. }) {
+        if instance.phase.has_process() && !matches!(instance.phase, Phase::Stopping { .. }) {
             instance.phase = Phase::Stopping { since: now, killed: false };
             actions.push(Action::Terminate(id));
         }
@@ -199,7 +199,7 @@
     /// The process has exited, or could not be started.
     fn on_exited(&mut self, now: Time, id: InstanceId, status: String, actions: &mut Vec<Action>) {
         let phase = self.instances[id.0].phase.clone();
-        if !phase.running() {
+        if !phase.has_process() {
             return;
         }
         if self.stopping {
@@ -211,9 +211,9 @@
             return self.renew(now, id);
         }
         if !expected {
-            self.count_death(now, id, &phase, &status, actions);
+            self.on_unexpected_exit(now, id, &phase, &status, actions);
         }
-        self.back_off(now, id, status, actions);
+        self.schedule_restart(now, id, status, actions);
     }
 
     /// Starts the new process of an instance that a roll renews.
@@ -221,11 +221,11 @@
         let release = self.roll.as_ref().and_then(Roll::release);
         let instance = &mut self.instances[id.0];
         instance.release = release.unwrap_or(instance.release);
-        instance.deaths = 0;
+        instance.consecutive_failures = 0;
         instance.phase = Phase::Waiting { until: now };
     }
 
-    fn count_death(
+    fn on_unexpected_exit(
         &mut self,
         now: Time,
         id: InstanceId,
@@ -237,26 +237,26 @@
         let forgive_after = self.policy.restart.forgive_after;
         let instance = &mut self.instances[id.0];
         if matches!(phase, Phase::Ready { since } if now.saturating_sub(*since) >= forgive_after) {
-            instance.deaths = 0;
+            instance.consecutive_failures = 0;
         }
-        instance.deaths += 1;
-        actions.push(Action::Report(id, Report::Died(status.to_owned())));
+        instance.consecutive_failures += 1;
+        actions.push(Action::Report(id, Report::UnexpectedExit(status.to_owned())));
     }
 
     /// Schedules the next start, or gives up after too many deaths in a row.
-    fn back_off(&mut self, now: Time, id: InstanceId, status: String, actions: &mut Vec<Action>) {
+    fn schedule_restart(&mut self, now: Time, id: InstanceId, status: String, actions: &mut Vec<Action>) {
         let instance = &mut self.instances[id.0];
-        if instance.deaths > self.policy.restart.limit {
-            actions.push(Action::Report(id, Report::Failed { deaths: instance.deaths }));
+        if instance.consecutive_failures > self.policy.restart.limit {
+            actions.push(Action::Report(id, Report::Failed { failures: instance.consecutive_failures }));
             instance.phase = Phase::Failed { reason: status };
             return;
         }
         // Zero deaths: its roll ended while it was stopping, which is no fault of its own.
-        let back_off = match instance.deaths {
+        let backoff = match instance.consecutive_failures {
             0 => Duration::ZERO,
-            deaths => self.policy.restart.back_off(deaths, self.random.f64()),
+            failures => self.policy.restart.backoff(failures, self.random.f64()),
         };
-        instance.phase = Phase::Waiting { until: now + back_off };
+        instance.phase = Phase::Waiting { until: now + backoff };
     }
 
     /// If the roll was renewing this instance, the roll stops and the instance returns to its previous program.
--- a/crates/supervisor/src/policy.rs
+++ b/crates/supervisor/src/policy.rs
@@ -61,8 +61,8 @@
 
 impl Restart {
     /// The back-off after this many deaths in a row; `draw` lies in 0 to 1.
-    pub fn back_off(&self, deaths: u32, draw: f64) -> Duration {
-        let doubled = 2_f64.powi(deaths.saturating_sub(1).min(40) as i32) * self.first.as_secs_f64();
+    pub fn backoff(&self, failures: u32, draw: f64) -> Duration {
+        let doubled = 2_f64.powi(failures.saturating_sub(1).min(40) as i32) * self.first.as_secs_f64();
         let longest = doubled.min(self.max.as_secs_f64());
         Duration::from_secs_f64(longest * (1.0 - self.jitter.clamp(0.0, 1.0) * draw))
     }
--- a/crates/supervisor/src/states.rs
+++ b/crates/supervisor/src/states.rs
@@ -54,7 +54,7 @@
 
 impl Phase {
     /// Whether it has a process, as far as is known.
-    pub fn running(&self) -> bool {
+    pub fn has_process(&self) -> bool {
         matches!(
             self,
             Phase::Starting { .. } | Phase::Proving { .. } | Phase::Ready { .. } | Phase::Stopping { .. }
--- a/crates/supervisor/tests/orders.rs
+++ b/crates/supervisor/tests/orders.rs
@@ -179,7 +179,7 @@
                 self.deaths[place] = 0;
             }
             self.deaths[place] += 1;
-            let shortest = self.policy.restart.back_off(self.deaths[place], 1.0);
+            let shortest = self.policy.restart.backoff(self.deaths[place], 1.0);
             self.not_before[place] = self.now + shortest;
         } else {
             // A renewal resets the count; after an unusable start the supervisor has its own back-off.
