--- a/crates/supervisor/src/actions.rs
+++ b/crates/supervisor/src/actions.rs
@@ -1,82 +1,82 @@
-//! The output of the supervisor.
+//! Output of the supervisor: actions for the caller to perform.
 
 use crate::{InstanceId, ReleaseId};
 
-/// Something to be done.
+/// An action that the caller performs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Start a process of this instance.
     Start(InstanceId, ReleaseId),
-    /// Ask the process to exit (SIGTERM).
+    /// Request that the process exit (SIGTERM).
     Terminate(InstanceId),
-    /// End the process at once (SIGKILL).
+    /// Kill the process (SIGKILL).
     Kill(InstanceId),
-    /// Make the process read its files again.
+    /// Make the process reload its files.
     Reload(InstanceId),
-    /// Check whether it serves, and report [`Event::Proved`](crate::Event::Proved) or
+    /// Check whether the instance serves requests, and report [`Event::Proved`](crate::Event::Proved) or
     /// [`Event::ProofFailed`](crate::Event::ProofFailed).
     Prove(InstanceId),
-    /// The roll has ended: all instances are renewed, or it stopped.
+    /// The roll has ended: every instance has been restarted or skipped, or the roll stopped early with an error.
     RollEnded(Result<(), RollError>),
-    /// The command cannot be carried out now.
+    /// The command is refused in the present state.
     Refused(Refusal),
-    /// Something about an instance for the log.
+    /// A report about an instance, to be logged.
     Report(InstanceId, Report),
-    /// After a stop command all instances have exited; the supervisor may exit.
+    /// All instances have exited after a stop command; the supervisor may exit.
     Finished,
 }
 
-/// Why a roll stopped.
+/// Reason why a roll stopped early.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RollError {
-    /// An instance did not come back.
+    /// An instance did not serve after its restart.
     #[error("instance {} {reason}", id.0)]
     Instance {
-        /// The instance.
+        /// The instance that failed.
         id: InstanceId,
-        /// What happened to it.
+        /// Description of the failure, which follows the instance's number or name in messages.
         reason: String,
     },
-    /// A stop command came.
+    /// The operator stopped the fleet.
     #[error("the fleet was told to stop")]
     FleetStopping,
 }
 
-/// Why a command is refused.
+/// Reason why a command is refused.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Refusal {
-    /// A stop command came before.
+    /// A stop command was accepted earlier.
     #[error("the fleet is stopping")]
     FleetStopping,
     /// Only one roll runs at a time.
-    #[error("a roll is under way ({renewed} of {total})")]
+    #[error("a roll is under way ({restarted} of {total})")]
     RollInProgress {
-        /// Instances that the roll has renewed.
-        renewed: usize,
-        /// All instances of the roll.
+        /// Number of instances that the roll has restarted so far.
+        restarted: usize,
+        /// Number of all instances of the roll.
         total: usize,
     },
 }
 
-/// What an operator may want to know about an instance.
+/// A report about one instance for operators. The text follows the instance's name.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum Report {
     /// A roll restarts an instance that had failed.
     #[error("is tried again")]
     Retried,
-    /// Its process runs and is terminated, for this reason.
+    /// The process runs without serving and is terminated, for this reason.
     #[error("{0}")]
     Unusable(String),
-    /// Its process has exited unexpectedly, with this status.
+    /// The process has exited unexpectedly, with this status.
     #[error("has died: {0}")]
     UnexpectedExit(String),
-    /// It is not restarted any more.
+    /// The instance is not restarted until the next roll.
     #[error("has failed {failures} times in a row")]
     Failed {
-        /// Consecutive failures.
+        /// Number of consecutive failures.
         failures: u32,
     },
-    /// Its process did not exit in time and is killed.
+    /// The process did not exit within [`Policy::stop_within`](crate::Policy::stop_within) and is killed.
     #[error("does not end; it is killed")]
     Killed,
 }
--- a/crates/supervisor/src/events.rs
+++ b/crates/supervisor/src/events.rs
@@ -1,11 +1,11 @@
-//! The input of the supervisor.
+//! Input of the supervisor: events of processes, commands and time.
 
 use crate::{InstanceId, ReleaseId};
 
-/// Something that has happened.
+/// An event that the caller reports to the supervisor.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// Before any other event: a process of this instance runs already, started by an earlier supervisor.
+    /// A process of this instance, started by an earlier supervisor, already runs. Such events precede all others.
     Adopted(InstanceId),
     /// The process could not be started, for this reason.
     StartFailed(InstanceId, String),
@@ -13,22 +13,24 @@
     Exited(InstanceId, String),
     /// The process reports that it is ready.
     Ready(InstanceId),
-    /// The instance serves requests.
+    /// The check of [`Action::Prove`](crate::Action::Prove) succeeded: the instance serves requests.
     Proved(InstanceId),
-    /// The instance is ready and does not serve, for this reason.
+    /// The check of [`Action::Prove`](crate::Action::Prove) failed for this reason: the instance is ready but does not
+    /// serve requests.
     ProofFailed(InstanceId, String),
     /// A command of an operator.
     Command(Command),
-    /// Time has passed.
+    /// The time of [`Supervisor::next_wake`](crate::Supervisor::next_wake) has come.
     Tick,
 }
 
 /// A command of an operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// Restart all instances, a few at a time; with another program if one is given.
+    /// Restart all instances, [`Policy::roll_at_once`](crate::Policy::roll_at_once) at a time; with another program if
+    /// one is given.
     Roll(Option<ReleaseId>),
-    /// Make all running instances read their files again.
+    /// Make all running instances reload their files.
     Reload,
     /// Stop all instances, and then the supervisor.
     Stop,
--- a/crates/supervisor/src/lib.rs
+++ b/crates/supervisor/src/lib.rs
@@ -1,29 +1,30 @@
-//! Decides what a fleet of instances does next, without I/O.
+//! State machine that supervises a fleet of instances, without I/O.
 //!
-//! A [`Supervisor`] takes an [`Event`] and its time (since any fixed moment) and returns the [`Action`]s to perform. It owns
-//! no clock, process or file. The caller performs each action and reports its result as an event; between events it calls
-//! with [`Event::Tick`] at [`Supervisor::next_wake`].
+//! A [`Supervisor`] takes an [`Event`] and its time (since any fixed moment) and returns the [`Action`]s to perform. It
+//! owns no clock, process or file. The caller performs each action and reports its result as an event; if no other event
+//! occurs before [`Supervisor::next_wake`], the caller passes [`Event::Tick`] at that time.
 //!
 //! # States of an instance
 //!
 //! ```text
-//!             +-------------- back-off over ---------------+
+//!             +------------- backoff expired --------------+
 //!             v                                            |
 //!  Waiting -> Starting -> Proving -> Ready -> Stopping -> (exit) -> Stopped
 //!     ^           |           |        |          |
 //!     |           +--- exit --+--------+          +- the roll continues: Starting
-//!     +---- back-off, or Failed after too many deaths in a row
+//!     +---- backoff, or Failed after too many consecutive failures
 //! ```
 //!
 //! # Invariants
 //!
-//! - Never two processes of one instance: a start follows the exit of the previous process.
-//! - At most [`Policy::roll_at_once`] instances are down for a roll. A roll continues only when the last one is ready and
-//!   has been proved to serve, and stops with the reason when one is not.
-//! - Starts are [`Policy::start_every`] apart. A death is followed by a back-off that doubles, with jitter, up to
-//!   [`Restart::max`]; more than [`Restart::limit`] deaths without [`Restart::forgive_after`] of readiness between them
-//!   make the instance [`Phase::Failed`], and the others continue.
-//! - After a stop command it finishes: an instance that takes longer than [`Policy::stop_within`] is killed.
+//! - An instance never has two processes: a new process starts only after the previous one has exited.
+//! - A roll takes down at most [`Policy::roll_at_once`] instances at a time. It continues only when a restarted instance
+//!   is ready and verified to serve, and stops with the reason if one is not.
+//! - Starts are at least [`Policy::start_every`] apart. A failure is followed by a backoff that doubles, with jitter, up
+//!   to [`Restart::max`]. An instance with more than [`Restart::limit`] failures, without [`Restart::forgive_after`] of
+//!   readiness between them, becomes [`Phase::Failed`]; the other instances continue.
+//! - After a stop command the supervisor always finishes: an instance that takes longer than [`Policy::stop_within`] to
+//!   exit is killed.
 
 mod actions;
 mod events;
--- a/crates/supervisor/src/machine.rs
+++ b/crates/supervisor/src/machine.rs
@@ -1,4 +1,4 @@
-//! The state machine: from events to actions.
+//! The supervisor's state machine, which turns events into actions.
 
 use crate::actions::{Action, Refusal, Report, RollError};
 use crate::events::{Command, Event};
@@ -13,16 +13,16 @@
     release: ReleaseId,
     /// Consecutive failures, which determine the backoff before the next start.
     consecutive_failures: u32,
-    /// All starts, for the status.
+    /// Number of all starts, for the status.
     starts: u64,
 }
 
-/// Decides for one fleet.
+/// Supervises the instances of one fleet.
 pub struct Supervisor {
     policy: Policy,
     instances: Vec<Instance>,
     random: fastrand::Rng,
-    /// The earliest start of any process.
+    /// Earliest time at which any process may start.
     next_start: Time,
     roll: Option<Roll>,
     stopping: bool,
@@ -30,7 +30,7 @@
 }
 
 impl Supervisor {
-    /// A supervisor of this many instances, none of which is known to run; they start one after the other from `now` on.
+    /// Creates a supervisor of this many instances without processes, which start one after the other from `now` on.
     pub fn new(policy: Policy, instances: usize, seed: u64, now: Time) -> Self {
         let instance = Instance {
             phase: Phase::Waiting { until: now },
@@ -49,32 +49,32 @@
         }
     }
 
-    /// What an instance is doing.
+    /// Returns the phase of an instance.
     pub fn phase(&self, id: InstanceId) -> &Phase {
         &self.instances[id.0].phase
     }
 
-    /// Starts of an instance by this supervisor.
+    /// Returns how many processes of an instance this supervisor has started.
     pub fn starts(&self, id: InstanceId) -> u64 {
         self.instances[id.0].starts
     }
 
-    /// The program that an instance runs, or will.
+    /// Returns the program of an instance's present process or, if it has none, of its next one.
     pub fn release(&self, id: InstanceId) -> ReleaseId {
         self.instances[id.0].release
     }
 
-    /// The progress of a roll: instances renewed, and all of them.
+    /// Returns the progress of the roll under way: the number of instances restarted or skipped, and the total.
     pub fn roll(&self) -> Option<(usize, usize)> {
         self.roll.as_ref().map(Roll::progress)
     }
 
-    /// Whether a stop command has come.
+    /// Returns whether a stop command has been accepted.
     pub fn stopping(&self) -> bool {
         self.stopping
     }
 
-    /// The time of the next [`Event::Tick`], if no other event comes before.
+    /// Returns when [`Event::Tick`] is due if no other event occurs before.
     pub fn next_wake(&self) -> Option<Time> {
         let due = |instance: &Instance| match instance.phase {
             Phase::Waiting { until } if !self.stopping => Some(until.max(self.next_start)),
@@ -94,7 +94,8 @@
                 if matches!(instance.phase, Phase::Waiting { .. }) {
                     instance.phase = Phase::Starting { since: now };
                 }
-                // More of these may follow: a start now could be a second process of an instance not reported yet.
+                // Starts wait until all adopted processes are reported: one that starts now could be the second process
+                // of an instance whose adoption is not reported yet.
                 return;
             }
             Event::Ready(id) => self.on_ready(now, id, actions),
@@ -126,19 +127,19 @@
     }
 
     fn reload(&self, actions: &mut Vec<Action>) {
-        let reloads = |instance: &Instance| {
+        let can_reload = |instance: &Instance| {
             instance.phase.has_process() && !matches!(instance.phase, Phase::Stopping { .. })
         };
-        let running = self.instances.iter().enumerate().filter(|(_, instance)| reloads(instance));
+        let running = self.instances.iter().enumerate().filter(|(_, instance)| can_reload(instance));
         actions.extend(running.map(|(index, _)| Action::Reload(InstanceId(index))));
     }
 
     fn start_roll(&mut self, now: Time, release: Option<ReleaseId>, actions: &mut Vec<Action>) {
-        if let Some((renewed, total)) = self.roll() {
-            return actions.push(Action::Refused(Refusal::RollInProgress { renewed, total }));
+        if let Some((restarted, total)) = self.roll() {
+            return actions.push(Action::Refused(Refusal::RollInProgress { restarted, total }));
         }
         for (index, instance) in self.instances.iter_mut().enumerate() {
-            // A roll is also the operator's way to retry failed instances.
+            // A roll also retries failed instances; no other command does.
             if matches!(instance.phase, Phase::Failed { .. }) {
                 actions.push(Action::Report(InstanceId(index), Report::Retried));
                 instance.consecutive_failures = 0;
@@ -180,7 +181,7 @@
         }
     }
 
-    /// An instance runs and does not serve: its process is terminated, and a roll that was renewing it stops.
+    /// Handles an instance that runs without serving: terminates its process, and stops a roll that was restarting it.
     fn on_unusable(&mut self, now: Time, id: InstanceId, reason: String, actions: &mut Vec<Action>) {
         actions.push(Action::Report(id, Report::Unusable(reason.clone())));
         self.fail_roll(id, &reason, actions);
@@ -196,7 +197,7 @@
         }
     }
 
-    /// The process has exited, or could not be started.
+    /// Handles a process that has exited or could not be started.
     fn on_exited(&mut self, now: Time, id: InstanceId, status: String, actions: &mut Vec<Action>) {
         let phase = self.instances[id.0].phase.clone();
         if !phase.has_process() {
@@ -208,7 +209,7 @@
         }
         let expected = matches!(phase, Phase::Stopping { .. });
         if expected && self.roll.as_mut().is_some_and(|roll| roll.on_exited(id)) {
-            return self.renew(now, id);
+            return self.restart_for_roll(now, id);
         }
         if !expected {
             self.on_unexpected_exit(now, id, &phase, &status, actions);
@@ -216,8 +217,8 @@
         self.schedule_restart(now, id, status, actions);
     }
 
-    /// Starts the new process of an instance that a roll renews.
-    fn renew(&mut self, now: Time, id: InstanceId) {
+    /// Schedules the new process of an instance whose old process a roll has terminated.
+    fn restart_for_roll(&mut self, now: Time, id: InstanceId) {
         let release = self.roll.as_ref().and_then(Roll::release);
         let instance = &mut self.instances[id.0];
         instance.release = release.unwrap_or(instance.release);
@@ -243,7 +244,7 @@
         actions.push(Action::Report(id, Report::UnexpectedExit(status.to_owned())));
     }
 
-    /// Schedules the next start, or gives up after too many deaths in a row.
+    /// Schedules the next start after the backoff, or marks the instance as failed after too many consecutive failures.
     fn schedule_restart(&mut self, now: Time, id: InstanceId, status: String, actions: &mut Vec<Action>) {
         let instance = &mut self.instances[id.0];
         if instance.consecutive_failures > self.policy.restart.limit {
@@ -251,7 +252,7 @@
             instance.phase = Phase::Failed { reason: status };
             return;
         }
-        // Zero deaths: its roll ended while it was stopping, which is no fault of its own.
+        // No failures: a roll terminated the process and stopped before the exit, so no backoff is due.
         let backoff = match instance.consecutive_failures {
             0 => Duration::ZERO,
             failures => self.policy.restart.backoff(failures, self.random.f64()),
@@ -259,7 +260,7 @@
         instance.phase = Phase::Waiting { until: now + backoff };
     }
 
-    /// If the roll was renewing this instance, the roll stops and the instance returns to its previous program.
+    /// Stops the roll if it was restarting this instance, which returns to its previous program.
     fn fail_roll(&mut self, id: InstanceId, reason: &str, actions: &mut Vec<Action>) {
         let previous = self.roll.as_ref().and_then(|roll| roll.previous_release(id));
         let Some(previous) = previous else { return };
@@ -273,7 +274,7 @@
         }
     }
 
-    /// Does what is due at `now`.
+    /// Performs everything that is due at `now`: timeouts, the next step of a roll, and starts.
     fn advance(&mut self, now: Time, actions: &mut Vec<Action>) {
         for index in 0..self.instances.len() {
             self.check_timeout(now, InstanceId(index), actions);
@@ -309,7 +310,7 @@
             if roll.is_complete() {
                 return self.end_roll(Ok(()), actions);
             }
-            // Instances that are down for another reason count towards the limit too.
+            // Instances that are down for another reason count towards the limit too, but not failed ones.
             let down = |i: &Instance| !matches!(i.phase, Phase::Ready { .. } | Phase::Failed { .. });
             let down = self.instances.iter().filter(|i| down(i)).count();
             if down >= self.policy.roll_at_once {
@@ -319,17 +320,17 @@
             let instance = &self.instances[id.0];
             match instance.phase {
                 Phase::Ready { .. } => {
-                    roll.start_renewal(id, instance.release);
+                    roll.start_restart(id, instance.release);
                     self.terminate(now, id, actions);
                 }
-                // A failed instance is not renewed.
+                // An instance that failed since the start of the roll is not restarted.
                 Phase::Failed { .. } => roll.skip(),
                 _ => return,
             }
         }
     }
 
-    /// Starts instances that are due, one at a time, the longest waiting first.
+    /// Starts the instances that are due, the longest waiting first, with `start_every` between two starts.
     fn start_next(&mut self, now: Time, actions: &mut Vec<Action>) {
         if self.stopping {
             return;
--- a/crates/supervisor/src/policy.rs
+++ b/crates/supervisor/src/policy.rs
@@ -1,21 +1,21 @@
-//! The policy of a fleet: intervals, time-outs and back-off.
+//! Policy of a fleet: intervals, timeouts and restart backoff.
 
 use std::time::Duration;
 
 /// How a fleet's instances are started, stopped and restarted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Policy {
-    /// Starts are at least this far apart.
+    /// Minimum interval between two starts in the fleet.
     pub start_every: Duration,
-    /// An instance that is not ready this long after its start is terminated.
+    /// Timeout from the start of an instance until it is ready; the instance is terminated when it expires.
     pub ready_within: Duration,
-    /// Time for the proof that a ready instance serves; without it the instance is terminated.
+    /// Timeout of the check that a ready instance serves; the instance is terminated when it expires.
     pub prove_within: Duration,
-    /// A terminated instance that still runs after this is killed.
+    /// Timeout from the termination of an instance until its exit; the instance is killed when it expires.
     pub stop_within: Duration,
-    /// Instances that may be down for a roll at a time.
+    /// Maximum number of instances that may be down for a roll at the same time.
     pub roll_at_once: usize,
-    /// The back-off after a death.
+    /// Backoff before restarts of a failed process.
     pub restart: Restart,
 }
 
@@ -32,18 +32,20 @@
     }
 }
 
-/// The back-off after deaths. A death is an exit that no action caused.
+/// Backoff before restarts. A failure is an exit that no action caused, a failed start, or the termination of a process
+/// that did not serve.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Restart {
-    /// The back-off after the first death; it doubles with each further one in a row.
+    /// Backoff after the first failure; it doubles with each further consecutive failure.
     pub first: Duration,
-    /// The longest back-off.
+    /// Maximum backoff.
     pub max: Duration,
-    /// The share by which a random draw shortens the back-off, so that instances that died together do not restart together.
+    /// Maximum fraction by which a random draw shortens the backoff, so that instances that failed together do not
+    /// restart together.
     pub jitter: f64,
-    /// With more deaths in a row than this, the instance has failed.
+    /// Maximum number of consecutive failures; with one more, the instance is not restarted.
     pub limit: u32,
-    /// Readiness for this long resets the count of deaths.
+    /// Duration of readiness that resets the count of failures.
     pub forgive_after: Duration,
 }
 
@@ -60,11 +62,11 @@
 }
 
 impl Restart {
-    /// The back-off after this many deaths in a row; `draw` lies in 0 to 1.
+    /// Returns the backoff after this many consecutive failures; `draw` is a random number from 0 to 1.
     pub fn backoff(&self, failures: u32, draw: f64) -> Duration {
         let doubled = 2_f64.powi(failures.saturating_sub(1).min(40) as i32) * self.first.as_secs_f64();
-        let longest = doubled.min(self.max.as_secs_f64());
-        Duration::from_secs_f64(longest * (1.0 - self.jitter.clamp(0.0, 1.0) * draw))
+        let bounded = doubled.min(self.max.as_secs_f64());
+        Duration::from_secs_f64(bounded * (1.0 - self.jitter.clamp(0.0, 1.0) * draw))
     }
 }
 
--- a/crates/supervisor/src/roll.rs
+++ b/crates/supervisor/src/roll.rs
@@ -1,22 +1,26 @@
-//! The progress of a roll: which instances still have to be renewed, and which are being renewed.
+//! Progress of a roll: the instances still to be restarted, and those being restarted.
 
 use crate::{InstanceId, ReleaseId};
 use std::collections::{HashMap, VecDeque};
 
 /// A roll in progress.
 pub(crate) struct Roll {
+    /// Instances still to be restarted, in order.
     pending: VecDeque<InstanceId>,
-    renewing: HashMap<InstanceId, Renewal>,
+    /// Instances being restarted.
+    restarting: HashMap<InstanceId, RollingRestart>,
+    /// Program of the new processes; None if each instance keeps its own.
     release: Option<ReleaseId>,
-    renewed: usize,
+    /// Number of instances that have been restarted or skipped.
+    restarted: usize,
     total: usize,
 }
 
-/// An instance that is being renewed.
-struct Renewal {
-    /// The program of its old process.
+/// The restart of one instance by a roll.
+struct RollingRestart {
+    /// Program of the old process.
     previous: ReleaseId,
-    /// The old process has exited.
+    /// Whether the old process has exited.
     exited: bool,
 }
 
@@ -24,63 +28,63 @@
     pub(crate) fn new(ids: impl Iterator<Item = InstanceId>, release: Option<ReleaseId>) -> Self {
         let pending: VecDeque<_> = ids.collect();
         let total = pending.len();
-        Roll { pending, renewing: HashMap::new(), release, renewed: 0, total }
+        Roll { pending, restarting: HashMap::new(), release, restarted: 0, total }
     }
 
-    /// The program of the new processes; none if each instance keeps its own.
+    /// Returns the program of the new processes; None if each instance keeps its own.
     pub(crate) fn release(&self) -> Option<ReleaseId> {
         self.release
     }
 
-    /// Instances renewed, and all of them.
+    /// Returns the number of instances restarted or skipped, and the total.
     pub(crate) fn progress(&self) -> (usize, usize) {
-        (self.renewed, self.total)
+        (self.restarted, self.total)
     }
 
     pub(crate) fn is_complete(&self) -> bool {
-        self.renewed == self.total
+        self.restarted == self.total
     }
 
-    /// The next instance to renew.
+    /// Returns the next instance to restart.
     pub(crate) fn next(&self) -> Option<InstanceId> {
         self.pending.front().copied()
     }
 
-    /// The process of this instance, which runs `previous`, is about to be terminated.
-    pub(crate) fn start_renewal(&mut self, id: InstanceId, previous: ReleaseId) {
+    /// Records that the process of this instance, which runs `previous`, is about to be terminated.
+    pub(crate) fn start_restart(&mut self, id: InstanceId, previous: ReleaseId) {
         self.pending.retain(|other| *other != id);
-        self.renewing.insert(id, Renewal { previous, exited: false });
+        self.restarting.insert(id, RollingRestart { previous, exited: false });
     }
 
-    /// The program of the instance's old process, if it is being renewed.
+    /// Returns the program of the instance's old process, if the roll is restarting this instance.
     pub(crate) fn previous_release(&self, id: InstanceId) -> Option<ReleaseId> {
-        self.renewing.get(&id).map(|renewal| renewal.previous)
+        self.restarting.get(&id).map(|restart| restart.previous)
     }
 
-    /// A process of the instance has exited; true if it was the old process of a renewal.
+    /// Records that a process of the instance has exited. Returns true if it was the old process of a restart.
     pub(crate) fn on_exited(&mut self, id: InstanceId) -> bool {
-        match self.renewing.get_mut(&id) {
-            Some(renewal) if !renewal.exited => {
-                renewal.exited = true;
+        match self.restarting.get_mut(&id) {
+            Some(restart) if !restart.exited => {
+                restart.exited = true;
                 true
             }
             _ => false,
         }
     }
 
-    /// The instance serves: it is renewed if its old process has exited. One that started for another reason is still
-    /// pending.
+    /// Records that the instance serves, which completes its restart if the old process has exited. An instance that
+    /// started for another reason stays pending.
     pub(crate) fn on_serving(&mut self, id: InstanceId) {
-        if self.renewing.get(&id).is_some_and(|renewal| renewal.exited) {
-            self.renewing.remove(&id);
-            self.renewed += 1;
+        if self.restarting.get(&id).is_some_and(|restart| restart.exited) {
+            self.restarting.remove(&id);
+            self.restarted += 1;
         }
     }
 
-    /// Counts the next instance as renewed without renewing it.
+    /// Counts the next instance as restarted without restarting it.
     pub(crate) fn skip(&mut self) {
         if self.pending.pop_front().is_some() {
-            self.renewed += 1;
+            self.restarted += 1;
         }
     }
 }
--- a/crates/supervisor/src/states.rs
+++ b/crates/supervisor/src/states.rs
@@ -1,59 +1,59 @@
-//! Identities, time, and the phases of an instance.
+//! Identifiers, time, and the phases of an instance.
 
 use std::time::Duration;
 
-/// An instance: its index in the fleet's list.
+/// Identifies an instance by its index in the fleet's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct InstanceId(pub usize);
 
-/// A program that instances run: its index in the caller's list. 0 is the one of the fleet's start.
+/// Identifies a program that instances run by its index in the caller's list. 0 is the program at the fleet's start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct ReleaseId(pub usize);
 
-/// A time, as the duration since any moment that the caller fixes.
+/// A time, as the duration since an origin that the caller chooses.
 pub type Time = Duration;
 
-/// What an instance is doing.
+/// The phase of an instance's life cycle.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Phase {
-    /// It has no process; one is started at this time or later.
+    /// The instance has no process and waits for its next start.
     Waiting {
-        /// The earliest start.
+        /// Earliest time of the next start.
         until: Time,
     },
-    /// Its process runs and is not ready yet.
+    /// The process runs and is not ready yet.
     Starting {
-        /// Since when.
+        /// Time of the start.
         since: Time,
     },
-    /// It reports that it is ready; the caller checks whether it serves.
+    /// The process reports that it is ready; the caller checks whether it serves requests.
     Proving {
-        /// Since when.
+        /// Start of the check.
         since: Time,
     },
-    /// It serves.
+    /// The instance serves requests.
     Ready {
-        /// Since when.
+        /// Time at which the check succeeded.
         since: Time,
     },
-    /// Its process has been asked to exit.
+    /// The process has been requested to exit.
     Stopping {
-        /// Since when.
+        /// Time of the request.
         since: Time,
-        /// The process did not exit in time and has been killed.
+        /// Whether the process did not exit in time and has been killed.
         killed: bool,
     },
-    /// It died too often and is not restarted until a roll.
+    /// The instance failed too often in a row and is not restarted until the next roll.
     Failed {
-        /// The last exit.
+        /// Status of the last exit, or the reason why the last start failed.
         reason: String,
     },
-    /// It has exited after a stop command.
+    /// The instance has no process any more after a stop command.
     Stopped,
 }
 
 impl Phase {
-    /// Whether it has a process, as far as is known.
+    /// Whether the instance has a process, according to the events received so far.
     pub fn has_process(&self) -> bool {
         matches!(
             self,
@@ -61,7 +61,7 @@
         )
     }
 
-    /// Its name in the status.
+    /// Name of the phase in the fleet's status.
     pub fn as_str(&self) -> &'static str {
         match self {
             Phase::Waiting { .. } => "waiting",
--- a/crates/supervisor/tests/orders.rs
+++ b/crates/supervisor/tests/orders.rs
@@ -1,5 +1,6 @@
-//! Thousands of seeded orders of deaths, readiness, commands and time. The observer knows the processes and the rules, and
-//! not the supervisor's states.
+//! Runs the supervisor through thousands of seeded random orders of exits, readiness, commands and time. The checks use
+//! the simulated processes and the rules of the policy, not the supervisor's own states except for failed and waiting
+//! instances.
 
 use bellcroft_supervisor::*;
 use std::time::Duration;
@@ -10,43 +11,53 @@
 #[derive(Debug, Clone)]
 struct Process {
     release: ReleaseId,
+    /// Time at which the process becomes ready; None if it never does.
     ready_at: Option<Time>,
-    dies_at: Option<Time>,
-    ends_on_term: bool,
-    serves: bool,
+    /// Time at which the process exits on its own.
+    exits_at: Option<Time>,
+    /// Whether SIGTERM makes the process exit.
+    exits_on_sigterm: bool,
+    /// Whether the check that the process serves will succeed.
+    can_serve: bool,
     reported_ready: bool,
-    prove_at: Option<Time>,
-    served: bool,
-    terminated: Option<Time>,
+    /// Time at which the check finishes.
+    check_finishes_at: Option<Time>,
+    /// Whether the check has succeeded.
+    serving: bool,
+    terminated_at: Option<Time>,
 }
 
-/// The simulated machine, which checks the rules.
+/// A simulated machine, which performs the supervisor's actions and checks the rules.
 struct Machine {
     policy: Policy,
     random: fastrand::Rng,
     now: Time,
     supervisor: Supervisor,
     processes: Vec<Option<Process>>,
-    /// Deaths in a row that the supervisor did not cause, and the earliest next start of each instance.
-    deaths: Vec<u32>,
-    served_since: Vec<Option<Time>>,
-    not_before: Vec<Time>,
-    /// The latest next start of each instance that has no process, unless it has failed.
-    not_after: Vec<Time>,
+    /// Consecutive exits of each instance that the supervisor did not cause.
+    failures: Vec<u32>,
+    serving_since: Vec<Option<Time>>,
+    /// Earliest next start of each instance.
+    earliest_start: Vec<Time>,
+    /// Latest next start of each instance that has no process, unless it has failed.
+    start_deadlines: Vec<Time>,
     last_start: Option<Time>,
     stopped_at: Option<Time>,
     finished: bool,
+    /// Results of the rolls that have ended.
     rolls: Vec<Result<(), RollError>>,
+    /// Program of the last roll that was accepted.
     rolled_to: Option<ReleaseId>,
+    /// Number of refused commands.
     refused: usize,
-    /// How often processes die, of a hundred.
-    death_percent: u64,
-    /// This release never serves.
+    /// Percentage of processes that exit on their own.
+    exit_percent: u64,
+    /// Program whose processes never serve.
     bad_release: Option<ReleaseId>,
 }
 
 impl Machine {
-    fn new(seed: u64, instances: usize, policy: Policy, death_percent: u64) -> Self {
+    fn new(seed: u64, instances: usize, policy: Policy, exit_percent: u64) -> Self {
         let supervisor = Supervisor::new(policy.clone(), instances, seed, Duration::ZERO);
         let mut machine = Machine {
             policy,
@@ -54,31 +65,31 @@
             now: Duration::ZERO,
             supervisor,
             processes: vec![None; instances],
-            deaths: vec![0; instances],
-            served_since: vec![None; instances],
-            not_before: vec![Duration::ZERO; instances],
-            not_after: vec![Duration::ZERO; instances],
+            failures: vec![0; instances],
+            serving_since: vec![None; instances],
+            earliest_start: vec![Duration::ZERO; instances],
+            start_deadlines: vec![Duration::ZERO; instances],
             last_start: None,
             stopped_at: None,
             finished: false,
             rolls: Vec::new(),
             rolled_to: None,
             refused: 0,
-            death_percent,
+            exit_percent,
             bad_release: None,
         };
-        let latest = machine.latest();
-        machine.not_after.fill(latest);
+        let latest = machine.latest_possible_start();
+        machine.start_deadlines.fill(latest);
         machine
     }
 
-    /// The end of the longest back-off from now on, after the starts of all others.
-    fn latest(&self) -> Time {
+    /// Returns the end of the longest backoff that begins now, plus the time for the starts of all instances.
+    fn latest_possible_start(&self) -> Time {
         self.now + self.policy.restart.max + self.policy.start_every * self.processes.len() as u32 + MS * 20
     }
 
-    fn chance(&mut self, of_hundred: u64) -> bool {
-        self.random.u64(0..100) < of_hundred
+    fn draw_percent(&mut self, percent: u64) -> bool {
+        self.random.u64(0..100) < percent
     }
 
     fn handle(&mut self, event: Event) {
@@ -94,26 +105,32 @@
             Action::Start(id, release) => self.start(id, release),
             Action::Terminate(id) => self.terminate(id),
             Action::Kill(id) => {
-                let process = self.processes[id.0].as_ref().expect("only what runs is killed");
-                let terminated = process.terminated.expect("killed without a termination before");
-                assert!(self.now >= terminated + self.policy.stop_within, "killed too soon");
-                self.end(id.0, "killed", true);
+                let process = self.processes[id.0].as_ref().expect("a process that is killed runs");
+                let terminated_at =
+                    process.terminated_at.expect("a process is terminated before it is killed");
+                assert!(
+                    self.now >= terminated_at + self.policy.stop_within,
+                    "killed before stop_within expired"
+                );
+                self.exit(id.0, "killed", true);
             }
             Action::Prove(id) => {
                 let delay = self.random.u32(1..200);
-                self.processes[id.0].as_mut().expect("what is ready runs").prove_at =
-                    Some(self.now + MS * delay);
+                self.processes[id.0]
+                    .as_mut()
+                    .expect("an instance that is checked has a process")
+                    .check_finishes_at = Some(self.now + MS * delay);
             }
             Action::RollEnded(result) => {
                 if result.is_ok() {
-                    for (place, process) in self.processes.iter().enumerate() {
-                        let failed = matches!(self.supervisor.phase(InstanceId(place)), Phase::Failed { .. });
-                        // One that was renewed may have died since.
+                    for (index, process) in self.processes.iter().enumerate() {
+                        let failed = matches!(self.supervisor.phase(InstanceId(index)), Phase::Failed { .. });
+                        // A restarted instance may have exited since and have no process.
                         if let Some(process) = process.as_ref().filter(|_| !failed) {
                             assert_eq!(
                                 Some(process.release),
                                 self.rolled_to,
-                                "instance {place} was left out"
+                                "instance {index} was not restarted by the roll"
                             );
                         }
                     }
@@ -122,7 +139,7 @@
             }
             Action::Finished => {
                 assert!(self.stopped_at.is_some(), "finished without a stop command");
-                assert!(self.processes.iter().all(Option::is_none), "it leaves processes behind");
+                assert!(self.processes.iter().all(Option::is_none), "finished while processes run");
                 assert!(!self.finished, "finished twice");
                 self.finished = true;
             }
@@ -132,99 +149,103 @@
     }
 
     fn terminate(&mut self, id: InstanceId) {
-        // A serving process is terminated only for a roll: count the instances that do not serve then.
-        let serves = |p: &Option<Process>| p.as_ref().is_some_and(|p| p.served && p.terminated.is_none());
-        let rolls = serves(&self.processes[id.0]) && self.stopped_at.is_none();
+        // Before the stop command, a serving process is terminated only for a roll, which limits the instances down.
+        let serves = |p: &Option<Process>| p.as_ref().is_some_and(|p| p.serving && p.terminated_at.is_none());
+        let for_roll = serves(&self.processes[id.0]) && self.stopped_at.is_none();
         let process = self.processes[id.0].as_mut().expect("only a running process is terminated");
-        assert!(process.terminated.is_none(), "terminated twice");
-        process.terminated = Some(self.now);
-        if rolls {
+        assert!(process.terminated_at.is_none(), "process terminated twice");
+        process.terminated_at = Some(self.now);
+        if for_roll {
             let failed =
-                |place: usize| matches!(self.supervisor.phase(InstanceId(place)), Phase::Failed { .. });
+                |index: usize| matches!(self.supervisor.phase(InstanceId(index)), Phase::Failed { .. });
             let down = (0..self.processes.len()).filter(|p| !serves(&self.processes[*p]) && !failed(*p));
-            assert!(down.count() <= self.policy.roll_at_once, "too many are down for the roll");
+            assert!(down.count() <= self.policy.roll_at_once, "more instances than roll_at_once are down");
         }
     }
 
     fn start(&mut self, id: InstanceId, release: ReleaseId) {
-        assert!(self.stopped_at.is_none(), "a start after the stop");
+        assert!(self.stopped_at.is_none(), "start after the stop command");
         assert!(self.processes[id.0].is_none(), "two processes of instance {}", id.0);
-        assert!(self.now >= self.not_before[id.0], "instance {} is back before its pause is over", id.0);
+        assert!(self.now >= self.earliest_start[id.0], "instance {} starts before its backoff expired", id.0);
         if let Some(last) = self.last_start {
-            assert!(self.now >= last + self.policy.start_every, "two starts at once");
+            assert!(self.now >= last + self.policy.start_every, "two starts less than start_every apart");
         }
         self.last_start = Some(self.now);
-        let never = self.death_percent > 0 && self.chance(self.death_percent / 4);
-        let dies = self.chance(self.death_percent);
+        let never_ready = self.exit_percent > 0 && self.draw_percent(self.exit_percent / 4);
+        let exits = self.draw_percent(self.exit_percent);
         let bad = Some(release) == self.bad_release;
         self.processes[id.0] = Some(Process {
             release,
-            ready_at: (!never).then(|| self.now + MS * self.random.u32(5..500)),
-            dies_at: dies.then(|| self.now + MS * self.random.u32(0..20_000)),
-            ends_on_term: !self.chance(self.death_percent / 4),
-            serves: !bad,
+            ready_at: (!never_ready).then(|| self.now + MS * self.random.u32(5..500)),
+            exits_at: exits.then(|| self.now + MS * self.random.u32(0..20_000)),
+            exits_on_sigterm: !self.draw_percent(self.exit_percent / 4),
+            can_serve: !bad,
             reported_ready: false,
-            prove_at: None,
-            served: false,
-            terminated: None,
+            check_finishes_at: None,
+            serving: false,
+            terminated_at: None,
         });
     }
 
-    /// A process exits; the supervisor gets the event if `report` is true.
-    fn end(&mut self, place: usize, how: &str, report: bool) {
-        let process = self.processes[place].take().expect("it runs");
-        if process.terminated.is_none() {
-            let long = self.policy.restart.forgive_after;
-            if self.served_since[place].is_some_and(|since| self.now >= since + long) {
-                self.deaths[place] = 0;
+    /// Makes a process exit; the supervisor receives the event if `report` is true.
+    fn exit(&mut self, index: usize, status: &str, report: bool) {
+        let process = self.processes[index].take().expect("the process runs");
+        if process.terminated_at.is_none() {
+            let forgive_after = self.policy.restart.forgive_after;
+            if self.serving_since[index].is_some_and(|since| self.now >= since + forgive_after) {
+                self.failures[index] = 0;
             }
-            self.deaths[place] += 1;
-            let shortest = self.policy.restart.backoff(self.deaths[place], 1.0);
-            self.not_before[place] = self.now + shortest;
+            self.failures[index] += 1;
+            let shortest = self.policy.restart.backoff(self.failures[index], 1.0);
+            self.earliest_start[index] = self.now + shortest;
         } else {
-            // A renewal resets the count; after an unusable start the supervisor has its own back-off.
-            self.deaths[place] = 0;
+            // The restart by a roll resets the count. After the termination of a process that does not serve, the
+            // supervisor applies a backoff that this model does not check.
+            self.failures[index] = 0;
         }
-        self.served_since[place] = None;
-        self.not_after[place] = self.latest();
+        self.serving_since[index] = None;
+        self.start_deadlines[index] = self.latest_possible_start();
         if report {
-            self.handle(Event::Exited(InstanceId(place), how.into()));
+            self.handle(Event::Exited(InstanceId(index), status.into()));
         }
     }
 
-    /// Advances the machine's time.
-    fn pass(&mut self, span: Duration) {
-        let until = self.now + span;
+    /// Advances the machine's time by this duration.
+    fn advance(&mut self, duration: Duration) {
+        let until = self.now + duration;
         while self.now < until && !self.finished {
             self.now += MS * 5;
-            for place in 0..self.processes.len() {
-                let id = InstanceId(place);
-                let Some(process) = self.processes[place].clone() else {
-                    let waits = matches!(self.supervisor.phase(id), Phase::Waiting { .. });
+            for index in 0..self.processes.len() {
+                let id = InstanceId(index);
+                let Some(process) = self.processes[index].clone() else {
+                    let waiting = matches!(self.supervisor.phase(id), Phase::Waiting { .. });
                     assert!(
-                        !waits || self.now <= self.not_after[place],
-                        "instance {place} is not started again"
+                        !waiting || self.now <= self.start_deadlines[index],
+                        "instance {index} is not restarted in time"
                     );
                     continue;
                 };
-                let ends =
-                    process.terminated.is_some_and(|at| process.ends_on_term && self.now >= at + MS * 40);
-                if ends || process.dies_at.is_some_and(|at| self.now >= at) {
-                    self.end(place, "exit status 1", true);
-                } else if process.terminated.is_none() && !process.reported_ready {
+                let exits_on_request = process
+                    .terminated_at
+                    .is_some_and(|at| process.exits_on_sigterm && self.now >= at + MS * 40);
+                if exits_on_request || process.exits_at.is_some_and(|at| self.now >= at) {
+                    self.exit(index, "exit status 1", true);
+                } else if process.terminated_at.is_none() && !process.reported_ready {
                     if process.ready_at.is_some_and(|at| self.now >= at) {
-                        self.processes[place].as_mut().expect("it runs").reported_ready = true;
+                        self.processes[index].as_mut().expect("the process runs").reported_ready = true;
                         self.handle(Event::Ready(id));
                     }
-                } else if process.prove_at.is_some_and(|at| self.now >= at) && process.terminated.is_none() {
-                    let process = self.processes[place].as_mut().expect("it runs");
-                    process.prove_at = None;
-                    process.served = process.serves;
-                    if process.serves {
-                        self.served_since[place] = Some(self.now);
+                } else if process.check_finishes_at.is_some_and(|at| self.now >= at)
+                    && process.terminated_at.is_none()
+                {
+                    let process = self.processes[index].as_mut().expect("the process runs");
+                    process.check_finishes_at = None;
+                    process.serving = process.can_serve;
+                    if process.can_serve {
+                        self.serving_since[index] = Some(self.now);
                         self.handle(Event::Proved(id));
                     } else {
-                        self.handle(Event::ProofFailed(id, "answers nothing".into()));
+                        self.handle(Event::ProofFailed(id, "does not respond".into()));
                     }
                 }
             }
@@ -235,21 +256,21 @@
     }
 
     fn serving(&self) -> usize {
-        self.processes.iter().flatten().filter(|p| p.served && p.terminated.is_none()).count()
+        self.processes.iter().flatten().filter(|p| p.serving && p.terminated_at.is_none()).count()
     }
 
     fn stop(&mut self) {
         self.stopped_at = Some(self.now);
         self.handle(Event::Command(Command::Stop));
-        // Whatever the instances do, the fleet finishes soon after the last of them may be killed.
-        self.pass(self.policy.stop_within + Duration::from_secs(1));
-        assert!(self.finished, "it did not finish after the stop command");
+        // The fleet finishes soon after stop_within, when the last process has exited or been killed.
+        self.advance(self.policy.stop_within + Duration::from_secs(1));
+        assert!(self.finished, "the supervisor did not finish after the stop command");
     }
 
     fn roll(&mut self, release: ReleaseId) {
-        // Failed instances are retried.
-        let latest = self.latest();
-        self.not_after.iter_mut().for_each(|at| *at = latest.max(*at));
+        // The roll retries failed instances, so these must start in time too.
+        let latest = self.latest_possible_start();
+        self.start_deadlines.iter_mut().for_each(|at| *at = latest.max(*at));
         if self.supervisor.roll().is_none() {
             self.rolled_to = Some(release);
         }
@@ -258,47 +279,48 @@
 }
 
 #[test]
-fn fleet_without_deaths_starts_spaced_rolls_and_stops() {
+fn fleet_without_failures_starts_rolls_and_stops() {
     let mut machine = Machine::new(1, 50, Policy::default(), 0);
-    machine.pass(Duration::from_secs(3));
+    machine.advance(Duration::from_secs(3));
     assert_eq!(machine.serving(), 50);
     machine.roll(ReleaseId(1));
-    machine.pass(Duration::from_secs(60));
+    machine.advance(Duration::from_secs(60));
     assert_eq!(machine.rolls, [Ok(())]);
     assert_eq!(machine.serving(), 50);
     machine.stop();
 }
 
 #[test]
-fn random_event_orders_keep_the_rules() {
-    let (mut ok, mut failed) = (0, 0);
+fn random_event_orders_violate_no_rule() {
+    let (mut complete, mut failed) = (0, 0);
     for seed in 0..2000 {
         let mut choice = fastrand::Rng::with_seed(seed);
         let instances = choice.usize(1..8);
         let restart = Restart { max: MS * choice.u32(500..2500), ..Restart::default() };
         let policy = Policy { roll_at_once: choice.usize(1..4), restart, ..Policy::default() };
-        let death_percent = choice.u64(0..60);
-        let mut machine = Machine::new(seed, instances, policy, death_percent);
-        // Some run already, left by an earlier supervisor; all of them exist before the first event.
-        let left: Vec<usize> = (0..instances).filter(|_| choice.u8(0..4) == 0).collect();
-        for &place in &left {
-            machine.processes[place] = Some(Process {
+        let exit_percent = choice.u64(0..60);
+        let mut machine = Machine::new(seed, instances, policy, exit_percent);
+        // Some instances run already, started by an earlier supervisor. All of these processes exist before the first
+        // event.
+        let adopted: Vec<usize> = (0..instances).filter(|_| choice.u8(0..4) == 0).collect();
+        for &index in &adopted {
+            machine.processes[index] = Some(Process {
                 release: ReleaseId(0),
                 ready_at: Some(MS * 20),
-                dies_at: None,
-                ends_on_term: true,
-                serves: true,
+                exits_at: None,
+                exits_on_sigterm: true,
+                can_serve: true,
                 reported_ready: false,
-                prove_at: None,
-                served: false,
-                terminated: None,
+                check_finishes_at: None,
+                serving: false,
+                terminated_at: None,
             });
         }
-        for place in left {
-            machine.handle(Event::Adopted(InstanceId(place)));
+        for index in adopted {
+            machine.handle(Event::Adopted(InstanceId(index)));
         }
         for _ in 0..choice.usize(1..6) {
-            machine.pass(Duration::from_millis(choice.u64(0..15_000)));
+            machine.advance(Duration::from_millis(choice.u64(0..15_000)));
             match choice.u8(0..4) {
                 0 => machine.handle(Event::Command(Command::Reload)),
                 1 | 2 => machine.roll(ReleaseId(choice.usize(0..3))),
@@ -306,48 +328,48 @@
             }
         }
         machine.stop();
-        ok += machine.rolls.iter().filter(|r| r.is_ok()).count();
+        complete += machine.rolls.iter().filter(|r| r.is_ok()).count();
         failed += machine.rolls.iter().filter(|r| r.is_err()).count();
     }
-    // Seeds in which no roll completes, or none fails, would show little.
-    assert!(ok > 200 && failed > 200, "{ok} rolls went through, {failed} did not");
+    // The seeds must cover both complete and failed rolls.
+    assert!(complete > 200 && failed > 200, "{complete} rolls are complete, {failed} failed");
 }
 
 #[test]
 fn roll_to_unusable_program_stops_and_rolls_back() {
     let mut machine = Machine::new(7, 10, Policy::default(), 0);
     machine.bad_release = Some(ReleaseId(1));
-    machine.pass(Duration::from_secs(3));
+    machine.advance(Duration::from_secs(3));
     machine.roll(ReleaseId(1));
-    machine.pass(Duration::from_secs(10));
+    machine.advance(Duration::from_secs(10));
     let reason = machine.rolls[0].clone().expect_err("the roll stops").to_string();
-    assert!(reason.contains("instance 0") && reason.contains("answers nothing"), "{reason}");
-    assert_eq!(machine.serving(), 10, "all serve again, with the program that they had");
+    assert!(reason.contains("instance 0") && reason.contains("does not respond"), "{reason}");
+    assert_eq!(machine.serving(), 10, "all instances serve again with their previous program");
     assert!(machine.processes.iter().flatten().all(|p| p.release == ReleaseId(0)));
     machine.stop();
 }
 
 #[test]
-fn instance_that_keeps_dying_fails_and_others_serve() {
+fn instance_that_keeps_exiting_fails_and_others_serve() {
     let policy = Policy::default();
     let mut machine = Machine::new(3, 3, policy.clone(), 0);
-    machine.pass(Duration::from_secs(1));
-    let mut deaths = 0;
+    machine.advance(Duration::from_secs(1));
+    let mut exits = 0;
     for _ in 0..4000 {
-        machine.pass(MS * 50);
+        machine.advance(MS * 50);
         if machine.processes[1].is_some() {
-            machine.end(1, "exit status 101", true);
-            deaths += 1;
+            machine.exit(1, "exit status 101", true);
+            exits += 1;
         }
     }
-    assert_eq!(deaths, policy.restart.limit + 1);
+    assert_eq!(exits, policy.restart.limit + 1);
     assert!(
         matches!(machine.supervisor.phase(InstanceId(1)), Phase::Failed { reason } if reason.contains("101"))
     );
     assert_eq!(machine.serving(), 2);
-    // A roll retries it.
+    // A roll retries the failed instance.
     machine.roll(ReleaseId(1));
-    machine.pass(Duration::from_secs(10));
+    machine.advance(Duration::from_secs(10));
     assert_eq!(machine.serving(), 3);
     machine.stop();
 }
@@ -355,9 +377,9 @@
 #[test]
 fn second_roll_and_commands_after_stop_are_refused() {
     let mut machine = Machine::new(4, 20, Policy::default(), 0);
-    machine.pass(Duration::from_secs(3));
+    machine.advance(Duration::from_secs(3));
     machine.roll(ReleaseId(1));
-    machine.pass(MS * 100);
+    machine.advance(MS * 100);
     machine.roll(ReleaseId(2));
     assert_eq!(machine.refused, 1);
     machine.stopped_at = Some(machine.now);
@@ -365,19 +387,19 @@
     assert_eq!(machine.rolls.len(), 1, "the roll has ended");
     machine.handle(Event::Command(Command::Reload));
     assert_eq!(machine.refused, 2);
-    machine.pass(Duration::from_secs(11));
+    machine.advance(Duration::from_secs(11));
     assert!(machine.finished);
 }
 
 #[test]
 fn process_ignoring_sigterm_is_killed_after_stop_within() {
     let mut machine = Machine::new(5, 1, Policy::default(), 0);
-    machine.pass(Duration::from_secs(1));
-    machine.processes[0].as_mut().expect("it runs").ends_on_term = false;
+    machine.advance(Duration::from_secs(1));
+    machine.processes[0].as_mut().expect("the process runs").exits_on_sigterm = false;
     machine.stopped_at = Some(machine.now);
     machine.handle(Event::Command(Command::Stop));
-    machine.pass(machine.policy.stop_within - MS * 10);
-    assert!(machine.processes[0].is_some(), "it has its time");
-    machine.pass(MS * 50);
+    machine.advance(machine.policy.stop_within - MS * 10);
+    assert!(machine.processes[0].is_some(), "the process is not killed before stop_within");
+    machine.advance(MS * 50);
     assert!(machine.finished && machine.processes[0].is_none());
 }
