--- a/crates/agent/src/fleet/commands.rs
+++ b/crates/agent/src/fleet/commands.rs
@@ -1,4 +1,4 @@
-//! The fleet's control socket: requests, replies and the status.
+//! Requests and replies of the fleet's control socket, and the fleet's status.
 
 use super::Fleet;
 use crate::daemon::control::{self, ControlError, Reply};
@@ -8,20 +8,20 @@
 use std::collections::VecDeque;
 use std::path::PathBuf;
 
-/// The version of [`FleetStatus`]'s form. A higher one only adds keys.
+/// Version of the format of [`FleetStatus`]. A higher version only adds keys.
 const STATUS_VERSION: u32 = 1;
 
 /// A request over the fleet's control socket.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(tag = "command", rename_all = "lowercase")]
 pub(crate) enum FleetRequest {
-    /// The fleet's status.
+    /// Return the fleet's status.
     Status,
-    /// All instances read their files again.
+    /// Reload the files of all instances.
     Reload,
     /// Restart all instances, a few at a time.
     Restart {
-        /// The program that they run from then on; none keeps the present one.
+        /// Program that the instances run from then on; None keeps the present one.
         program: Option<PathBuf>,
     },
     /// Stop all instances and the supervisor.
@@ -29,7 +29,7 @@
 }
 
 impl FleetRequest {
-    /// Reads a request. Unknown keys are skipped, and a `program` that is no text counts as absent.
+    /// Parses a request. Unknown keys are ignored, and a `program` that is not a string counts as absent.
     fn parse(request: &Value) -> Option<Self> {
         match request["command"].as_str()? {
             "status" => Some(FleetRequest::Status),
@@ -48,106 +48,106 @@
     ok: bool,
 }
 
-/// What happens to a fleet.
+/// An event for the supervisor's event loop.
 pub(super) enum FleetEvent {
-    /// Something happened to a process, which may have been replaced since.
+    /// An event of a process, which may have been replaced since.
     Process {
         id: InstanceId,
-        /// Which of the instance's processes, counted from its first.
+        /// Number of the process among those of its instance (`InstanceSlot::process_number`).
         process_number: u64,
         event: Event,
     },
     /// A command of an operator.
     Command(Command),
-    /// Roll all instances to another program.
+    /// A command to roll all instances to another program.
     Release(PathBuf),
-    /// An instance has answered a reload.
+    /// The result of an instance's reload.
     Reloaded(InstanceId, Result<(), ControlError>),
 }
 
-/// The status of a fleet.
+/// Status of a fleet.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct FleetStatus {
-    /// [`STATUS_VERSION`].
+    /// Always [`STATUS_VERSION`] in a status that this version writes.
     pub(crate) version: u32,
-    /// The supervisor's process.
+    /// Process id of the supervisor.
     pub(crate) pid: u32,
-    /// A stop command has been accepted.
+    /// Whether a stop command has been accepted.
     pub(crate) stopping: bool,
-    /// The instances in the order of the fleet's file.
+    /// Status of each instance, in the order of the fleet's file.
     pub(crate) instances: Vec<InstanceStatus>,
-    /// The roll in progress.
+    /// Progress of the roll under way.
     pub(crate) roll: Option<RollProgress>,
-    /// The last roll that ended.
+    /// Result of the last roll that ended.
     pub(crate) last_roll: Option<RollResult>,
-    /// Rolls that have ended.
+    /// Number of rolls that have ended.
     #[serde(rename = "rolls")]
     pub(crate) ended_rolls: u64,
-    /// Reloads that have begun.
+    /// Number of reloads that have begun.
     #[serde(rename = "reloads")]
     pub(crate) begun_reloads: u64,
-    /// The last reload.
+    /// Progress of the last reload.
     pub(crate) reload: ReloadProgress,
-    /// The latest lines of the log.
+    /// Latest lines of the log.
     pub(crate) log: VecDeque<String>,
 }
 
-/// The status of one instance.
+/// Status of one instance.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct InstanceStatus {
-    /// Its name.
+    /// Name of the instance.
     pub(crate) name: String,
-    /// Its phase, by [`Phase::as_str`].
+    /// Phase of the instance, as [`Phase::as_str`] gives it.
     pub(crate) phase: String,
-    /// Its process, if one runs.
+    /// Process id, if a process runs.
     pub(crate) pid: Option<u32>,
-    /// Where clients connect.
+    /// Address to which clients connect.
     pub(crate) listen: String,
-    /// Starts by this supervisor.
+    /// Number of processes that this supervisor has started for the instance.
     pub(crate) starts: u64,
-    /// Its process was started by an earlier supervisor.
+    /// Whether an earlier supervisor started the process.
     pub(crate) adopted: bool,
-    /// The program that it runs.
+    /// Program that the instance runs.
     pub(crate) program: PathBuf,
-    /// Its state directory.
+    /// State directory of the instance.
     pub(crate) state: PathBuf,
-    /// Why it failed; none unless it has.
+    /// Reason for the failure, if the instance has failed.
     #[serde(rename = "why")]
     pub(crate) failure: Option<String>,
 }
 
-/// How far a roll is.
+/// Progress of a roll.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RollProgress {
-    /// Instances that run a new process.
+    /// Number of instances that the roll has restarted or skipped.
     #[serde(rename = "done")]
     pub(crate) renewed: usize,
-    /// All instances.
+    /// Number of all instances.
     #[serde(rename = "all")]
     pub(crate) total: usize,
 }
 
-/// How a roll ended.
+/// Result of a roll.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct RollResult {
-    /// Every instance runs a new process.
+    /// Whether the roll has restarted or skipped every instance.
     #[serde(rename = "ok")]
     pub(crate) complete: bool,
-    /// Why the roll stopped; none if it is complete.
+    /// Reason why the roll stopped, unless it is complete.
     #[serde(rename = "why", default, skip_serializing_if = "Option::is_none")]
     pub(crate) failure: Option<String>,
 }
 
-/// The answers to the last reload.
+/// Results of the last reload so far.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ReloadProgress {
-    /// Instances that were asked.
+    /// Number of instances to which the request was sent.
     #[serde(rename = "asked")]
     pub(crate) requested: u64,
-    /// Instances that have reloaded.
+    /// Number of instances that have reloaded.
     #[serde(rename = "taken")]
     pub(crate) accepted: u64,
-    /// Instances that have not.
+    /// Instances that rejected the reload or did not reply.
     #[serde(rename = "refused")]
     pub(crate) rejected: Vec<ReloadRejection>,
 }
@@ -155,21 +155,21 @@
 /// An instance that rejected a reload.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct ReloadRejection {
-    /// The instance's name.
+    /// Name of the instance.
     pub(crate) name: String,
-    /// Why.
+    /// Reason for the rejection.
     #[serde(rename = "why")]
     pub(crate) reason: String,
 }
 
 impl Fleet {
-    /// Answers a request over the control socket; commands are queued as events.
+    /// Replies to a request over the control socket; commands are queued as events.
     pub(super) fn on_control_request(&self, request: &Value) -> Reply {
         let parsed = FleetRequest::parse(request);
         if parsed == Some(FleetRequest::Status) {
             return Reply::message(&self.status());
         }
-        // Checked before the command is known to be valid: a stopping fleet refuses unknown commands for this reason too.
+        // This check precedes the check for unknown commands, so a stopping fleet refuses those with this reason too.
         if self.supervisor.stopping() && request["command"].is_string() {
             return control::error("the fleet is stopping");
         }
@@ -235,7 +235,7 @@
         }
     }
 
-    /// The status as it stands in the status file.
+    /// Returns the status in the format of the status file.
     pub(super) fn status_json(&self) -> Vec<u8> {
         Reply::message(&self.status()).value.to_string().into_bytes()
     }
--- a/crates/agent/src/fleet/instances.rs
+++ b/crates/agent/src/fleet/instances.rs
@@ -1,4 +1,4 @@
-//! The instances' processes: started, watched, stopped and reloaded as the supervisor's actions say.
+//! Performs the supervisor's actions: starts, checks, reloads and stops the instances' processes.
 
 use super::commands::{FleetEvent, ReloadProgress, ReloadRejection, RollResult};
 use super::process::{self, Process};
@@ -15,21 +15,23 @@
 use tokio::task::JoinHandle;
 use tracing::{info, warn};
 
-/// Reported as the exit of an adopted process, whose status only its parent could read.
+/// Exit status reported for an adopted process, because only the parent of a process can read its status.
 const UNKNOWN_EXIT: &str = "it ended; how is not known, for an earlier supervisor had started it";
 
-/// One instance: its listening socket, which outlives its processes, and its present process.
+/// One instance of the fleet: its listening socket, which stays open across restarts, and its present process.
 pub(super) struct InstanceSlot {
     pub(super) member: Member,
     pub(super) dir: PathBuf,
     pub(super) listener: TcpListener,
     pub(super) address: SocketAddr,
     pub(super) process: Option<Process>,
-    /// The process was started by an earlier supervisor.
+    /// Whether an earlier supervisor started the process.
     pub(super) adopted: bool,
-    /// How many processes this supervisor has started; events of earlier ones are discarded.
+    /// Number of processes that this supervisor has started for the instance. It identifies the present process: events
+    /// of earlier ones are discarded.
     pub(super) process_number: u64,
-    /// The pending check of the present process (readiness or proof); aborted with it.
+    /// Pending check of the present process: whether it is ready, or whether it serves requests. Aborted when the
+    /// process exits or is terminated.
     pub(super) check: Option<JoinHandle<()>>,
 }
 
@@ -40,13 +42,13 @@
         }
     }
 
-    /// Where events of the present process go.
+    /// Returns a sender for events of the present process.
     fn process_events(&self, id: InstanceId, events: &UnboundedSender<FleetEvent>) -> ProcessEvents {
         ProcessEvents { id, process_number: self.process_number, events: events.clone() }
     }
 }
 
-/// Sends events of one process.
+/// Sends the events of one process to the event loop.
 struct ProcessEvents {
     id: InstanceId,
     process_number: u64,
@@ -100,14 +102,14 @@
         self.supervise(event);
     }
 
-    /// Hands an event to the supervisor and performs its actions.
+    /// Passes an event to the state machine and performs the resulting actions.
     pub(super) fn supervise(&mut self, event: Event) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let mut actions = Vec::new();
-            self.supervisor.handle(self.origin.elapsed(), event, &mut actions);
+            self.supervisor.handle(self.time_origin.elapsed(), event, &mut actions);
             for action in actions {
-                // A failed start is an event of its own, handled after the other actions.
+                // A failed start yields another event, handled after the remaining actions.
                 events.extend(self.perform(action));
             }
         }
@@ -166,7 +168,7 @@
         self.ended_rolls += 1;
     }
 
-    /// Why a roll stopped, with the instance's name where the supervisor knows its number.
+    /// Formats the reason why a roll stopped, with the instance's name in place of its number.
     fn roll_failure(&self, error: &RollError) -> String {
         match error {
             RollError::Instance { id, reason } => format!("{} {reason}", self.instance(*id).member.name),
@@ -211,8 +213,8 @@
 
     fn watch_readiness(&mut self, id: InstanceId) {
         let dir = self.instance(id).dir.clone();
-        self.check(id, move |pid| async move {
-            prove::ready(&dir, pid).await;
+        self.start_check(id, move |pid| async move {
+            prove::wait_until_ready(&dir, pid).await;
             Event::Ready(id)
         });
     }
@@ -220,16 +222,16 @@
     fn prove(&mut self, id: InstanceId) {
         let instance = self.instance(id);
         let (dir, address) = (instance.dir.clone(), instance.address);
-        self.check(id, move |pid| async move {
-            match prove::serves(&dir, pid, address).await {
+        self.start_check(id, move |pid| async move {
+            match prove::verify_serving(&dir, pid, address).await {
                 Ok(()) => Event::Proved(id),
                 Err(error) => Event::ProofFailed(id, error.to_string()),
             }
         });
     }
 
-    /// Runs a check of an instance's present process, given its id, in place of an earlier check.
-    fn check<F>(&mut self, id: InstanceId, check: impl FnOnce(u32) -> F)
+    /// Runs a check of an instance's present process, identified by its process id, and aborts an earlier check.
+    fn start_check<F>(&mut self, id: InstanceId, check: impl FnOnce(u32) -> F)
     where
         F: std::future::Future<Output = Event> + 'static,
     {
@@ -243,8 +245,9 @@
         }
     }
 
-    /// Asks a process to shut down. Unless the fleet stops, its successor accepts at the same socket, so the process need
-    /// not wait for late clients. A process that does not answer gets SIGTERM.
+    /// Makes a process shut down. Unless the fleet stops, the next process accepts on the same socket, so the process is
+    /// requested to drain without waiting for late clients. A process that does not respond to the request, or any
+    /// process when the fleet stops, gets SIGTERM.
     fn terminate(&mut self, id: InstanceId) {
         let handover = !self.supervisor.stopping();
         let instance = self.instance_mut(id);
--- a/crates/agent/src/fleet/mod.rs
+++ b/crates/agent/src/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! A fleet's supervisor: holds the listening sockets, and starts, watches and stops the instances' processes as
-//! `bellcroft_supervisor` decides.
+//! The supervisor process of a fleet: holds the listening sockets, and starts, watches and stops the instances'
+//! processes as the state machine of `bellcroft_supervisor` decides.
 //!
-//! No decision is made here. Events of processes, commands and time reach the one [`Fleet`] over one channel
-//! (`supervisor_loop`), which performs the supervisor's actions (`instances`) and answers the control socket
-//! (`commands`).
+//! This module makes no decisions. `supervisor_loop` passes process events, commands, signals and timer ticks to the one
+//! [`Fleet`]. `instances` performs the actions of the state machine, and
+//! `commands` replies to requests on the control socket.
 
 pub(crate) mod commands;
 mod instances;
@@ -24,26 +24,26 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::Instant;
 
-/// The supervisor with what it decides about.
+/// State of the fleet: the state machine, and the instances that it controls.
 struct Fleet {
     supervisor: Supervisor,
-    /// By [`InstanceId`].
+    /// Instances, indexed by [`InstanceId`].
     instances: Vec<InstanceSlot>,
-    /// By [`bellcroft_supervisor::ReleaseId`].
+    /// Programs, indexed by [`bellcroft_supervisor::ReleaseId`].
     programs: Vec<PathBuf>,
-    /// The zero of the supervisor's time.
-    origin: Instant,
+    /// Origin of the supervisor's time.
+    time_origin: Instant,
     events: UnboundedSender<FleetEvent>,
     last_roll: Option<RollResult>,
-    /// Rolls that have ended, by which a client tells its own roll's end from an earlier one's.
+    /// Number of rolls that have ended, by which a `fleet restart` command recognizes the end of its own roll.
     ended_rolls: u64,
-    /// Reloads that have begun, by which a client tells its own reload from an earlier one.
+    /// Number of reloads that have begun, by which a `fleet reload` command recognizes its own reload.
     begun_reloads: u64,
     reload: ReloadProgress,
     log: RecentLog,
-    /// Every instance has stopped after a stop command.
+    /// Whether every instance has stopped after a stop command.
     finished: bool,
-    /// The service manager has been notified of readiness.
+    /// Whether the service manager has been notified of readiness.
     ready_notified: bool,
 }
 
@@ -57,14 +57,14 @@
     }
 }
 
-/// The latest lines of the log, for the status.
+/// Latest lines of the log, for the status.
 #[derive(Default)]
 struct RecentLog {
     lines: VecDeque<String>,
 }
 
 impl RecentLog {
-    /// Lines that the status shows.
+    /// Number of lines that the status shows.
     const MAX_LINES: usize = 20;
 
     fn push(&mut self, line: String) {
@@ -75,7 +75,7 @@
     }
 }
 
-/// Runs the fleet that a file describes, until it is asked to stop.
+/// Runs the fleet that a file describes, until a command or signal stops it.
 pub(crate) fn run(file: &Path) -> ExitCode {
     let fleet = match FleetFile::read(file) {
         Ok(fleet) => fleet,
@@ -95,7 +95,7 @@
     exit::run(supervisor_loop::supervise(fleet, &state))
 }
 
-/// The state directory of an instance of the fleet.
+/// Returns the state directory of an instance of the fleet.
 pub(crate) fn instance_dir(fleet: &FleetFile, member: &Member) -> PathBuf {
     fleet.state.join("instances").join(&member.name)
 }
--- a/crates/agent/src/fleet/process.rs
+++ b/crates/agent/src/fleet/process.rs
@@ -1,7 +1,7 @@
-//! An instance's process: started, or adopted from an earlier supervisor.
+//! Processes of instances, started here or adopted from an earlier supervisor.
 //!
-//! A process is identified by a pidfd (pidfd_open(2)), so that a signal never reaches another process that got the same
-//! process id.
+//! A process is identified by a pidfd (pidfd_open(2)), so that a signal never reaches another process that has reused
+//! the process id.
 
 use crate::daemon::commands::InstanceRequest;
 use crate::daemon::{control, state};
@@ -19,36 +19,36 @@
 use std::time::Duration;
 use tokio::net::unix::pipe::Receiver;
 
-/// A log file of more bytes is rotated when a process starts.
+/// A log file larger than this is rotated when a process starts.
 const MAX_LOG_BYTES: u64 = 4 << 20;
-/// The first descriptor of passed sockets (sd_listen_fds(3), `SD_LISTEN_FDS_START`).
+/// Number of the first descriptor of passed sockets (sd_listen_fds(3), `SD_LISTEN_FDS_START`).
 const LISTEN_FDS_START: i32 = 3;
-/// Attempts to adopt a process that holds its lock; it may still be starting or stopping.
+/// Maximum attempts to adopt a process that holds its state directory's lock, which may still be starting or stopping.
 const ADOPTION_ATTEMPTS: u32 = 20;
 const ADOPTION_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A running process.
 pub struct Process {
-    /// Its process id, for display.
+    /// Process id, for display and for checks.
     pub pid: u32,
     pidfd: OwnedFd,
 }
 
 impl Process {
-    /// The same process by a copy of its pidfd.
+    /// Returns a second handle of the same process, with a duplicate of its pidfd.
     pub fn try_clone(&self) -> io::Result<Self> {
         Ok(Process { pid: self.pid, pidfd: self.pidfd.try_clone()? })
     }
 
     /// Sends a signal to this process and to no other.
     pub fn signal(&self, signal: Signal) {
-        // The only expected error is that it has exited.
+        // The only expected error is that the process has exited.
         let _ = pidfd_send_signal(&self.pidfd, signal);
     }
 
-    /// Completes when the process has exited, also if it is no child of this one: its pidfd becomes readable.
+    /// Completes when the process has exited, even if it is not a child of this process: its pidfd becomes readable.
     pub async fn exited(self) {
-        // The runtime's only safe way to wait for a foreign descriptor; nothing is read from it.
+        // `Receiver` is the runtime's only safe way to wait for a descriptor of another kind; nothing is read from it.
         if let Ok(pidfd) = Receiver::from_owned_fd_unchecked(self.pidfd) {
             let _ = pidfd.readable().await;
         }
@@ -64,7 +64,7 @@
 ///
 /// # Errors
 ///
-/// Its directory, its log or the process cannot be made.
+/// Returns an error if the state directory, the log or the process cannot be created.
 pub fn start(
     member: &Member,
     program: &Path,
@@ -85,22 +85,22 @@
         .envs(crate::log::variables())
         .stdin(Stdio::null())
         .stdout(log.try_clone()?)
-        // A file and no pipe: the instance outlives its supervisor.
+        // A file rather than a pipe, because the instance continues to run without its supervisor.
         .stderr(log)
-        // Signals of a terminal go to the supervisor's process group; the supervisor forwards them.
+        // A process group of its own keeps terminal signals from the instance; the supervisor handles them.
         .process_group(0);
     let socket = FdMapping { parent_fd: OwnedFd::from(listener.try_clone()?), child_fd: LISTEN_FDS_START };
     command.fd_mappings(vec![socket]).map_err(io::Error::other)?;
     let child = tokio::process::Command::from(command).spawn()?;
     let pid = child.id().ok_or(io::ErrorKind::NotFound)?;
-    // An unreaped child keeps its process id.
+    // The process id is not reused before the child is reaped, so the pidfd refers to the child.
     Ok((Process { pid, pidfd: open_pidfd(pid)? }, child))
 }
 
-/// The command line of an instance, with the supervisor's own variables removed.
+/// Returns the command that starts an instance, without the supervisor's own environment variables.
 fn instance_command(member: &Member, program: &Path, dir: &Path) -> std::process::Command {
-    // `LISTEN_PID` must be the process's own id, which is known only in the process: the shell sets it and becomes the
-    // program.
+    // `LISTEN_PID` must be the process's own id, which is known only in the process: the shell sets the variable, then
+    // executes the program.
     let mut command = std::process::Command::new("/bin/sh");
     command.arg("-c").arg("LISTEN_PID=$$ exec \"$0\" \"$@\"").arg(program).arg("run").arg("--state").arg(dir);
     if let Some(operator) = &member.operator {
@@ -120,24 +120,25 @@
     command
 }
 
-/// What an earlier supervisor left of an instance.
+/// Result of the search for a process that an earlier supervisor started.
 pub enum Adoption {
-    /// No process.
+    /// No process runs.
     NotRunning,
-    /// A process, and its listening socket if it passed that.
+    /// A process runs; its listening socket is present if the process passed it.
     Running(Process, Option<TcpListener>),
-    /// A process holds the instance's lock and does not answer.
+    /// A process holds the instance's lock and does not respond.
     Unresponsive,
 }
 
-/// Finds the process that holds an instance's lock, if any. Its process id is the kernel's record of who made the control
-/// socket, never a file's. It is asked again once the pidfd is open: if the same process answers, the pidfd is its own.
+/// Finds the process that holds an instance's lock, if any. The process id comes from the peer credentials of the
+/// control socket, never from a file. A second request follows once the pidfd is open: if the same process replies, the
+/// pidfd refers to that process.
 pub async fn adopt(dir: &Path) -> Adoption {
     for _ in 0..ADOPTION_ATTEMPTS {
         if !state::is_locked(dir) {
             return Adoption::NotRunning;
         }
-        if let Some((process, listener)) = find(dir).await {
+        if let Some((process, listener)) = find_process(dir).await {
             return Adoption::Running(process, listener);
         }
         tokio::time::sleep(ADOPTION_RETRY_INTERVAL).await;
@@ -145,7 +146,7 @@
     Adoption::Unresponsive
 }
 
-async fn find(dir: &Path) -> Option<(Process, Option<TcpListener>)> {
+async fn find_process(dir: &Path) -> Option<(Process, Option<TcpListener>)> {
     let pid = control::request(dir, &InstanceRequest::Status).await.ok()?.pid?;
     let pidfd = open_pidfd(pid).ok()?;
     let reply = control::request(dir, &InstanceRequest::Listener).await.ok()?;
--- a/crates/agent/src/fleet/prove.rs
+++ b/crates/agent/src/fleet/prove.rs
@@ -1,4 +1,4 @@
-//! Health checks of a new process: whether it is ready, and whether it serves requests.
+//! Checks of a new process: whether it is ready, and whether it serves requests.
 
 use crate::daemon::commands::InstanceRequest;
 use crate::daemon::control;
@@ -10,16 +10,16 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{sleep, timeout, Instant};
 
-/// How often a process is checked.
+/// Interval between two checks of a process.
 const CHECK_INTERVAL: Duration = Duration::from_millis(25);
-/// Without any request for this time, readiness is proof enough: an idle instance serves nothing.
-const IDLE_PROOF_TIMEOUT: Duration = Duration::from_millis(300);
-/// So many responses without a served one prove that the instance does not serve.
-const MAX_UNSERVED_RESPONSES: u64 = 20;
-/// Bound of one `/ready` request, and of all retries of it.
+/// If no request arrives for this time, readiness alone suffices: an idle instance has no requests to serve.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(300);
+/// The instance counts as not serving after this many failed or refused requests, unless it has served one.
+const MAX_UNSERVED_REQUESTS: u64 = 20;
+/// Timeout of one `/ready` request; also the time during which failed `/ready` requests are retried.
 const READY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The status of the process that holds a state directory, if its id is `pid`.
+/// Returns the status of the process that holds a state directory, if its process id is `pid`.
 pub async fn status(dir: &Path, pid: u32) -> Option<Status> {
     let reply = control::request(dir, &InstanceRequest::Status).await.ok()?;
     if reply.pid != Some(pid) {
@@ -28,39 +28,39 @@
     serde_json::from_value(reply.value).ok()
 }
 
-/// Completes once the process reports that it is ready; never otherwise.
-pub async fn ready(dir: &Path, pid: u32) {
+/// Completes once the process reports that it is ready, and never if it does not.
+pub async fn wait_until_ready(dir: &Path, pid: u32) {
     while status(dir, pid).await.is_none_or(|status| status.phase != Phase::Ready) {
         sleep(CHECK_INTERVAL).await;
     }
 }
 
-/// Why a process is known not to serve.
+/// Reason why a process counts as not serving.
 #[derive(Debug, thiserror::Error)]
 pub enum ProofError {
-    /// `/ready` answers with another status than 200.
+    /// The response to `/ready` has a status other than 200.
     #[error("/ready answers {0:?}")]
     NotReady(String),
-    /// The connection for `/ready` failed.
+    /// The connection for the `/ready` request failed.
     #[error("/ready: {0}")]
     Connection(#[from] io::Error),
-    /// `/ready` does not answer in time.
+    /// The `/ready` request timed out.
     #[error("/ready does not answer")]
     Timeout,
-    /// Requests were answered with errors only.
+    /// All responses so far were errors.
     #[error("of {requests} requests none was served")]
     NothingServed {
-        /// The requests that it accepted.
+        /// Number of requests that the process received.
         requests: u64,
     },
 }
 
-/// Completes once the process is known to serve.
+/// Completes once the process has served a request, or is ready and idle.
 ///
 /// # Errors
 ///
-/// It is known not to.
-pub async fn serves(dir: &Path, pid: u32, address: SocketAddr) -> Result<(), ProofError> {
+/// Returns [`ProofError`] if `/ready` keeps failing, or if the process responds to requests with errors only.
+pub async fn verify_serving(dir: &Path, pid: u32, address: SocketAddr) -> Result<(), ProofError> {
     let start = Instant::now();
     while let Err(error) = check_ready(address).await {
         if start.elapsed() > READY_TIMEOUT {
@@ -68,10 +68,10 @@
         }
         sleep(CHECK_INTERVAL).await;
     }
-    let idle_proof = Instant::now() + IDLE_PROOF_TIMEOUT;
+    let idle_deadline = Instant::now() + IDLE_TIMEOUT;
     loop {
         let Some(status) = status(dir, pid).await else {
-            // An exit is reported by the process's watcher.
+            // If the process has exited, the task that waits for it reports that.
             sleep(CHECK_INTERVAL).await;
             continue;
         };
@@ -79,10 +79,10 @@
         let requests = sum(|c| c.taken);
         let served = sum(|c| c.served);
         let unserved = sum(|c| c.failed + c.refused);
-        if served > 0 || (requests == 0 && Instant::now() >= idle_proof) {
+        if served > 0 || (requests == 0 && Instant::now() >= idle_deadline) {
             return Ok(());
         }
-        if unserved >= MAX_UNSERVED_RESPONSES {
+        if unserved >= MAX_UNSERVED_REQUESTS {
             return Err(ProofError::NothingServed { requests });
         }
         sleep(CHECK_INTERVAL).await;
@@ -99,14 +99,14 @@
     let exchange = async {
         let mut stream = bellcroft_net::connect(SocketAddr::new(host, address.port())).await?;
         stream.write_all(b"GET /ready HTTP/1.1\r\nHost: instance\r\nConnection: close\r\n\r\n").await?;
-        let mut answer = Vec::new();
-        stream.read_to_end(&mut answer).await?;
-        Ok::<_, io::Error>(answer)
+        let mut response = Vec::new();
+        stream.read_to_end(&mut response).await?;
+        Ok::<_, io::Error>(response)
     };
     match timeout(READY_TIMEOUT, exchange).await {
-        Ok(Ok(answer)) if answer.starts_with(b"HTTP/1.1 200") => Ok(()),
-        Ok(Ok(answer)) => {
-            let line = String::from_utf8_lossy(&answer);
+        Ok(Ok(response)) if response.starts_with(b"HTTP/1.1 200") => Ok(()),
+        Ok(Ok(response)) => {
+            let line = String::from_utf8_lossy(&response);
             Err(ProofError::NotReady(line.lines().next().unwrap_or_default().to_owned()))
         }
         Ok(Err(error)) => Err(error.into()),
--- a/crates/agent/src/fleet/supervisor_loop.rs
+++ b/crates/agent/src/fleet/supervisor_loop.rs
@@ -1,4 +1,4 @@
-//! The supervisor's start, its event loop and its end.
+//! Start, event loop and end of the supervisor process.
 
 use super::commands::FleetEvent;
 use super::instances::InstanceSlot;
@@ -22,30 +22,30 @@
 use tokio::time::Instant;
 use tracing::info;
 
-/// Connections that may wait in a listening socket's accept queue while no process accepts. The kernel's bound
-/// (`net.core.somaxconn`) may be lower.
+/// Maximum length of a listening socket's accept queue, where connections wait while no process accepts. The kernel's
+/// limit (`net.core.somaxconn`) may be lower.
 const ACCEPT_BACKLOG: i32 = 4096;
-/// How often the fleet's status file is written.
+/// Interval at which the fleet's status file is written.
 const STATUS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why a supervisor could not start.
+/// Reason why a supervisor could not start.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum SupervisorError {
-    #[error("cannot await signals: {0}")]
+    #[error("cannot install signal handlers: {0}")]
     Signals(#[source] io::Error),
-    #[error("cannot find the own program: {0}")]
+    #[error("cannot determine the path of the running program: {0}")]
     OwnProgram(#[source] io::Error),
     #[error(transparent)]
     AdoptionTask(#[from] tokio::task::JoinError),
-    #[error("{}: a process holds it and does not answer; end it, then start again", dir.display())]
+    #[error("{}: a process holds this directory and does not respond; stop it, then start again", dir.display())]
     UnresponsiveProcess { dir: PathBuf },
     #[error("{name}: cannot listen on {address}: {source}")]
     Listen { name: String, address: SocketAddr, source: io::Error },
     #[error(transparent)]
     ListenerAddress(io::Error),
-    #[error("cannot make the control socket: {0}")]
+    #[error("cannot create the control socket: {0}")]
     ControlSocket(#[source] io::Error),
-    #[error("no thread writes the status: {0}")]
+    #[error("cannot start the thread that writes the status: {0}")]
     StatusWriter(#[source] io::Error),
 }
 
@@ -65,7 +65,7 @@
         supervisor,
         instances,
         programs: vec![program],
-        origin: Instant::now(),
+        time_origin: Instant::now(),
         events: sender,
         last_roll: None,
         ended_rolls: 0,
@@ -75,10 +75,10 @@
         finished: false,
         ready_notified: false,
     }));
-    // The control socket answers from the same state as the loop, hence the shared cell.
-    let answering = fleet.clone();
-    let answer = move |request: Value| answering.borrow().on_control_request(&request);
-    let _control_socket = Control::serve(state.path(), answer).map_err(SupervisorError::ControlSocket)?;
+    // The control socket and the event loop share the fleet's state.
+    let control_fleet = fleet.clone();
+    let on_request = move |request: Value| control_fleet.borrow().on_control_request(&request);
+    let _control_socket = Control::serve(state.path(), on_request).map_err(SupervisorError::ControlSocket)?;
     let writer = StatusWriter::start(state.path()).map_err(SupervisorError::StatusWriter)?;
     fleet.borrow_mut().adopt_and_start();
     SupervisorLoop { fleet: fleet.clone(), signals, events, notify, writer }.run().await;
@@ -103,8 +103,8 @@
     }
 }
 
-/// Looks for processes that an earlier supervisor left, for all instances at once and before any process is started, and
-/// binds the listening sockets that none of them returns.
+/// Adopts processes that an earlier supervisor left running, for all instances concurrently and before any process is
+/// started. Binds a listening socket for each instance whose process did not pass one.
 async fn adopt_or_bind(file: &FleetFile) -> Result<Vec<InstanceSlot>, SupervisorError> {
     let adopt = |member: &Member| {
         let dir = instance_dir(file, member);
@@ -156,7 +156,7 @@
 }
 
 impl Fleet {
-    /// Adopts the processes that were found and starts the others.
+    /// Reports the adopted processes to the state machine and starts the other instances.
     fn adopt_and_start(&mut self) {
         let adopted: Vec<InstanceId> =
             (0..self.instances.len()).map(InstanceId).filter(|id| self.instance(*id).adopted).collect();
@@ -168,15 +168,15 @@
         self.supervise(Event::Tick);
     }
 
-    /// Every instance is ready or has failed.
-    fn settled(&self) -> bool {
+    /// Returns whether every instance is ready or has failed.
+    fn all_ready_or_failed(&self) -> bool {
         (0..self.instances.len()).all(|index| {
             matches!(self.supervisor.phase(InstanceId(index)), Phase::Ready { .. } | Phase::Failed { .. })
         })
     }
 
-    fn notify_when_settled(&mut self, notify: &Notify) {
-        if !self.ready_notified && self.settled() {
+    fn notify_when_started(&mut self, notify: &Notify) {
+        if !self.ready_notified && self.all_ready_or_failed() {
             self.ready_notified = true;
             notify.ready("all instances are ready or have failed");
         }
@@ -197,14 +197,14 @@
 }
 
 impl SupervisorLoop {
-    /// Handles events, signals and timers until the fleet has finished; then writes the last status.
+    /// Handles events, signals and timers until the fleet has finished, then writes the final status.
     async fn run(mut self) {
         let mut next_status = Instant::now();
         loop {
             if self.fleet.borrow().finished {
                 break;
             }
-            self.fleet.borrow_mut().notify_when_settled(&self.notify);
+            self.fleet.borrow_mut().notify_when_started(&self.notify);
             if Instant::now() >= next_status {
                 self.writer.write(self.fleet.borrow().status_json());
                 next_status = Instant::now() + STATUS_INTERVAL;
@@ -229,6 +229,6 @@
 
     fn next_wake(&self, next_status: Instant) -> Instant {
         let fleet = self.fleet.borrow();
-        fleet.supervisor.next_wake().map_or(next_status, |at| (fleet.origin + at).min(next_status))
+        fleet.supervisor.next_wake().map_or(next_status, |at| (fleet.time_origin + at).min(next_status))
     }
 }
