--- a/crates/agent/src/fleet/mod.rs
+++ b/crates/agent/src/fleet/mod.rs
@@ -2,8 +2,8 @@
 //! processes as the state machine of `bellcroft_supervisor` decides.
 //!
 //! This module makes no decisions. `supervisor_loop` passes process events, commands, signals and timer ticks to the one
-//! [`Fleet`]. `instances` performs the actions of the state machine, and
-//! `commands` replies to requests on the control socket.
+//! [`Fleet`]. `instances` performs the actions of the state machine, and `commands` replies to requests on the control
+//! socket.
 
 pub(crate) mod commands;
 mod instances;
