--- a/crates/agent/src/driver/attempts.rs
+++ b/crates/agent/src/driver/attempts.rs
@@ -4,7 +4,7 @@
 use super::{duration, Driver, State};
 use crate::request_log::ResponseReason;
 use crate::streaming_body::OutgoingBody;
-use crate::telemetry::FirstByte;
+use crate::telemetry::FirstByteReport;
 use crate::upstream::{AttemptLimits, AttemptProgress, AttemptResult};
 use bellcroft_agent_core::guard::AttemptWindow;
 use bellcroft_balancer::{AttemptNo, ClassId, Event, Micros, Outcome, RequestId, ServerId, Time};
@@ -112,12 +112,12 @@
         key: AttemptKey,
         server: ServerId,
         request: &IncomingRequest,
-    ) -> Option<FirstByte> {
+    ) -> Option<FirstByteReport> {
         let telemetry = self.telemetry.clone()?;
         let is_hedge = state.attempts.of_request(key.request, key.attempt).next().is_some();
         telemetry.attempt_started(server.0, request.route_name(), key.attempt, is_hedge);
         let AttemptKey { request, attempt } = key;
-        Some(FirstByte { instance: telemetry, clock: self.clock, request, attempt, server })
+        Some(FirstByteReport { instance: telemetry, clock: self.clock, request, attempt, server })
     }
 
     fn attempt_limits(&self, request: &IncomingRequest, window: AttemptWindow<Time>) -> AttemptLimits {
--- a/crates/agent/src/driver/timers.rs
+++ b/crates/agent/src/driver/timers.rs
@@ -81,7 +81,7 @@
         }
         let paused = self.wake_delays.borrow().paused_since(deadline, now, thread_cpu_time);
         if let Err(late) = self.guard.borrow_mut().on_response(now, deadline, paused) {
-            self.request_log.on_late_answer(request_id, connection, late);
+            self.request_log.on_late_response(request_id, connection, late);
         }
     }
 
--- a/crates/agent/src/request_log.rs
+++ b/crates/agent/src/request_log.rs
@@ -134,7 +134,7 @@
     }
 
     /// A response was decided after its client's deadline.
-    pub fn on_late_answer(&self, id: &str, connection: u64, late: LateResponse) {
+    pub fn on_late_response(&self, id: &str, connection: u64, late: LateResponse) {
         let Some(count) = self.late_answers.next() else { return };
         let rule = Violation::LateAnswer.name();
         let late_by = Duration::from_micros(late.late_by.0);
--- a/crates/agent/src/telemetry.rs
+++ b/crates/agent/src/telemetry.rs
@@ -227,7 +227,7 @@
 }
 
 /// Reports the first byte of an attempt.
-pub struct FirstByte {
+pub struct FirstByteReport {
     /// The series of this process.
     pub instance: Rc<Instance>,
     /// The balancer's clock.
@@ -240,7 +240,7 @@
     pub server: ServerId,
 }
 
-impl FirstByte {
+impl FirstByteReport {
     /// The kernel has taken the first byte.
     pub fn on_written(self) {
         self.instance.first_byte(self.clock.now(), self.request.0, self.attempt, self.server.0);
--- a/crates/agent/src/upstream/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -6,7 +6,7 @@
 use super::relay::Relay;
 use super::Upstream;
 use crate::streaming_body::{OutgoingBody, StreamingBody};
-use crate::telemetry::FirstByte;
+use crate::telemetry::FirstByteReport;
 use bellcroft_agent_core::guard::AttemptWindow;
 use bellcroft_balancer::{Outcome, ServerId};
 use bytes::Bytes;
@@ -78,7 +78,7 @@
     cancelled: Cell<bool>,
     cancel: Notify,
     /// Notified when the first byte is written.
-    first_byte: Cell<Option<FirstByte>>,
+    first_byte: Cell<Option<FirstByteReport>>,
     /// The request's body, if it is still being received when the attempt starts.
     upload: Option<Rc<StreamingBody>>,
     /// The deadline that replaced that of the attempt's window, once the request is complete.
@@ -88,7 +88,7 @@
 
 impl AttemptProgress {
     /// An attempt that has not started.
-    pub fn new(first_byte: Option<FirstByte>, upload: Option<Rc<StreamingBody>>) -> Self {
+    pub fn new(first_byte: Option<FirstByteReport>, upload: Option<Rc<StreamingBody>>) -> Self {
         AttemptProgress { first_byte: Cell::new(first_byte), upload, ..AttemptProgress::default() }
     }
 
--- a/crates/agent/src/upstream/metered_stream.rs
+++ b/crates/agent/src/upstream/metered_stream.rs
@@ -1,7 +1,7 @@
 //! A stream that counts its bytes, so that it is known whether a broken attempt may have been executed, and that can be
 //! stopped from writing.
 
-use crate::telemetry::FirstByte;
+use crate::telemetry::FirstByteReport;
 use bellcroft_agent_core::guard::AttemptWindow;
 use bellcroft_net::Stream;
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -28,7 +28,7 @@
     /// The count of written bytes at the start of an attempt, and the window in which its first byte may be written.
     pub start_window: Cell<Option<(u64, AttemptWindow<Instant>)>>,
     /// Notified when the next byte is written.
-    pub first_byte: Cell<Option<FirstByte>>,
+    pub first_byte: Cell<Option<FirstByteReport>>,
     /// The count of written bytes at the end of an attempt; `u64::MAX` while none is being written, or its end is unknown.
     pub request_end: Cell<u64>,
     /// The number of attempts that were written completely, over all connections.
