--- a/crates/agent/src/cli/call.rs
+++ b/crates/agent/src/cli/call.rs
@@ -1,4 +1,4 @@
-//! `bellcroft call`: one request over an instance's admin console.
+//! `bellcroft call`: sends one request to an instance's admin console and prints the reply.
 
 use crate::exit::{self, block_on};
 use bellcroft_agent_core::admin::AdminRequest;
@@ -11,9 +11,9 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::timeout;
 
-/// An instance answers from its event loop, however busy it is; one that takes longer counts as failed.
+/// Timeout of a request. An instance replies from its event loop even under load, so a slower one counts as failed.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(3);
-/// Longest reply in bytes.
+/// Maximum length of a reply, in bytes; the rest is not read.
 const MAX_REPLY_BYTES: u64 = 4 << 20;
 
 /// A request over the admin console.
@@ -30,7 +30,8 @@
 }
 
 impl AdminCommand {
-    fn text(self) -> &'static str {
+    /// The request line that the console expects.
+    fn request_line(self) -> &'static str {
         let request = match self {
             AdminCommand::Ready => AdminRequest::Ready,
             AdminCommand::ShowStat => AdminRequest::ShowStat,
@@ -41,7 +42,7 @@
     }
 }
 
-/// Sends a request to the console at `console`, or to the one that the operator's file names, and prints the reply.
+/// Sends a request to the console at `console`, or to the address in the operator's file, and prints the reply.
 pub fn run(
     command: AdminCommand,
     console: Option<SocketAddr>,
@@ -52,7 +53,7 @@
         Ok(address) => address,
         Err(code) => return code,
     };
-    match block_on(exchange(address, command.text())) {
+    match block_on(exchange(address, command.request_line())) {
         Ok(Ok(reply)) => print_reply(&reply, json),
         Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused => {
             eprintln!("bellcroft: nobody answers on {address}");
@@ -60,15 +61,16 @@
         }
         Ok(Err(e)) => {
             eprintln!("bellcroft: {address}: {e}");
-            ExitCode::from(exit::NOT_DONE)
+            ExitCode::from(exit::FAILED)
         }
         Err(error) => {
             eprintln!("bellcroft: {error}");
-            ExitCode::from(exit::NOT_DONE)
+            ExitCode::from(exit::FAILED)
         }
     }
 }
 
+/// The console's address from the command line, or else from the operator's file; an error is printed.
 fn console_address(console: Option<SocketAddr>, operator: Option<PathBuf>) -> Result<SocketAddr, ExitCode> {
     let address = match (console, operator) {
         (Some(address), _) => Some(address),
@@ -81,11 +83,11 @@
     })
 }
 
-/// Prints a reply: a line of status and text, and for `show-stat` lines of figures up to `EOF`.
+/// Prints a reply: a line of status code and text, followed for `show-stat` by `name=value` lines up to `EOF`.
 fn print_reply(reply: &str, json: bool) -> ExitCode {
-    let (first, rest) = reply.split_once('\n').unwrap_or((reply, ""));
-    let ok = first.starts_with("200");
-    let text = first.get(4..).unwrap_or_default();
+    let (status_line, rest) = reply.split_once('\n').unwrap_or((reply, ""));
+    let ok = status_line.starts_with("200");
+    let text = status_line.get(4..).unwrap_or_default();
     if json {
         println!("{}", json_reply(ok, text, rest));
     } else if rest.is_empty() {
@@ -96,10 +98,11 @@
     if ok {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(exit::NOT_DONE)
+        ExitCode::from(exit::FAILED)
     }
 }
 
+/// A reply as JSON; lines whose value is not an integer are left out.
 fn json_reply(ok: bool, text: &str, rest: &str) -> Value {
     let figure = |line: &str| {
         let (name, value) = line.split_once('=')?;
@@ -113,6 +116,7 @@
     object.into()
 }
 
+/// Sends one request line and reads the reply until the console closes the connection.
 async fn exchange(address: SocketAddr, request: &str) -> io::Result<String> {
     let exchange = async {
         let mut stream = bellcroft_net::connect(address).await?;
--- a/crates/agent/src/cli/check.rs
+++ b/crates/agent/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `bellcroft check`: reads the files as a start does and prints what is wrong, or what would be run.
+//! `bellcroft check`: loads the files as at a start and prints their errors, or the resulting configuration.
 
 use crate::daemon::config::Config;
 use crate::daemon::{state, variable, ConfigSources};
@@ -8,7 +8,8 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Checks an operator's file without a platform's configuration. None if there is a configuration or no operator's file.
+/// Checks an operator's file alone. None if there is no operator's file, or if the sources
+/// also name a platform's configuration.
 fn check_operator_file(sources: &ConfigSources) -> Option<ExitCode> {
     let file = sources.operator.as_ref()?;
     if sources.config.is_some() || variable("PROXY_CONFIG").is_some() {
@@ -46,7 +47,7 @@
     }
 }
 
-/// Checks the files that `sources` names and prints the result; `explain` adds each route's time line.
+/// Checks the files that `sources` names and prints the result; `explain` adds the timeline of each route.
 pub fn run(sources: &ConfigSources, explain: bool) -> ExitCode {
     if let Some(code) = check_operator_file(sources) {
         return code;
@@ -58,8 +59,9 @@
             return ExitCode::from(exit::BAD_INPUT);
         }
     };
-    let too_long = config.daemon.state.as_ref().filter(|path| path.as_os_str().len() > state::MAX_PATH_BYTES);
-    if let Some(path) = too_long {
+    let too_long_path =
+        config.daemon.state.as_ref().filter(|path| path.as_os_str().len() > state::MAX_PATH_BYTES);
+    if let Some(path) = too_long_path {
         eprintln!(
             "daemon.state: {} is longer than {} bytes, the bound of a socket's path below it",
             path.display(),
--- a/crates/agent/src/cli/members.rs
+++ b/crates/agent/src/cli/members.rs
@@ -1,4 +1,4 @@
-//! `bellcroft members`: an instance's view of its cluster.
+//! `bellcroft members`: prints the members of a cluster as one instance sees them.
 
 use super::status::request_instance;
 use crate::daemon::commands::InstanceRequest;
@@ -7,24 +7,24 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Prints the cluster as the instance that the command line names sees it.
+/// Prints the view that the instance named on the command line has of its cluster.
 pub fn run(state: Option<PathBuf>, operator: Option<PathBuf>, json: bool) -> ExitCode {
     let value = match request_instance(InstanceRequest::Members, state, operator) {
         Ok(value) => value,
         Err(code) => return code,
     };
     match serde_json::from_value::<MembershipStatus>(value.clone()) {
-        Ok(status) if !json => print(&status),
+        Ok(status) if !json => print_membership(&status),
         Ok(_) => println!("{value}"),
         Err(e) => {
             eprintln!("bellcroft: the answer is not understood: {e}");
-            return ExitCode::from(exit::NOT_DONE);
+            return ExitCode::from(exit::FAILED);
         }
     }
     ExitCode::SUCCESS
 }
 
-fn print(status: &MembershipStatus) {
+fn print_membership(status: &MembershipStatus) {
     println!("member {} of {}, heard at {}", status.number, status.cluster, status.listen);
     println!("stance: {} ({})", status.quorum_state, status.reason);
     let error = status.size_error.map_or(String::new(), |e| format!(", give or take {:.0}%", 100.0 * e));
@@ -36,34 +36,34 @@
         println!("own hearing in doubt: {} of 3", status.local_health);
     }
     let percent = |share: f64| format!("{:.0}%", 100.0 * share);
-    let seen = |what: &str, seen: &DigestStatus| {
+    let print_digest = |what: &str, digest: &DigestStatus| {
         println!(
             "{what}: answers take {} of the wanted time, load speaks for {}, {} refused",
-            percent(seen.latency),
-            percent(seen.load),
-            percent(seen.shed_ratio)
+            percent(digest.latency),
+            percent(digest.load),
+            percent(digest.shed_ratio)
         );
     };
     if status.fleet.responses > 0.0 {
-        seen("all see", &status.fleet);
-        status.sites.iter().for_each(|site| seen(&format!("  site {}", site.site), &site.digest));
+        print_digest("all see", &status.fleet);
+        status.sites.iter().for_each(|site| print_digest(&format!("  site {}", site.site), &site.digest));
     }
     println!(
         "{:>7} {:<8} {:>10} {:>6} {:>5} {:<9} {:>10} address",
         "member", "state", "since", "by", "site", "duty", "answered"
     );
-    let ago = |ms: u64| format!("{:.1} s", ms as f64 / 1e3);
-    for m in &status.members {
-        let answered = m.ms_since_ack.map_or("never".to_owned(), ago);
+    let seconds = |ms: u64| format!("{:.1} s", ms as f64 / 1e3);
+    for member in &status.members {
+        let last_ack = member.ms_since_ack.map_or("never".to_owned(), seconds);
         println!(
-            "{:>7} {:<8} {:>10} {:>6} {:>5} {:<9} {answered:>10} {}",
-            m.number,
-            m.state,
-            ago(m.since_ms),
-            m.reported_by,
-            m.site,
-            m.role,
-            m.address
+            "{:>7} {:<8} {:>10} {:>6} {:>5} {:<9} {last_ack:>10} {}",
+            member.number,
+            member.state,
+            seconds(member.since_ms),
+            member.reported_by,
+            member.site,
+            member.role,
+            member.address
         );
     }
 }
--- a/crates/agent/src/cli/mod.rs
+++ b/crates/agent/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: its definition, and one module for each command.
+//! The command line interface: the definition of its arguments, and a module for each command.
 
 mod call;
 mod check;
@@ -15,7 +15,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-const CODES: &str = "Exit codes:
+const EXIT_CODES_HELP: &str = "Exit codes:
   0  it went well
   1  what was asked for did not come about (a roll that stopped, a reload that was refused, a call that said no)
   2  a file, an option or the environment is wrong
@@ -27,7 +27,7 @@
 /// Without a command it runs one instance as the environment says (PROXY_CONFIG, PROXY_LISTEN, PROXY_DISCOVERY,
 /// PROXY_NAME), as `run` does without options.
 #[derive(Parser)]
-#[command(name = "bellcroft", version, after_help = CODES, max_term_width = 100)]
+#[command(name = "bellcroft", version, after_help = EXIT_CODES_HELP, max_term_width = 100)]
 struct Cli {
     /// What the log's lines look like; BELLCROFT_LOG_FORMAT without. A fleet's instances log as it does.
     #[arg(long, global = true, value_enum)]
@@ -44,7 +44,7 @@
     /// Run one instance in the foreground until SIGTERM.
     Run {
         #[command(flatten)]
-        files: Files,
+        files: ConfigFiles,
         /// Its state directory, before the operator's file.
         #[arg(long, value_name = "DIR")]
         state: Option<PathBuf>,
@@ -52,7 +52,7 @@
     /// Check files whole and tell all that is wrong with them, a line each.
     Check {
         #[command(flatten)]
-        files: Files,
+        files: ConfigFiles,
         /// Print each route's life as a time line: the latest moment of each step against window and deadline.
         #[arg(long)]
         explain: bool,
@@ -102,7 +102,7 @@
 }
 
 #[derive(Args)]
-struct Files {
+struct ConfigFiles {
     /// The operator's file (deploy/agent.toml shows one).
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
@@ -111,13 +111,13 @@
     config: Option<PathBuf>,
 }
 
-impl From<Files> for ConfigSources {
-    fn from(files: Files) -> Self {
+impl From<ConfigFiles> for ConfigSources {
+    fn from(files: ConfigFiles) -> Self {
         ConfigSources { operator: files.operator, config: files.config }
     }
 }
 
-/// Reads an operator's file; what is wrong with it is printed.
+/// Reads an operator's file; its errors are printed.
 fn read_agent_file(path: &Path) -> Result<AgentFile, ExitCode> {
     AgentFile::read(path).map_err(|faults| {
         faults.iter().for_each(|fault| eprintln!("{fault}"));
@@ -125,12 +125,12 @@
     })
 }
 
-/// Runs the program with these arguments, its own name first.
+/// Runs the program with these arguments, of which the first is the program's name.
 pub fn main(args: impl IntoIterator<Item = OsString>) -> ExitCode {
     let cli = match Cli::try_parse_from(args) {
         Ok(cli) => cli,
         Err(e) => {
-            // Help and version are no errors; clap prints each to its stream.
+            // clap returns help and version as errors too, and prints them to standard output.
             let _ = e.print();
             return if e.use_stderr() { ExitCode::from(exit::BAD_INPUT) } else { ExitCode::SUCCESS };
         }
--- a/crates/agent/src/cli/status.rs
+++ b/crates/agent/src/cli/status.rs
@@ -1,4 +1,4 @@
-//! `bellcroft status`: the status of a running instance, or the last one that was written.
+//! `bellcroft status`: prints the status of a running instance, or the status file of one that does not run.
 
 use crate::daemon::commands::InstanceRequest;
 use crate::daemon::control::{self, ControlError, ControlReply};
@@ -12,7 +12,7 @@
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The state directory that the command line names, itself or by an operator's file.
+/// The state directory from the command line, or else from the operator's file; an error is printed.
 fn state_dir(state: Option<PathBuf>, operator: Option<PathBuf>) -> Result<PathBuf, ExitCode> {
     let dir = match (state, operator) {
         (Some(state), _) => Some(state),
@@ -40,16 +40,16 @@
         }
         Ok(Err(ControlError::Failed(error))) => {
             eprintln!("bellcroft: {}: {error}", dir.display());
-            Err(ExitCode::from(exit::NOT_DONE))
+            Err(ExitCode::from(exit::FAILED))
         }
         Err(error) => {
             eprintln!("bellcroft: {}: {error}", dir.display());
-            Err(ExitCode::from(exit::NOT_DONE))
+            Err(ExitCode::from(exit::FAILED))
         }
     }
 }
 
-/// Prints the status of the instance that the command line names.
+/// Prints the status of the instance named on the command line.
 pub fn run(state: Option<PathBuf>, operator: Option<PathBuf>, json: bool) -> ExitCode {
     let dir = match state_dir(state, operator) {
         Ok(dir) => dir,
@@ -59,12 +59,12 @@
         Ok(Ok(reply)) => print_reply(&reply, json),
         Ok(Err(ControlError::Failed(error))) if state::is_locked(&dir) => {
             eprintln!("bellcroft: {}: runs, and does not answer: {error}", dir.display());
-            ExitCode::from(exit::NOT_DONE)
+            ExitCode::from(exit::FAILED)
         }
         Ok(Err(_)) => print_last(&dir, json),
         Err(error) => {
             eprintln!("bellcroft: {error}");
-            ExitCode::from(exit::NOT_DONE)
+            ExitCode::from(exit::FAILED)
         }
     }
 }
@@ -72,22 +72,22 @@
 fn print_reply(reply: &ControlReply, json: bool) -> ExitCode {
     match serde_json::from_value::<Status>(reply.value.clone()) {
         Ok(status) if !json => {
-            print(&status);
+            print_status(&status);
             ExitCode::SUCCESS
         }
-        // The reply as it came, with keys of a newer instance.
+        // The reply is printed as received, because a newer instance may send more keys.
         Ok(_) => {
             println!("{}", reply.value);
             ExitCode::SUCCESS
         }
         Err(e) => {
             eprintln!("bellcroft: the status is not understood: {e}");
-            ExitCode::from(exit::NOT_DONE)
+            ExitCode::from(exit::FAILED)
         }
     }
 }
 
-/// The status of an instance that does not run, as JSON.
+/// The JSON output for an instance that does not run.
 #[derive(Serialize)]
 struct LastStatus<'a> {
     last: Option<&'a Status>,
@@ -111,14 +111,14 @@
             status.name,
             status.phase.as_str(),
             status.pid,
-            age(status.written_ms)
+            format_age(status.written_ms)
         ),
         Err(error) => println!("{}: not running; {error}", dir.display()),
     }
     ExitCode::from(exit::NOT_RUNNING)
 }
 
-/// Why there is no last status.
+/// An error in reading the status file.
 #[derive(Debug, thiserror::Error)]
 enum LastStatusError {
     #[error("{}: {source}", file.display())]
@@ -127,7 +127,7 @@
     Parse { file: PathBuf, source: serde_json::Error },
 }
 
-/// The last status that was written.
+/// Reads the last status that the instance wrote.
 fn last_status(dir: &Path) -> Result<Status, LastStatusError> {
     let file = dir.join(STATUS_FILE);
     match std::fs::read(&file) {
@@ -136,19 +136,19 @@
     }
 }
 
-/// The time since a Unix time in milliseconds, in whole seconds.
-fn age(since_ms: u64) -> String {
+/// The time since a Unix time in milliseconds, printed in whole seconds.
+fn format_age(since_ms: u64) -> String {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64;
     format!("{} s", now.saturating_sub(since_ms) / 1000)
 }
 
-fn print(status: &Status) {
+fn print_status(status: &Status) {
     println!(
         "{}: {}, process {}, up {}",
         status.name,
         status.phase.as_str(),
         status.pid,
-        age(status.started_ms)
+        format_age(status.started_ms)
     );
     println!("listens on {}; {} client connections", status.listen, status.connections);
     let servers = status.servers;
@@ -161,10 +161,10 @@
         "{:<24} {:>9} {:>9} {:>9} {:>9} {:>9} {:>6}",
         "class", "taken", "served", "refused", "failed", "left", "open"
     );
-    for (class, c) in &status.requests {
+    for (class, counts) in &status.requests {
         println!(
             "{class:<24} {:>9} {:>9} {:>9} {:>9} {:>9} {:>6}",
-            c.taken, c.served, c.refused, c.failed, c.left, c.open
+            counts.taken, counts.served, counts.refused, counts.failed, counts.left, counts.open
         );
     }
     if status.bad_requests > 0 {
--- a/crates/agent/src/control_plane.rs
+++ b/crates/agent/src/control_plane.rs
@@ -1,7 +1,7 @@
-//! An agent's control plane: membership, discovery's client, telemetry's sender and their configuration.
+//! The control plane of an agent: membership, the discovery client, the telemetry sender and their configuration.
 //!
-//! The daemon has one beside its request path. The scale run has many in one process, as agents without a request path;
-//! both run the same code. Nothing here depends on the request path.
+//! The daemon runs one control plane beside its request path. The scale run has many in one process, which are agents
+//! without a request path. Both run the same code, so nothing here depends on the request path.
 
 use crate::daemon::config::{Config, ConfigErrors, ConfigSources};
 use crate::driver::Driver;
@@ -19,24 +19,24 @@
 use tokio::task::JoinHandle;
 use tracing::{info, warn};
 
-/// Connections to servers of a control plane without a request path: those of its health checks.
-const PROBE_CONNECTIONS: usize = 8;
+/// Maximum number of connections to servers for a control plane without a request path, which sends only health checks.
+const HEALTH_CHECK_CONNECTIONS: usize = 8;
 
-/// The options of a start.
+/// Options of an instance at its start.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct StartOptions {
-    /// Where the files are named.
+    /// Paths of the configuration files, where given.
     pub sources: ConfigSources,
-    /// The state directory; takes precedence over the operator's file.
+    /// State directory; takes precedence over the one in the operator's file.
     pub state: Option<PathBuf>,
 }
 
-/// A variable of the environment.
+/// The value of an environment variable; none if it is unset or not UTF-8.
 pub(crate) fn variable(name: &str) -> Option<String> {
     std::env::var(name).ok()
 }
 
-/// Why a control plane could not start.
+/// An error that keeps a control plane from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlPlaneError {
     /// The files are faulty.
@@ -45,26 +45,26 @@
     /// No balancer can work with the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// Membership's address cannot be listened on.
+    /// The socket of membership cannot be bound.
     #[error("cannot listen on {address} (membership): {source}")]
     MembershipListen {
-        /// The address.
+        /// Address that membership is configured to listen on.
         address: SocketAddr,
-        /// The system's error.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
-/// Why a reload was rejected.
+/// The reason why a reload was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
     /// The files are faulty.
     #[error(transparent)]
     Config(#[from] ConfigErrors),
-    /// The platform's file lacks keys that the one in force has.
+    /// The platform's file lacks keys that are present in the configuration in force.
     #[error("it lacks {}, which the present one has", .0.join(", "))]
     MissingKeys(Vec<String>),
-    /// The files change what only a restart can.
+    /// The files change settings that take effect only at a restart.
     #[error("{} differs, which only a restart can take", .0.join(", "))]
     NeedsRestart(Vec<&'static str>),
     /// No balancer can work with the settings.
@@ -84,27 +84,27 @@
 }
 
 impl ControlPlane {
-    /// Reads an agent's files and starts its control plane alone, telemetry's sender included.
+    /// Reads an agent's files and starts its control plane, including the telemetry sender, without a request path.
     ///
     /// # Errors
     ///
-    /// The files are faulty, or membership's address cannot be listened on.
+    /// Fails if the files are faulty or the socket of membership cannot be bound.
     pub async fn open(operator: &Path, config: &Path) -> Result<Rc<Self>, ControlPlaneError> {
         let sources = ConfigSources { operator: Some(operator.to_owned()), config: Some(config.to_owned()) };
         let config = Config::load(&sources, variable)?;
         let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let start = StartOptions { sources, state: None };
-        let plane = Self::start(config, start, PROBE_CONNECTIONS, started.as_millis() as u64).await?;
-        let refreshed = Rc::downgrade(&plane);
+        let plane = Self::start(config, start, HEALTH_CHECK_CONNECTIONS, started.as_millis() as u64).await?;
+        let weak_plane = Rc::downgrade(&plane);
         plane.send_telemetry(move || {
-            if let Some(plane) = refreshed.upgrade() {
+            if let Some(plane) = weak_plane.upgrade() {
                 plane.refresh_gauges();
             }
         });
         Ok(plane)
     }
 
-    /// Starts the driver, discovery's client and membership. Telemetry's sender waits for
+    /// Starts the driver, the discovery client and membership. The telemetry sender is started by
     /// [`ControlPlane::send_telemetry`].
     pub(crate) async fn start(
         config: Config,
@@ -136,7 +136,7 @@
         }))
     }
 
-    /// The driver, which the request path shares.
+    /// The driver, which is shared with the request path.
     pub(crate) fn driver(&self) -> &Rc<Driver> {
         &self.driver
     }
@@ -146,13 +146,14 @@
         self.config.borrow()
     }
 
-    /// The task of the driver's timers, without which no request would time out. None after the first call; if it is
-    /// not taken, [`ControlPlane::stop`] ends it.
+    /// Takes the task that runs the driver's timers, without which no request would time out. None after the first
+    /// call; a task that was not taken is aborted by [`ControlPlane::stop`].
     pub(crate) fn take_driver_task(&self) -> Option<JoinHandle<()>> {
         self.driver_task.borrow_mut().take()
     }
 
-    /// Starts telemetry's sender if the operator's file names a receiver. `refresh` sets the gauges before each sample.
+    /// Starts the telemetry sender if the operator's file configures remote write. `refresh` is called
+    /// before each sample to set the gauges.
     pub(crate) fn send_telemetry(&self, refresh: impl Fn() + 'static) {
         let config = self.config();
         let Some((remote, instance)) = telemetry::remote_write(&config).zip(self.registry.clone()) else {
@@ -169,60 +170,64 @@
         *self.remote.borrow_mut() = Some(Remote::start(remote, environment));
     }
 
-    /// Sets membership's gauges.
+    /// Updates the metrics of membership.
     pub(crate) fn refresh_gauges(&self) {
         if let Some((registry, peers)) = self.registry.as_ref().zip(self.driver.peers()) {
             telemetry::sample_peers(&registry.registry, &peers, self.driver.stalls());
         }
     }
 
-    /// Reads the files again and applies all changes or none. Without an operator's file this is the platform's
-    /// reload, which changes discovery alone.
+    /// Reads the files again and applies all changes or none. If the start options name no files, this is the
+    /// platform's reload. It is meant to change only discovery, and restarts the watch even at an unchanged address.
     ///
     /// # Errors
     ///
-    /// The files are faulty, or they change what only a restart can; the present configuration stays in force.
+    /// Fails if the files are faulty or change settings that take effect only at a restart. The current configuration
+    /// then stays in force.
     pub fn reload(&self) -> Result<(), ReloadError> {
-        // In the platform's reload, `PROXY_DISCOVERY` is the address of the start and must not hide the file's.
-        let platform = self.start.sources.operator.is_none() && self.start.sources.config.is_none();
-        let var = |name: &str| variable(name).filter(|_| !platform || name != "PROXY_DISCOVERY");
-        let mut newer = Config::load(&self.start.sources, var)?;
-        let missing = reconfigure::missing_keys(&self.config().raw, &newer.raw);
+        // `PROXY_DISCOVERY` still holds the address from the start, so in the platform's reload it must not override the
+        // address in the file.
+        let is_platform_reload = self.start.sources.operator.is_none() && self.start.sources.config.is_none();
+        let var = |name: &str| variable(name).filter(|_| !is_platform_reload || name != "PROXY_DISCOVERY");
+        let mut new_config = Config::load(&self.start.sources, var)?;
+        let missing = reconfigure::missing_keys(&self.config().raw, &new_config.raw);
         if !missing.is_empty() {
             return Err(ReloadError::MissingKeys(missing));
         }
-        newer.daemon.state = self.start.state.clone().or(newer.daemon.state);
-        let needs_restart = self.config().needs_restart(&newer);
+        new_config.daemon.state = self.start.state.clone().or(new_config.daemon.state);
+        let needs_restart = self.config().needs_restart(&new_config);
         if !needs_restart.is_empty() {
             return Err(ReloadError::NeedsRestart(needs_restart));
         }
-        let discovery = newer.discovery;
-        self.driver.reconfigure(&newer)?;
-        self.driver.set_routes(&newer);
+        let discovery = new_config.discovery;
+        self.driver.reconfigure(&new_config)?;
+        self.driver.set_routes(&new_config);
         if let Some(registry) = &self.registry {
-            telemetry::publish_budgets(registry, &newer);
+            telemetry::publish_budgets(registry, &new_config);
         }
-        if let Some((remote, config)) = self.remote.borrow().as_ref().zip(telemetry::remote_write(&newer)) {
+        if let Some((remote, config)) =
+            self.remote.borrow().as_ref().zip(telemetry::remote_write(&new_config))
+        {
             remote.change(config);
         }
-        if let Some((peers, (_, config))) = self.driver.peers().zip(newer.peering.as_ref()) {
+        if let Some((peers, (_, config))) = self.driver.peers().zip(new_config.peering.as_ref()) {
             peers.set_expected_size(config.instances);
         }
-        let discovery_moved = self.config.replace(newer).discovery != discovery;
-        if discovery_moved || platform {
+        let discovery_changed = self.config.replace(new_config).discovery != discovery;
+        if discovery_changed || is_platform_reload {
             self.driver.set_discovery_address(discovery);
         }
         Ok(())
     }
 
-    /// Announces to the other instances that this one leaves.
+    /// Announces to the other members that this instance leaves the cluster.
     pub(crate) fn leave(&self) {
         if let Some(peers) = self.driver.peers() {
             peers.leave();
         }
     }
 
-    /// Sends the last samples and ends telemetry's sender.
+    /// Sends the last samples and stops the telemetry sender.
     pub(crate) async fn stop_telemetry(&self) {
         let remote = self.remote.borrow_mut().take();
         let Some(remote) = remote else { return };
@@ -234,10 +239,11 @@
         }
     }
 
-    /// Leaves the cluster, sends the last samples and ends the driver. Sockets close with the [`LocalSet`](tokio::task::LocalSet).
+    /// Leaves the cluster, sends the last samples and stops the driver. The sockets are closed when the
+    /// [`LocalSet`](tokio::task::LocalSet) is dropped.
     pub async fn stop(&self) {
         self.leave();
-        // The datagrams are in the kernel; the other tasks run once more.
+        // The datagrams of the announcement have been passed to the kernel; the other tasks get to run once more.
         tokio::time::sleep(Duration::ZERO).await;
         self.stop_telemetry().await;
         if let Some(driver_task) = self.take_driver_task() {
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,9 +1,14 @@
-//! A client-side load-balancing agent: HTTP/1.1 from the application beside it, HTTP/1.1 to the backends, and
-//! the decisions of `bellcroft-balancer` in between.
+//! A client-side load-balancing agent. It accepts HTTP/1.1 requests from the application on the same host and forwards
+//! them over HTTP/1.1 to the servers that `bellcroft-balancer` selects.
 //!
-//! `daemon` is one instance's life and `fleet` that of many; `downstream` (clients) and `upstream` (servers) are the two
-//! sides of a request, which meet in `driver`, the one owner of the balancer; `discovery` keeps the server list; `telemetry` counts;
-//! `peers` knows the other instances; [`ControlPlane`] is what of these needs no request path; [`cli`] is the way in.
+//! - [`cli`] parses the command line and runs the commands.
+//! - `daemon` runs one instance from start to shutdown; `fleet` supervises many instances.
+//! - `downstream` handles connections from clients, `upstream` those to servers.
+//! - `driver` connects the two sides of a request and is the only owner of the balancer.
+//! - `discovery` keeps the endpoint list up to date.
+//! - `peers` exchanges membership, peer hints and fleet digests with the other instances.
+//! - `telemetry` collects the metrics and sends them by remote write.
+//! - [`ControlPlane`] combines the parts that need no request path.
 
 pub mod cli;
 mod clock;
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `bellcroft`; all that it does is in the library beside it.
+//! The program `bellcroft`, a wrapper around the library of this package.
 
 fn main() -> std::process::ExitCode {
     bellcroft::cli::main(std::env::args_os())
--- a/crates/agent/src/request_log.rs
+++ b/crates/agent/src/request_log.rs
@@ -1,8 +1,8 @@
-//! The request log: each event of a request with its id, for following one request through a fault.
+//! The request log: events of requests with the request id, so that one request can be traced during a fault.
 //!
 //! Events are logged at level `debug` while the process serves (`--log-level info,bellcroft::requests=debug`), and at `info`
-//! from the start of a shutdown: that is short, and its pending requests cannot be traced afterwards. A denied attempt is a
-//! warning, unless the shutdown denies it.
+//! from the start of a shutdown, which is short and whose pending requests cannot be traced afterwards. A denied attempt
+//! is logged as a warning, unless it was denied because of the shutdown.
 
 use bellcroft_agent_core::guard::{ConnectionState, LateResponse, SendDenied, Violation};
 use bellcroft_balancer::{ClassId, Outcome, ServerId};
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 use tracing::{debug, info, warn};
 
-/// Logs an event at the present level.
+/// Logs an event at the current level: `debug`, or `info` during a shutdown.
 macro_rules! event {
     ($log:expr, $($fields:tt)*) => {
         if $log.shutting_down.get() {
@@ -24,50 +24,52 @@
     };
 }
 
-/// Why a client's connection has ended.
+/// The reason why a client's connection was closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The time-out of the connection's state has passed.
+    /// The timeout of the connection's state expired.
     TimedOut,
-    /// It made way for another client at the connection limit.
+    /// The connection was closed at the connection limit in favour of a new client.
     Evicted,
     /// The client closed its side while a request was pending.
     ClientDisconnected,
-    /// The HTTP connection ended: after the last response, by the client, or by invalid bytes.
+    /// The HTTP connection finished after the last response, was closed by the client, or received invalid bytes.
     Finished,
     /// The process shuts down.
     Shutdown,
 }
 
-/// Why a request got its final response.
+/// The reason for the final response to a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseReason {
     /// A server responded.
     Served,
     /// The balancer rejected the request.
     Rejected,
-    /// The balancer gave the request up.
+    /// The balancer gave up on the request.
     Failed,
-    /// The process ends before the request's deadline.
+    /// The process exits before the request's deadline.
     Shutdown,
 }
 
-/// Violations of one kind are logged once in this time; those in between are counted.
+/// Minimum interval between two log lines for violations of one kind; those in between are only counted.
 const VIOLATION_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The number of requests that one line names.
+/// Maximum number of request ids in a log line.
 const MAX_LOGGED_IDS: usize = 10;
 
 /// Limits how often violations of one kind are logged.
 #[derive(Debug, Default)]
-struct ViolationReports {
+struct ViolationLogLimiter {
+    /// Time of the last log line.
     logged_at: Cell<Option<Instant>>,
+    /// Number of violations since the last log line.
     not_logged: Cell<u64>,
 }
 
-impl ViolationReports {
-    /// A violation has happened. The number to log now, with those that were not logged; none if it is too soon.
-    fn next(&self) -> Option<u64> {
+impl ViolationLogLimiter {
+    /// Counts a violation. If a log line is due, returns the number of violations since the last one.
+    fn record(&self) -> Option<u64> {
         let count = self.not_logged.get() + 1;
         let is_due = self.logged_at.get().is_none_or(|at| at.elapsed() >= VIOLATION_LOG_INTERVAL);
         self.not_logged.set(if is_due { 0 } else { count });
@@ -82,9 +84,9 @@
 #[derive(Debug, Default)]
 pub struct RequestLog {
     shutting_down: Cell<bool>,
-    late_answers: ViolationReports,
-    closed_while_pending: ViolationReports,
-    unsafe_repeats: ViolationReports,
+    late_responses: ViolationLogLimiter,
+    closed_while_pending: ViolationLogLimiter,
+    unsafe_repeats: ViolationLogLimiter,
 }
 
 impl RequestLog {
@@ -93,24 +95,24 @@
         self.shutting_down.set(true);
     }
 
-    /// A request has been received, and is due within `time_left`.
+    /// Logs that a request was received, whose deadline is in `time_left`.
     pub fn on_request(&self, id: &str, class: ClassId, time_left: Duration) {
         event!(self, id, class = class.0, ?time_left, "request received");
     }
 
-    /// An attempt is sent, and ends within `timeout`.
+    /// Logs that an attempt was sent, which times out after `timeout`.
     pub fn on_attempt_sent(&self, id: &str, attempt: u32, server: ServerId, timeout: Duration) {
         event!(self, id, attempt, server = server.0, ?timeout, "attempt sent");
     }
 
-    /// An attempt that the balancer scheduled is not sent.
+    /// Logs that an attempt scheduled by the balancer is not sent.
     pub fn on_attempt_denied(&self, id: &str, attempt: u32, server: ServerId, reason: SendDenied) {
         let server = server.0;
         match reason {
             SendDenied::ProcessEnding => event!(self, id, attempt, server, ?reason, "attempt denied"),
             SendDenied::MayRunTwice | SendDenied::OutsideDedupWindow | SendDenied::OutsideDedupGroup => {
                 warn!(target: "bellcroft::requests", id, attempt, server, ?reason, "attempt denied");
-                if let Some(count) = self.unsafe_repeats.next() {
+                if let Some(count) = self.unsafe_repeats.record() {
                     let rule = Violation::UnsafeRepeat.name();
                     warn!(target: "bellcroft::requests", rule, id, attempt, ?reason, count, "rule violation");
                 }
@@ -118,38 +120,38 @@
         }
     }
 
-    /// An attempt has its outcome, `elapsed` after it was sent.
+    /// Logs the outcome of an attempt, `elapsed` after it was sent.
     pub fn on_attempt_finished(&self, id: &str, attempt: u32, outcome: Outcome, elapsed: Duration) {
         event!(self, id, attempt, ?outcome, ?elapsed, "attempt finished");
     }
 
-    /// The final response to a request has been decided.
+    /// Logs that the final response to a request was decided.
     pub fn on_response(&self, id: &str, reason: ResponseReason) {
         event!(self, id, ?reason, "response decided");
     }
 
-    /// The client of a request has disconnected, or has stopped waiting, before the final response.
+    /// Logs that the client of a request disconnected, or stopped waiting, before the final response.
     pub fn on_client_disconnected(&self, id: &str) {
         event!(self, id, "client disconnected");
     }
 
-    /// A response was decided after its client's deadline.
+    /// Logs that a response was decided after the client's deadline.
     pub fn on_late_response(&self, id: &str, connection: u64, late: LateResponse) {
-        let Some(count) = self.late_answers.next() else { return };
+        let Some(count) = self.late_responses.record() else { return };
         let rule = Violation::LateAnswer.name();
         let late_by = Duration::from_micros(late.late_by.0);
         let paused = Duration::from_micros(late.paused.0);
         warn!(target: "bellcroft::requests", rule, id, connection, ?late_by, ?paused, count, "rule violation");
     }
 
-    /// A connection was closed by this process while a request had no response.
+    /// Logs that this process closed a connection on which a request was pending.
     pub fn on_closed_while_pending(&self, connection: u64, close_reason: CloseReason) {
-        let Some(count) = self.closed_while_pending.next() else { return };
+        let Some(count) = self.closed_while_pending.record() else { return };
         let rule = Violation::ClosedWhilePending.name();
         warn!(target: "bellcroft::requests", rule, connection, ?close_reason, count, "rule violation");
     }
 
-    /// The process ends while these requests have no response.
+    /// Logs that the process exits while these requests are pending.
     pub fn on_ended_while_pending(&self, ids: &[Rc<str>]) {
         if ids.is_empty() {
             return;
@@ -159,8 +161,8 @@
         warn!(target: "bellcroft::requests", rule, ?ids, count, "rule violation");
     }
 
-    /// A client's connection has ended in this state. No byte of a request was read and not answered if it was unused or
-    /// idle.
+    /// Logs that a client's connection was closed in this state. On an unused or idle connection, no received byte belongs
+    /// to a request without a response.
     pub fn on_connection_closed(
         &self,
         connection: u64,
--- a/crates/agent/src/telemetry.rs
+++ b/crates/agent/src/telemetry.rs
@@ -1,6 +1,7 @@
-//! The agent's side of telemetry: the series of an instance, samples of membership, and the timers of requests and attempts.
+//! The agent's metrics: the series of an instance, samples of membership, and timers of requests and attempts.
 //!
-//! All counters are of the process's life. Durations are from the request's last byte to the last byte of its response.
+//! Counters start at zero with the process. Request durations are measured from the last byte of the request to the last
+//! byte of its response.
 
 use crate::clock::Clock;
 use crate::daemon::config::Config;
@@ -17,18 +18,19 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// The route label of requests without a route.
+/// Value of the route label for requests without a route.
 pub const NO_ROUTE: &str = "none";
-/// The retries that each request without a retry budget of its own adds to the common budget; as in the balancer.
-const COMMON_RETRY_RATIO: f64 = 0.1;
+/// Retries that each request adds to the default budget if neither its route nor its pool has a retry budget; the same value
+/// as in the balancer.
+const DEFAULT_RETRY_RATIO: f64 = 0.1;
 
-/// The states of a member, in the order of [`Peers::states`].
-const STATES: [State; 5] = [State::Absent, State::Alive, State::Suspect, State::Dead, State::Left];
+/// States of a member, in the order of [`Peers::states`].
+const MEMBER_STATES: [State; 5] = [State::Absent, State::Alive, State::Suspect, State::Dead, State::Left];
 
-/// The labels of received hints, in the order of [`PeerCounters::hint_verdicts`].
-const RECEIVED_HINTS: [&str; 4] = ["taken", "too_often", "too_many", "alone"];
+/// Label values of received hints, in the order of [`PeerCounters::hint_verdicts`].
+const HINT_VERDICT_LABELS: [&str; 4] = ["taken", "too_often", "too_many", "alone"];
 
-/// The series of an instance; none without remote write.
+/// Creates the series of an instance; none without remote write.
 pub fn start(config: &Config, started_ms: u64) -> Option<Rc<Instance>> {
     let remote = config.remote_write.as_ref()?;
     let instance = Instance::new(&InstanceInfo {
@@ -45,10 +47,10 @@
     Some(Rc::new(instance))
 }
 
-/// Publishes the budgets of the routes as gauges, beside the counters of what they spend.
+/// Publishes the retry and hedge budgets of the routes as gauges, for comparison with the counters of their use.
 pub fn publish_budgets(instance: &Instance, config: &Config) {
     let mut route_budgets =
-        vec![RouteBudget { route: NO_ROUTE, retry_ratio: COMMON_RETRY_RATIO, hedge_ratio: None }];
+        vec![RouteBudget { route: NO_ROUTE, retry_ratio: DEFAULT_RETRY_RATIO, hedge_ratio: None }];
     for route in &config.routes.routes {
         let pool = route.pool.as_ref().and_then(|name| config.routes.pools.iter().find(|p| p.name == *name));
         let budgets = [route.retry_budget, pool.and_then(|pool| pool.retry_budget)];
@@ -58,22 +60,22 @@
         let hedges = hedge_shares.into_iter().flatten().reduce(f64::min);
         route_budgets.push(RouteBudget {
             route: &route.name,
-            retry_ratio: retries.unwrap_or(COMMON_RETRY_RATIO),
+            retry_ratio: retries.unwrap_or(DEFAULT_RETRY_RATIO),
             hedge_ratio: hedges.filter(|_| route.hedge != HedgePolicy::Never),
         });
     }
     instance.set_route_budgets(&route_budgets);
 }
 
-/// The labels of all series: the operator's, and job and instance unless the operator sets them.
+/// Labels that all series have: those that the operator sets, and defaults for `job` and `instance`.
 fn external_labels(remote: &RemoteWrite, name: &str) -> Vec<(String, String)> {
-    let own = [("job", "bellcroft"), ("instance", name)].map(|(n, v)| (n.to_owned(), v.to_owned()));
+    let defaults = [("job", "bellcroft"), ("instance", name)].map(|(n, v)| (n.to_owned(), v.to_owned()));
     let is_set = |name: &str| remote.labels.iter().any(|(n, _)| n == name);
-    own.into_iter().filter(|(n, _)| !is_set(n)).chain(remote.labels.iter().cloned()).collect()
+    defaults.into_iter().filter(|(n, _)| !is_set(n)).chain(remote.labels.iter().cloned()).collect()
 }
 
-/// Samples what membership knows of the other instances; `stalls` are those that the driver detected. Counters are those of
-/// the process's life.
+/// Samples the metrics of membership and peers. `stalls` is the number of stalls that the driver has detected since the
+/// start of the process.
 pub fn sample_peers(registry: &Registry, peers: &Peers, stalls: u64) {
     let sample = PeerSample { registry };
     let status = peers.status();
@@ -86,7 +88,7 @@
     sample.fleet(&status);
 }
 
-/// Writes a sample into the series of a registry.
+/// Writes the values of a sample to the series of a registry.
 struct PeerSample<'a> {
     registry: &'a Registry,
 }
@@ -96,55 +98,55 @@
         self.registry.gauge(family, labels).set(value);
     }
 
-    /// Raises a counter to a total.
-    fn count(&self, family: &'static Family, label: &str, total: u64) {
+    /// Raises a counter to `total`; a counter is never lowered.
+    fn raise_counter(&self, family: &'static Family, label: &str, total: u64) {
         let counter = self.registry.counter(family, &[label]);
         counter.inc_by((total as f64 - counter.get()).max(0.0));
     }
 
-    fn members(&self, states: [usize; STATES.len()], status: &MembershipStatus) {
-        for (state, count) in STATES.iter().zip(states) {
+    fn members(&self, states: [usize; MEMBER_STATES.len()], status: &MembershipStatus) {
+        for (state, count) in MEMBER_STATES.iter().zip(states) {
             self.gauge(&families::MEMBERS, &[state.as_str()], count as f64);
         }
         self.gauge(&families::MEMBERS_REACHABLE, &[], status.reachable.into());
         self.gauge(&families::MEMBERS_EFFECTIVE, &[], status.effective_size.into());
         self.gauge(&families::MEMBERS_EXPECTED, &[], status.expected_size.into());
         for quorum in QuorumState::ALL {
-            let is_present = quorum.as_str() == status.quorum_state;
-            self.gauge(&families::QUORUM_STATE, &[quorum.as_str()], f64::from(is_present));
+            let is_current = quorum.as_str() == status.quorum_state;
+            self.gauge(&families::QUORUM_STATE, &[quorum.as_str()], f64::from(is_current));
         }
     }
 
     fn messages(&self, stats: &Stats, unsent: u64) {
-        self.count(&families::MEMBER_DATAGRAMS, "sent", stats.sent_datagrams);
-        self.count(&families::MEMBER_DATAGRAMS, "unsent", unsent);
-        self.count(&families::MEMBER_DATAGRAMS, "taken", stats.accepted_datagrams);
+        self.raise_counter(&families::MEMBER_DATAGRAMS, "sent", stats.sent_datagrams);
+        self.raise_counter(&families::MEMBER_DATAGRAMS, "unsent", unsent);
+        self.raise_counter(&families::MEMBER_DATAGRAMS, "taken", stats.accepted_datagrams);
         for (label, total) in RejectReason::LABELS.iter().zip(stats.rejected) {
-            self.count(&families::MEMBER_DATAGRAMS, label, total);
+            self.raise_counter(&families::MEMBER_DATAGRAMS, label, total);
         }
-        self.count(&families::MEMBER_BYTES, "sent", stats.sent_bytes);
-        self.count(&families::MEMBER_BYTES, "taken", stats.accepted_bytes);
-        self.count(&families::MEMBER_PROBES, "sent", stats.probes_sent);
-        self.count(&families::MEMBER_PROBES, "failed", stats.probes_failed);
+        self.raise_counter(&families::MEMBER_BYTES, "sent", stats.sent_bytes);
+        self.raise_counter(&families::MEMBER_BYTES, "taken", stats.accepted_bytes);
+        self.raise_counter(&families::MEMBER_PROBES, "sent", stats.probes_sent);
+        self.raise_counter(&families::MEMBER_PROBES, "failed", stats.probes_failed);
     }
 
     fn events(&self, stats: &Stats, stalls: u64) {
-        self.count(&families::MEMBER_EVENTS, "mistaken", stats.false_deaths);
-        self.count(&families::MEMBER_EVENTS, "refuted", stats.refutations);
-        self.count(&families::MEMBER_EVENTS, "stalled", stats.stalls.max(stalls));
+        self.raise_counter(&families::MEMBER_EVENTS, "mistaken", stats.false_deaths);
+        self.raise_counter(&families::MEMBER_EVENTS, "refuted", stats.refutations);
+        self.raise_counter(&families::MEMBER_EVENTS, "stalled", stats.stalls.max(stalls));
     }
 
     fn hints(&self, counters: &PeerCounters) {
-        self.count(&families::HINTS, "told", counters.hints_sent);
-        self.count(&families::HINTS, "undelivered", counters.hints_undelivered);
-        for (label, total) in RECEIVED_HINTS.iter().zip(counters.hint_verdicts) {
-            self.count(&families::HINTS, label, total);
+        self.raise_counter(&families::HINTS, "told", counters.hints_sent);
+        self.raise_counter(&families::HINTS, "undelivered", counters.hints_undelivered);
+        for (label, total) in HINT_VERDICT_LABELS.iter().zip(counters.hint_verdicts) {
+            self.raise_counter(&families::HINTS, label, total);
         }
     }
 
     fn digests(&self, stats: &Stats) {
         for (label, total) in ["whole", "cut", "refused"].iter().zip(stats.digests) {
-            self.count(&families::DIGESTS, label, total);
+            self.raise_counter(&families::DIGESTS, label, total);
         }
     }
 
@@ -155,7 +157,7 @@
     }
 }
 
-/// The configuration of remote write; none if it is not configured.
+/// Converts the remote write section of the configuration; none if there is none.
 pub fn remote_write(config: &Config) -> Option<bellcroft_telemetry::Config> {
     let remote = config.remote_write.as_ref()?;
     Some(bellcroft_telemetry::Config {
@@ -175,7 +177,8 @@
     })
 }
 
-/// Measures a request until its response is written. Dropped before, it counts the request as left by its client.
+/// Measures the duration of a request until its response is written. A timer that is dropped earlier counts the request as
+/// abandoned by its client.
 pub struct PendingTimer {
     instance: Rc<Instance>,
     clock: Clock,
@@ -187,7 +190,7 @@
 }
 
 impl PendingTimer {
-    /// Starts at `received_at`, when the request was complete.
+    /// Starts the timer at `received_at`, when the request was complete.
     pub fn new(
         instance: Rc<Instance>,
         clock: Clock,
@@ -206,12 +209,12 @@
         }
     }
 
-    /// The response has been decided, and is being written.
+    /// Records the outcome of the request, once the response has been decided and is being written.
     pub fn set_outcome(&mut self, outcome: FinalOutcome) {
         self.outcome = outcome;
     }
 
-    /// The kernel has taken the last byte of the response.
+    /// Records that the last byte of the response was passed to the kernel.
     pub fn on_response_written(mut self) {
         self.is_written = true;
     }
@@ -226,22 +229,22 @@
     }
 }
 
-/// Reports the first byte of an attempt.
+/// Reports to telemetry when the first byte of an attempt is sent.
 pub struct FirstByteReport {
-    /// The series of this process.
+    /// Series of this process.
     pub instance: Rc<Instance>,
-    /// The balancer's clock.
+    /// Clock that the balancer uses.
     pub clock: Clock,
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
-    /// The number of the attempt.
+    /// Number of the attempt within the request.
     pub attempt: u32,
-    /// The server.
+    /// Id of the server.
     pub server: ServerId,
 }
 
 impl FirstByteReport {
-    /// The kernel has taken the first byte.
+    /// Reports that the first byte was passed to the kernel.
     pub fn on_written(self) {
         self.instance.first_byte(self.clock.now(), self.request.0, self.attempt, self.server.0);
     }
--- a/crates/agent/tests/unit/command_line.rs
+++ b/crates/agent/tests/unit/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line's definition.
+//! Tests of the command line's definition.
 
 use super::*;
 use clap::CommandFactory;
