--- a/crates/agent/src/control_plane.rs
+++ b/crates/agent/src/control_plane.rs
@@ -39,10 +39,10 @@
 /// An error that keeps a control plane from starting.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlPlaneError {
-    /// The files are faulty.
+    /// The configuration files are invalid.
     #[error(transparent)]
     Config(#[from] ConfigErrors),
-    /// No balancer can work with the settings.
+    /// The balancer does not accept the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The socket of membership cannot be bound.
@@ -58,7 +58,7 @@
 /// The reason why a reload was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
-    /// The files are faulty.
+    /// The configuration files are invalid.
     #[error(transparent)]
     Config(#[from] ConfigErrors),
     /// The platform's file lacks keys that are present in the configuration in force.
@@ -67,7 +67,7 @@
     /// The files change settings that take effect only at a restart.
     #[error("{} differs, which only a restart can take", .0.join(", "))]
     NeedsRestart(Vec<&'static str>),
-    /// No balancer can work with the settings.
+    /// The balancer does not accept the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
@@ -75,11 +75,16 @@
 /// The control plane of one agent. It runs within a [`LocalSet`](tokio::task::LocalSet) from [`ControlPlane::open`] on
 /// until [`ControlPlane::stop`].
 pub struct ControlPlane {
+    /// Configuration in force.
     config: RefCell<Config>,
-    start: StartOptions,
+    /// Options of the start, from which a reload reads the files again.
+    start_options: StartOptions,
     driver: Rc<Driver>,
-    registry: Option<Rc<Instance>>,
+    /// Series of the agent; none without remote write.
+    metrics: Option<Rc<Instance>>,
+    /// The telemetry sender while it runs.
     remote: RefCell<Option<Remote>>,
+    /// Task that runs the driver, until it is taken.
     driver_task: RefCell<Option<JoinHandle<()>>>,
 }
 
@@ -88,13 +93,14 @@
     ///
     /// # Errors
     ///
-    /// Fails if the files are faulty or the socket of membership cannot be bound.
+    /// Fails if the files are invalid or the socket of membership cannot be bound.
     pub async fn open(operator: &Path, config: &Path) -> Result<Rc<Self>, ControlPlaneError> {
         let sources = ConfigSources { operator: Some(operator.to_owned()), config: Some(config.to_owned()) };
         let config = Config::load(&sources, variable)?;
         let started = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let start = StartOptions { sources, state: None };
-        let plane = Self::start(config, start, HEALTH_CHECK_CONNECTIONS, started.as_millis() as u64).await?;
+        let start_options = StartOptions { sources, state: None };
+        let plane =
+            Self::start(config, start_options, HEALTH_CHECK_CONNECTIONS, started.as_millis() as u64).await?;
         let weak_plane = Rc::downgrade(&plane);
         plane.send_telemetry(move || {
             if let Some(plane) = weak_plane.upgrade() {
@@ -108,12 +114,12 @@
     /// [`ControlPlane::send_telemetry`].
     pub(crate) async fn start(
         config: Config,
-        start: StartOptions,
+        start_options: StartOptions,
         server_connections: usize,
         started_ms: u64,
     ) -> Result<Rc<Self>, ControlPlaneError> {
-        let registry = telemetry::start(&config, started_ms);
-        let driver = Driver::start(config.clone(), server_connections, registry.clone())?;
+        let metrics = telemetry::start(&config, started_ms);
+        let driver = Driver::start(config.clone(), server_connections, metrics.clone())?;
         if let Some((listen, membership)) = config.peering.clone() {
             let handler = Rc::downgrade(&driver) as Weak<dyn PeerEventHandler>;
             let instance = config.name.clone();
@@ -128,9 +134,9 @@
         let driver_task = tokio::task::spawn_local(driver.clone().run());
         Ok(Rc::new(ControlPlane {
             config: RefCell::new(config),
-            start,
+            start_options,
             driver,
-            registry,
+            metrics,
             remote: RefCell::default(),
             driver_task: RefCell::new(Some(driver_task)),
         }))
@@ -156,7 +162,7 @@
     /// before each sample to set the gauges.
     pub(crate) fn send_telemetry(&self, refresh: impl Fn() + 'static) {
         let config = self.config();
-        let Some((remote, instance)) = telemetry::remote_write(&config).zip(self.registry.clone()) else {
+        let Some((remote, instance)) = telemetry::remote_write(&config).zip(self.metrics.clone()) else {
             return;
         };
         let (clock, name) = (self.driver.clock, config.name.clone());
@@ -172,8 +178,8 @@
 
     /// Updates the metrics of membership.
     pub(crate) fn refresh_gauges(&self) {
-        if let Some((registry, peers)) = self.registry.as_ref().zip(self.driver.peers()) {
-            telemetry::sample_peers(&registry.registry, &peers, self.driver.stalls());
+        if let Some((metrics, peers)) = self.metrics.as_ref().zip(self.driver.peers()) {
+            telemetry::sample_peers(&metrics.registry, &peers, self.driver.stalls());
         }
     }
 
@@ -182,19 +188,20 @@
     ///
     /// # Errors
     ///
-    /// Fails if the files are faulty or change settings that take effect only at a restart. The current configuration
+    /// Fails if the files are invalid or change settings that take effect only at a restart. The current configuration
     /// then stays in force.
     pub fn reload(&self) -> Result<(), ReloadError> {
         // `PROXY_DISCOVERY` still holds the address from the start, so in the platform's reload it must not override the
         // address in the file.
-        let is_platform_reload = self.start.sources.operator.is_none() && self.start.sources.config.is_none();
+        let is_platform_reload =
+            self.start_options.sources.operator.is_none() && self.start_options.sources.config.is_none();
         let var = |name: &str| variable(name).filter(|_| !is_platform_reload || name != "PROXY_DISCOVERY");
-        let mut new_config = Config::load(&self.start.sources, var)?;
+        let mut new_config = Config::load(&self.start_options.sources, var)?;
         let missing = reconfigure::missing_keys(&self.config().raw, &new_config.raw);
         if !missing.is_empty() {
             return Err(ReloadError::MissingKeys(missing));
         }
-        new_config.daemon.state = self.start.state.clone().or(new_config.daemon.state);
+        new_config.daemon.state = self.start_options.state.clone().or(new_config.daemon.state);
         let needs_restart = self.config().needs_restart(&new_config);
         if !needs_restart.is_empty() {
             return Err(ReloadError::NeedsRestart(needs_restart));
@@ -202,8 +209,8 @@
         let discovery = new_config.discovery;
         self.driver.reconfigure(&new_config)?;
         self.driver.set_routes(&new_config);
-        if let Some(registry) = &self.registry {
-            telemetry::publish_budgets(registry, &new_config);
+        if let Some(metrics) = &self.metrics {
+            telemetry::publish_budgets(metrics, &new_config);
         }
         if let Some((remote, config)) =
             self.remote.borrow().as_ref().zip(telemetry::remote_write(&new_config))
