--- a/crates/agent/src/control_plane.rs
+++ b/crates/agent/src/control_plane.rs
@@ -184,7 +184,8 @@
     }
 
     /// Reads the files again and applies all changes or none. If the start options name no files, this is the
-    /// platform's reload. It is meant to change only discovery, and restarts the watch even at an unchanged address.
+    /// platform's reload: discovery's address is the file's, not that of `PROXY_DISCOVERY`, and its watch restarts
+    /// even at an unchanged address.
     ///
     /// # Errors
     ///
--- a/crates/telemetry/src/observer.rs
+++ b/crates/telemetry/src/observer.rs
@@ -67,10 +67,10 @@
     pub initial_capacity: f64,
     /// Duration of the slow start.
     pub slow_start_window: Micros,
-    /// Multiple of its capacity that overloads a server if it persists for `fall_after`.
+    /// Multiple of its capacity that overloads a server if it persists for `overload_tolerance`.
     pub overload_factor: f64,
     /// Time after which an overloaded server fails.
-    pub fall_after: Micros,
+    pub overload_tolerance: Micros,
 }
 
 impl From<&Settings> for RuleParameters {
@@ -81,7 +81,7 @@
             initial_capacity: s.initial_capacity,
             slow_start_window: s.slow_start_window,
             overload_factor: s.overload_factor,
-            fall_after: s.overload_tolerance,
+            overload_tolerance: s.overload_tolerance,
         }
     }
 }
@@ -124,7 +124,7 @@
     /// Finished requests, the oldest first.
     finished: VecDeque<u64>,
     servers: HashMap<u32, Server>,
-    /// Times and servers of the first bytes that were sent within the last `fall_after`.
+    /// Times and servers of the first bytes that were sent within the last `overload_tolerance`.
     recent: VecDeque<(Time, u32)>,
     margins: [Margin; 4],
 }
@@ -336,11 +336,11 @@
         })
     }
 
-    /// Compares the attempts that a server in slow start got within `fall_after` with a budget derived from the attempts to
+    /// Compares the attempts that a server in slow start got within `overload_tolerance` with a budget derived from the attempts to
     /// warm servers. The budget is this process's share, because it sees no other process's attempts.
     fn check_slow_start(&mut self, now: Time, server: u32) {
         self.recent.push_back((now, server));
-        while self.recent.front().is_some_and(|(at, _)| *at + self.parameters.fall_after < now) {
+        while self.recent.front().is_some_and(|(at, _)| *at + self.parameters.overload_tolerance < now) {
             self.recent.pop_front();
         }
         let Some(entry) = self.servers.get(&server) else { return };
